--- a/bench/choice_play.cpp
+++ b/bench/choice_play.cpp
@@ -56,8 +56,8 @@
   std::string mZone;
   Loads mOwn;
   std::deque<Loads> mOwnNoted;  ///< As it was at each note.
-  PathChoice mChoice;
-  EnginePaces mPaces;
+  PathChooser mChoice;
+  EngineSlowdowns mPaces;
   std::deque<LoadShares> mToldNoted;
 };
 
@@ -73,15 +73,15 @@
 
 /// Adds, or takes away, what a request is at one part of its path.
 void AddPart(EngineLoad& aLoad, const PlayedRequest& aRequest,
-             const PathPart& aPart, int aSign) {
+             const PathStage& aPart, int aSign) {
   const bool first = &aPart == &aRequest.mPath.front();
   aLoad.mRequests += aSign;
   aLoad.mTokenLayers += aSign * aRequest.mTokens * aPart.mLayers.Count();
-  aLoad.mFirsts += first ? aSign : 0;
+  aLoad.mFirstStageRequests += first ? aSign : 0;
 }
 
 void AddLoad(Loads& aLoads, const PlayedRequest& aRequest, int aSign) {
-  for (const PathPart& part : aRequest.mPath) {
+  for (const PathStage& part : aRequest.mPath) {
     AddPart(aLoads[part.mInstance], aRequest, part, aSign);
   }
 }
@@ -187,15 +187,15 @@
       return std::uniform_real_distribution<double>(0, 1)(mRandom);
     };
     for (const std::string& instance :
-         aRouter.mPaces.ToAsk(aNow, mOptions.mRouters, random)) {
+         aRouter.mPaces.EnginesToPoll(aNow, mOptions.mRouters, random)) {
       mResult.mQuestions++;
       const double said = TruePace(mEngines.at(instance),
                                    static_cast<double>(aNow - kReportLag));
-      aRouter.mPaces.TakeReport(instance, said, aNow + kQuestionMillis);
+      aRouter.mPaces.OnEngineReport(instance, said, aNow + kQuestionMillis);
     }
-    for (const PaceChange& change : aRouter.mPaces.Judge(aNow)) {
+    for (const SlowdownChange& change : aRouter.mPaces.Evaluate(aNow)) {
       const bool slow = mEngines.at(change.mInstance).mTurnsSlow;
-      mResult.mFalseAlarms += change.mSlow && !slow ? 1 : 0;
+      mResult.mFalseAlarms += change.mIsSlow && !slow ? 1 : 0;
     }
   }
 
@@ -209,7 +209,7 @@
     LoadShares all;
     for (const auto& router : mRouters) {
       LoadShares told;
-      router->mPaces.Tell(told, now);
+      router->mPaces.AddReports(told, now);
       for (const auto& [instance, share] : told) {
         all[instance].Add(share, 1);
       }
@@ -227,7 +227,7 @@
       for (const auto& [instance, share] : router->mToldNoted.front()) {
         others[instance].Add(share, -1);
       }
-      router->mPaces.TakeNews(others, now);
+      router->mPaces.ApplyPeerReports(others, now);
       StepPaces(*router, now);
     }
   }
@@ -262,10 +262,10 @@
                    const std::string& aInstance) const {
     const bool dearer = mOptions.mPaceRule == PaceRule::kCost ||
                         mOptions.mPaceRule == PaceRule::kBoth;
-    const double pace = dearer ? aRouter.mPaces.PaceOf(aInstance) : 1;
+    const double pace = dearer ? aRouter.mPaces.SlowdownOf(aInstance) : 1;
     if (mOptions.mNewsAge == 0) {
       EngineLoad load = mEngines.at(aInstance).mLoad;
-      load.mPace = pace;
+      load.mSlowdown = pace;
       return load;
     }
     const EngineLoad all = At(mNoted.front(), aInstance);
@@ -274,9 +274,11 @@
     return {.mRequests = all.mRequests - before.mRequests + own.mRequests,
             .mTokenLayers =
                 all.mTokenLayers - before.mTokenLayers + own.mTokenLayers,
-            .mFirsts = all.mFirsts - before.mFirsts + own.mFirsts,
-            .mReadTokenLayers = 0,
-            .mPace = pace};
+            .mFirstStageRequests = all.mFirstStageRequests -
+                                   before.mFirstStageRequests +
+                                   own.mFirstStageRequests,
+            .mPrefillTokenLayers = 0,
+            .mSlowdown = pace};
   }
 
   /// The slowest engines, so that half of each zone stays.
@@ -290,7 +292,7 @@
       most[record.mZone] += kMostEjected;
     }
     std::vector<std::pair<double, std::string>> slow;
-    for (const auto& [instance, pace] : aRouter.mPaces.Slow()) {
+    for (const auto& [instance, pace] : aRouter.mPaces.SlowEngines()) {
       slow.emplace_back(pace, instance);
     }
     std::sort(slow.rbegin(), slow.rend());
@@ -305,13 +307,13 @@
     return ejected;
   }
 
-  PathQuestion QuestionOf(const PlayedRouter& aRouter, double aPrompt,
-                          double aAnswer) {
-    PathQuestion question;
+  PathQuery QuestionOf(const PlayedRouter& aRouter, double aPrompt,
+                       double aAnswer) {
+    PathQuery question;
     question.mProfile = &mOptions.mProfile;
     question.mZone = aRouter.mZone;
     question.mTokens = aPrompt + aAnswer;
-    question.mReadTokens = aPrompt;
+    question.mPrefillTokens = aPrompt;
     question.mAnswerTokens = aAnswer;
     question.mEngines = mViews;
     question.mLoadOf = [this, &aRouter](const std::string& aInstance) {
@@ -320,19 +322,19 @@
     question.mRandom = [this] {
       return std::uniform_real_distribution<double>(0, 1)(mRandom);
     };
-    question.mAvoid = Ejected(aRouter);
+    question.mExcludedEngines = Ejected(aRouter);
     return question;
   }
 
-  LayerPath Choose(PlayedRouter& aRouter, const PathQuestion& aQuestion) {
+  LayerPath Choose(PlayedRouter& aRouter, const PathQuery& aQuestion) {
     const double unseen = mOptions.mRequestsPerSecond / 1000 *
                           static_cast<double>(mOptions.mNewsAge);
     const auto from = std::chrono::steady_clock::now();
-    PathAnswer answer =
+    PathResult answer =
         mOptions.mRule == ChoiceRule::kCheapest
             ? ChoosePath(aQuestion)
             : aRouter.mChoice.Choose(
-                  aQuestion, {.mUnseen = unseen,
+                  aQuestion, {.mUnreportedRequests = unseen,
                               .mRevision = 1 + aRouter.mPaces.Revision(),
                               .mNow = static_cast<Millis>(mNow)});
     mChoiceMicros += std::chrono::duration<double, std::micro>(
@@ -353,17 +355,18 @@
     auto request = std::make_shared<PlayedRequest>();
     request->mRouter = chosen;
     request->mTokens = prompt + answer;
-    const PathQuestion question = QuestionOf(router, prompt, answer);
+    const PathQuery question = QuestionOf(router, prompt, answer);
     request->mPath = Choose(router, question);
     if (request->mPath.empty() || !Takes(*request)) {
       mResult.mRefused++;
       CountLate(true);
       return;
     }
-    const PathPace expected = ExpectPace(question, request->mPath);
-    const PathPace pace = Run(request, prompt, answer);
-    CountLate(pace.mFirst > static_cast<double>(mOptions.mAim.mFirst) ||
-              pace.mToken * mOptions.mEventTokens >
+    const PathTiming expected = EstimateTiming(question, request->mPath);
+    const PathTiming pace = Run(request, prompt, answer);
+    CountLate(pace.mFirstTokenMillis >
+                  static_cast<double>(mOptions.mAim.mFirstEvent) ||
+              pace.mTokenMillis * mOptions.mEventTokens >
                   static_cast<double>(mOptions.mAim.mPause));
     if (JudgesPaces()) {
       Watch(*request, expected, pace);
@@ -383,13 +386,13 @@
   }
 
   /// Notes what the router will see of a stream's first two events.
-  void Watch(const PlayedRequest& aRequest, const PathPace& aExpected,
-             const PathPace& aPace) {
-    const StreamPatience patience =
-        PatienceOf(aExpected, mOptions.mEventTokens, mOptions.mAim);
+  void Watch(const PlayedRequest& aRequest, const PathTiming& aExpected,
+             const PathTiming& aPace) {
+    const StreamStallTimeouts patience =
+        StallTimeoutsOf(aExpected, mOptions.mEventTokens, mOptions.mAim);
     Sight sight;
     sight.mRouter = aRequest.mRouter;
-    for (const PathPart& part : aRequest.mPath) {
+    for (const PathStage& part : aRequest.mPath) {
       sight.mPath.push_back(part.mInstance);
     }
     double from = mNow;
@@ -400,18 +403,18 @@
       mSights.push(sight);
       from += aWait;
     };
-    add(aPace.mFirst, patience.mFirst);
-    add(aPace.mToken * mOptions.mEventTokens, patience.mGap);
+    add(aPace.mFirstTokenMillis, patience.mFirstEvent);
+    add(aPace.mTokenMillis * mOptions.mEventTokens, patience.mGap);
   }
 
   /// Whether all engines of the path have what the request needs.
   bool Takes(const PlayedRequest& aRequest) const {
     bool first = true;
-    for (const PathPart& part : aRequest.mPath) {
+    for (const PathStage& part : aRequest.mPath) {
       const PlayedEngine& engine = mEngines.at(part.mInstance);
       const double need = aRequest.mTokens * part.mLayers.Count();
       const bool placed =
-          !first || engine.mLoad.mFirsts < engine.mRecord->mSlots;
+          !first || engine.mLoad.mFirstStageRequests < engine.mRecord->mSlots;
       if (!placed || engine.mLoad.mTokenLayers + need > engine.mRoom) {
         return false;
       }
@@ -420,12 +423,12 @@
     return true;
   }
 
-  PathPace Run(const std::shared_ptr<PlayedRequest>& aRequest, double aPrompt,
-               double aAnswer) {
+  PathTiming Run(const std::shared_ptr<PlayedRequest>& aRequest, double aPrompt,
+                 double aAnswer) {
     AddLoad(mRouters[aRequest->mRouter]->mOwn, *aRequest, 1);
     double at = mNow;
     double token = 0;
-    for (const PathPart& part : aRequest->mPath) {
+    for (const PathStage& part : aRequest->mPath) {
       PlayedEngine& engine = mEngines[part.mInstance];
       const EngineModel model(mOptions.mProfile, *mOptions.mProfile.FindKind(
                                                      engine.mRecord->mKind));
@@ -449,7 +452,7 @@
     mFirsts.push_back(at + token - mNow);
     mTokens.push_back(token);
     mEnds.push({at + token * aAnswer, aRequest});
-    return {.mFirst = at + token - mNow, .mToken = token};
+    return {.mFirstTokenMillis = at + token - mNow, .mTokenMillis = token};
   }
 
   void CountBack(const PlayedEngine& aEngine, int aLayers) {
@@ -465,7 +468,7 @@
     const std::shared_ptr<PlayedRequest> request = mEnds.top().mRequest;
     mEnds.pop();
     AddLoad(mRouters[request->mRouter]->mOwn, *request, -1);
-    for (const PathPart& part : request->mPath) {
+    for (const PathStage& part : request->mPath) {
       AddPart(mEngines[part.mInstance].mLoad, *request, part, -1);
     }
   }
--- a/bench/choice_play.h
+++ b/bench/choice_play.h
@@ -16,7 +16,7 @@
 /// The way that routers choose.
 enum class ChoiceRule {
   kCheapest,   ///< The cheapest path by the loads that are known.
-  kPathChoice  ///< PathChoice.
+  kPathChoice  ///< PathChooser.
 };
 
 /// What routers do about engines that they judge slow.
@@ -54,7 +54,7 @@
   SlowEngines mSlow;
   PaceRule mPaceRule = PaceRule::kCost;
   /// What callers want of a stream, and the tokens of an event.
-  StreamAim mAim{.mFirst = 500, .mPause = 250};
+  StreamTargets mAim{.mFirstEvent = 500, .mPause = 250};
   double mEventTokens = 3;
 };
 
--- a/bench/control_costs.cpp
+++ b/bench/control_costs.cpp
@@ -66,8 +66,8 @@
     shares[engine.mInstance] = {.mInstance = engine.mInstance,
                                 .mRequests = 2 + i % 5,
                                 .mTokenLayers = 9000 + i,
-                                .mFirsts = i % 3,
-                                .mReadTokenLayers = i * 7};
+                                .mFirstStageRequests = i % 3,
+                                .mPrefillTokenLayers = i * 7};
   }
   return shares;
 }
@@ -152,22 +152,23 @@
   }
 
   void Loads() {
-    LoadBook book({.mKept = 2500,
-                   .mSumEvery = 0,
-                   .mRowsEachMilli = 1000000,
-                   .mOwnRowsEachMilli = 1000000});
+    LoadAggregator book({.mReportRetention = 2500,
+                         .mSumInterval = 0,
+                         .mRowsPerMilli = 1000000,
+                         .mLocalRowsPerMilli = 1000000});
     for (int i = 0; i < kRoutersOfControl; i++) {
-      book.Tell("r" + std::to_string(i), 1,
-                WorkOf(i * kEnginesOfRouter, kEnginesOfRouter, mEngines), 1000);
+      book.OnRouterReport(
+          "r" + std::to_string(i), 1,
+          WorkOf(i * kEnginesOfRouter, kEnginesOfRouter, mEngines), 1000);
     }
     std::string own;
     Time("loads of its own routers, packed", 5,
-         [&] { own = book.PackedOwn(1000).mText; });
+         [&] { own = book.PackedLocal(1000).mText; });
     const LoadShares share = WorkOf(0, mEngines / kZones, mEngines);
     const std::string packed = PackLoads(share);
     Time("loads of another control, read", 5, [&] { UnpackLoads(packed); });
     for (int i = 0; i < kZones; i++) {
-      book.TellOfControl(
+      book.OnControlReport(
           "c" + std::to_string(i),
           WorkOf(i * mEngines / kZones, mEngines / kZones, mEngines), 1, 1000);
     }
@@ -176,7 +177,8 @@
     };
     std::string sum;
     Millis now = 1000;
-    Time("loads of all, summed", 5, [&] { book.Unreachable(2, ++now); });
+    Time("loads of all, summed", 5,
+         [&] { book.UnreachableUpstreams(2, ++now); });
     Time("loads of all, summed and packed", 5,
          [&] { sum = book.PackedSum("zone-0", zoneOf, ++now).mText; });
     Time("loads of all, read by a router", 5, [&] { UnpackLoads(sum); });
--- a/daemons/control/retry_service.cpp
+++ b/daemons/control/retry_service.cpp
@@ -23,7 +23,7 @@
     return {};
   }
   RetryPool& pool = mPools.try_emplace(aWish.mService, mOptions).first->second;
-  const RoutersHere routers = mHooks.mRouters();
+  const RouterShare routers = mHooks.mRouters();
   const Millis now = SteadyNow();
   const RetryGrant grant{pool.Grant(aWish.mWanted, routers, now)};
   mContext.mCounters.Add("retries_granted", {}, grant.mGranted);
@@ -32,9 +32,9 @@
       .Add("service", aWish.mService)
       .Add("wanted", aWish.mWanted)
       .Add("granted", grant.mGranted)
-      .Add("left", pool.Left(routers, now))
-      .Add("routers_here", routers.mHere)
-      .Add("routers", routers.mAll);
+      .Add("left", pool.Available(routers, now))
+      .Add("routers_here", routers.mLocal)
+      .Add("routers", routers.mTotal);
   return grant;
 }
 
--- a/daemons/control/retry_service.h
+++ b/daemons/control/retry_service.h
@@ -13,7 +13,7 @@
 
 /// Where it learns what it needs.
 struct RetryServiceHooks {
-  std::function<RoutersHere()> mRouters;
+  std::function<RouterShare()> mRouters;
   /// Whether the configuration in force has a service.
   std::function<bool(const std::string& aService)> mKnowsService;
 };
--- a/daemons/control/sync_service.cpp
+++ b/daemons/control/sync_service.cpp
@@ -133,7 +133,7 @@
     answer.mNews = mTraffic.NewsSince(aQuestion.mConfiguration);
   }
   answer.mRouters = Routers(now);
-  answer.mOwnRouters = mLoads.OwnRouters(now);
+  answer.mOwnRouters = mLoads.LocalRouters(now);
   answer.mAskEvery = std::max(
       kAskedEvery,
       static_cast<Millis>(kEachAsker * static_cast<double>(mAskedAt.size())));
@@ -153,14 +153,14 @@
   return true;
 }
 
-RoutersHere SyncService::Routers() {
+RouterShare SyncService::Routers() {
   const Millis now = SteadyNow();
-  return {.mHere = mLoads.OwnRouters(now), .mAll = Routers(now)};
+  return {.mLocal = mLoads.LocalRouters(now), .mTotal = Routers(now)};
 }
 
 void SyncService::RefreshGauges() {
   const Millis now = SteadyNow();
-  mContext.mCounters.Set("routers_here", mLoads.OwnRouters(now));
+  mContext.mCounters.Set("routers_here", mLoads.LocalRouters(now));
   mContext.mCounters.Set("routers_known", Routers(now));
 }
 
@@ -184,17 +184,17 @@
     return record == nullptr ? "" : record->mZone;
   };
   const PackedLoads& loads =
-      fromControl ? mLoads.PackedOwn(now)
+      fromControl ? mLoads.PackedLocal(now)
                   : mLoads.PackedSum(aQuestion.mZone, zoneOf, now);
-  aAnswer.mLoadsNumber = loads.mNumber;
-  aAnswer.mLoadsAgo = now - loads.mMadeAt;
+  aAnswer.mLoadsNumber = loads.mSequence;
+  aAnswer.mLoadsAgo = now - loads.mBuiltAt;
   const bool known =
-      aQuestion.mKnows == mLife && aQuestion.mKnowsLoads == loads.mNumber;
+      aQuestion.mKnows == mLife && aQuestion.mKnowsLoads == loads.mSequence;
   if (!known) {
     aAnswer.mPackedLoads = loads.mText;
   }
   if (!fromControl) {
-    aAnswer.mSummedLoads = mLoads.SummedOf(aQuestion.mProcess);
+    aAnswer.mSummedLoads = mLoads.IncludedSequence(aQuestion.mProcess);
   }
 }
 
@@ -249,15 +249,15 @@
     return now - aItem.second > kAskerKept;
   });
   if (aQuestion.mTellsLoads > 0) {
-    mLoads.Tell(
+    mLoads.OnRouterReport(
         aQuestion.mProcess, aQuestion.mTellsLoads,
-        UsableRows(aQuestion.mLoads, mContext.mBadWords.At("loads")).Shares(),
+        UsableRows(aQuestion.mLoads, mContext.mBadWords.At("loads")).ToShares(),
         now);
   }
 }
 
 std::set<std::string> SyncService::Unreachable() {
-  return mLoads.Unreachable(kWitnesses, SteadyNow());
+  return mLoads.UnreachableUpstreams(kWitnesses, SteadyNow());
 }
 
 bool SyncService::CutOff() const {
@@ -347,9 +347,9 @@
   mConfirmation.Take(aAnswer.mConfirmedVersion, aAskedAt,
                      aAnswer.mConfirmedAgo);
   if (aAnswer.mLoadsNumber == source.mLoadsNumber && sameLife) {
-    mLoads.HearOfControl(aAddress.Text(), aAnswer.mOwnRouters, now);
+    mLoads.OnControlUnchanged(aAddress.Text(), aAnswer.mOwnRouters, now);
   } else {
-    mLoads.TellOfControl(
+    mLoads.OnControlReport(
         aAddress.Text(),
         mContext.mBadWords.Loads("loads", aAnswer.mPackedLoads),
         aAnswer.mOwnRouters, now);
--- a/daemons/control/sync_service.h
+++ b/daemons/control/sync_service.h
@@ -38,7 +38,7 @@
   /// Sets the seeds anew.
   void SetSeeds(std::vector<Endpoint> aSeeds);
   /// The routers that tell this control their work, and all that there are.
-  RoutersHere Routers();
+  RouterShare Routers();
   /// Sets the gauges of the routers that are counted.
   void RefreshGauges();
 
@@ -101,7 +101,7 @@
   Millis mStartedAt;
   UpstreamIntake mUpstreams;
   AnswerParts mParts;
-  LoadBook mLoads{LoadBookOptions{}};
+  LoadAggregator mLoads{LoadAggregatorOptions{}};
   CrashLedger mCrashes;
   CrashStore mCrashStore;
   std::map<std::string, Source> mSources;  ///< By address.
--- a/daemons/relay/relay_admission.cpp
+++ b/daemons/relay/relay_admission.cpp
@@ -122,7 +122,7 @@
   MeasureReading(aService, aGate);
   const std::string& zone = mContext.mOptions.mZone;
   EngineSample sample = SampleEngines(mContext.ReadyEngines(aService.mName),
-                                      zone, SampleReach::kOwnZone,
+                                      zone, SampleScope::kLocalZone,
                                       [this] { return mContext.Random(); });
   if (aGate.mReading.mOwnZone) {
     std::erase_if(sample.mEngines, [&zone](const UpstreamRecord* aEngine) {
@@ -131,9 +131,9 @@
   }
   aGate.mCarried = 0;
   const auto paceOf = [this](const std::string& aInstance) {
-    return mContext.mPaces.PaceOf(aInstance);
+    return mContext.mPaces.SlowdownOf(aInstance);
   };
-  for (const SharedPath& path :
+  for (const PathShare& path :
        DividePaths(aService.mEngine, sample.mEngines, paceOf)) {
     aGate.mCarried += path.Rate() / sample.mShare / Sharers(aGate);
   }
--- a/daemons/relay/relay_answer.cpp
+++ b/daemons/relay/relay_answer.cpp
@@ -50,7 +50,7 @@
 const std::string& RelayRequest::Refuser() const {
   const LayerPath& path = mAttempt->mPath;
   const auto it =
-      std::find_if(path.begin(), path.end(), [this](const PathPart& aPart) {
+      std::find_if(path.begin(), path.end(), [this](const PathStage& aPart) {
         return aPart.mAddress == mAttempt->mFacts.mCulprit;
       });
   return it == path.end() ? mAttempt->mInstance : it->mInstance;
@@ -129,7 +129,7 @@
     return true;
   }
   memory->Set(HeldKind::kPartial, mAttempt->mBody.size() +
-                                      mAttempt->mEvents.Rest().size() +
+                                      mAttempt->mEvents.Incomplete().size() +
                                       (mKept ? mKept->mBody.size() : 0));
   return memory->MayCollect();
 }
@@ -179,9 +179,9 @@
 }
 
 void RelayRequest::HandleEvents(std::string_view aBytes) {
-  const std::vector<RelayedEvent> events = mAttempt->mEvents.Take(aBytes);
+  const std::vector<ServerSentEvent> events = mAttempt->mEvents.Append(aBytes);
   mAttempt->mHadEvents = mAttempt->mHadEvents || !events.empty();
-  for (const RelayedEvent& event : events) {
+  for (const ServerSentEvent& event : events) {
     const bool known = event.mId.has_value() && mLastEvent.has_value() &&
                        *event.mId <= *mLastEvent;
     if (known) {
@@ -265,7 +265,7 @@
     Forward(mAttempt->mHead, mAttempt->mBody);
     return;
   }
-  if (!mAttempt->mEvents.Rest().empty()) {
+  if (!mAttempt->mEvents.Incomplete().empty()) {
     // It ended inside an event: it is not whole, whatever its framing says.
     AttemptFailed(Ran::kUnknown, ResultCode::kStreamBroken, true);
     return;
--- a/daemons/relay/relay_attempt.cpp
+++ b/daemons/relay/relay_attempt.cpp
@@ -60,8 +60,8 @@
       .Add("what", LackName(aLack))
       .Add("sent", mSent)
       .Add("refused", mRefused)
-      .Add("retries_left",
-           mContext.RetriesOf(mService->mName).Left(mContext.Routers(), now))
+      .Add("retries_left", mContext.RetriesOf(mService->mName)
+                               .Available(mContext.Routers(), now))
       .Add("routers", mContext.Routers())
       .Add("events", mEvents)
       .Add("since_event_ms",
@@ -117,7 +117,7 @@
 }
 
 bool RelayRequest::ChoosePlainUpstream(Attempt& aAttempt) {
-  ServiceQuestion question;
+  ServiceQuery question;
   question.mZone = mContext.mOptions.mZone;
   question.mUpstreams = mContext.mRegistry.OfService(mService->mName);
   const std::size_t known = question.mUpstreams.size();
@@ -153,33 +153,34 @@
 }
 
 bool RelayRequest::ChooseEnginePath(Attempt& aAttempt) {
-  PathQuestion question = EngineQuestion();
-  PathAnswer answer = mContext.ChoosePathOf(mService->mName, question);
+  PathQuery question = EngineQuestion();
+  PathResult answer = mContext.ChoosePathOf(mService->mName, question);
   if (answer.mPath.empty() && question.mSampleShare < 1) {
-    question = EngineQuestion(SampleReach::kAllZones);
+    question = EngineQuestion(SampleScope::kAllZones);
     answer = mContext.ChoosePathOf(mService->mName, question);
   }
   if (answer.mPath.empty() && !answer.mLacksRoom) {
     LogLine(LogLevel::kInfo, "nobody_left")
         .Add("request", mFacts.mId)
-        .Add("avoided", static_cast<int>(question.mAvoid.size()))
-        .Add("held_back", static_cast<int>(question.mNotFirst.size()));
+        .Add("avoided", static_cast<int>(question.mExcludedEngines.size()))
+        .Add("held_back",
+             static_cast<int>(question.mExcludedFirstStages.size()));
     // Better one that failed lately than none. But one that refuses would do so
     // until all attempts are used: who can wait does.
-    question.mAvoid =
+    question.mExcludedEngines =
         IsWorthWaiting() ? mContext.RefusedLately() : std::set<std::string>();
     answer = ChoosePath(question);
   }
   mLacksRoom = answer.mLacksRoom;
   if (answer.mPath.empty()) {
     // It may only be that nobody may be asked just now.
-    const bool held = !question.mNotFirst.empty();
-    question.mNotFirst.clear();
+    const bool held = !question.mExcludedFirstStages.empty();
+    question.mExcludedFirstStages.clear();
     mLacksRoom = mLacksRoom || (held && !ChoosePath(question).mPath.empty());
     return false;
   }
   SpendPipe(question, answer);
-  aAttempt.mDealt = answer.mDealt;
+  aAttempt.mDealt = answer.mDrawnByWeight;
   aAttempt.mPath = std::move(answer.mPath);
   aAttempt.mInstance = aAttempt.mPath.front().mInstance;
   aAttempt.mTokens = question.mTokens;
@@ -195,7 +196,7 @@
     return;
   }
   bool first = true;
-  for (const PathPart& part : mAttempt->mPath) {
+  for (const PathStage& part : mAttempt->mPath) {
     mContext.AddLoad(part.mInstance, aSign,
                      aSign * mAttempt->mTokens * part.mLayers.Count(),
                      first ? aSign : 0);
@@ -257,7 +258,7 @@
 }
 
 double RelayRequest::KnownFillOf(const std::string& aAddress) const {
-  for (const PathPart& part : mAttempt->mPath) {
+  for (const PathStage& part : mAttempt->mPath) {
     const UpstreamRecord* engine = mContext.mRegistry.Find(part.mInstance);
     const AcceleratorKind* kind =
         part.mAddress != aAddress || engine == nullptr
@@ -360,7 +361,7 @@
 bool RelayRequest::AwaitsGrant() {
   const Millis now = SteadyNow();
   mGrantAwaitedAt = mGrantAwaitedAt == 0 ? now : mGrantAwaitedAt;
-  return mContext.mOptions.mRetries.mPooled > 0 &&
+  return mContext.mOptions.mRetries.mPooledShare > 0 &&
          now - mGrantAwaitedAt < kGrantTakes && !mExchange->Closed() &&
          Remaining() > kGrantTakes;
 }
--- a/daemons/relay/relay_context.cpp
+++ b/daemons/relay/relay_context.cpp
@@ -104,7 +104,7 @@
   if (others != mOtherLoads.end()) {
     demand.mOthersKnown = true;
     demand.mOthers =
-        static_cast<double>(others->second.mWantedThousandths) / kThousandths;
+        static_cast<double>(others->second.mDemandThousandths) / kThousandths;
   }
   return demand;
 }
@@ -144,7 +144,7 @@
   load.mInstance = aInstance;
   load.mRequests += aRequests;
   load.mTokenLayers += std::llround(aTokenLayers);
-  load.mFirsts += aFirsts;
+  load.mFirstStageRequests += aFirsts;
   if (load.mRequests <= 0) {
     mOwnLoads.erase(aInstance);
   }
@@ -154,21 +154,23 @@
                               double aTokenLayers) {
   const auto it = mOwnLoads.find(aInstance);
   if (it != mOwnLoads.end()) {
-    it->second.mReadTokenLayers = std::max<std::int64_t>(
-        0, it->second.mReadTokenLayers + std::llround(aTokenLayers));
+    it->second.mPrefillTokenLayers = std::max<std::int64_t>(
+        0, it->second.mPrefillTokenLayers + std::llround(aTokenLayers));
   }
 }
 
 EngineLoad RelayContext::LoadOf(const std::string& aInstance) const {
-  EngineLoad load{.mPace = mPaces.PaceOf(aInstance)};
+  EngineLoad load{.mSlowdown = mPaces.SlowdownOf(aInstance)};
   for (const auto* loads : {&mOwnLoads, &mOtherLoads}) {
     const auto it = loads->find(aInstance);
     if (it != loads->end()) {
       const LoadShare& share = it->second;
       load.mRequests += static_cast<double>(share.mRequests);
       load.mTokenLayers += static_cast<double>(share.mTokenLayers);
-      load.mFirsts += static_cast<double>(share.mFirsts);
-      load.mReadTokenLayers += static_cast<double>(share.mReadTokenLayers);
+      load.mFirstStageRequests +=
+          static_cast<double>(share.mFirstStageRequests);
+      load.mPrefillTokenLayers +=
+          static_cast<double>(share.mPrefillTokenLayers);
     }
   }
   return load;
@@ -183,10 +185,10 @@
     const bool near = record != nullptr && record->mZone == mOptions.mZone;
     if (near && now < experience.mUnreachableUntil) {
       loads[instance].mInstance = instance;
-      loads[instance].mUnreachable = 1;
+      loads[instance].mUnreachableReporters = 1;
     }
   }
-  mPaces.Tell(loads, now);
+  mPaces.AddReports(loads, now);
   mLimits.Tell(loads, now);
   return loads;
 }
@@ -194,13 +196,13 @@
 void RelayContext::SetOtherLoads(LoadShares aLoads, Millis aTrueAt) {
   mOtherLoads = std::move(aLoads);
   mOtherLoadsTrueAt = aTrueAt;
-  mPaces.TakeNews(mOtherLoads, SteadyNow());
+  mPaces.ApplyPeerReports(mOtherLoads, SteadyNow());
   mLimits.TakeNews(mOtherLoads, SteadyNow());
 }
 
 void RelayContext::ForgetOtherLoads() {
   mOtherLoads.clear();
-  mPaces.TakeNews(mOtherLoads, SteadyNow());
+  mPaces.ApplyPeerReports(mOtherLoads, SteadyNow());
 }
 
 void RelayContext::Succeeded(const std::string& aInstance) {
@@ -275,7 +277,7 @@
     }
   }
   for (const auto& [instance, load] : mOtherLoads) {
-    if (load.mUnreachable > 0) {
+    if (load.mUnreachableReporters > 0) {
       avoided.insert(instance);
     }
   }
@@ -288,8 +290,8 @@
   return mRetries.try_emplace(aService, options).first->second;
 }
 
-PipeAllowance& RelayContext::PipeOf(const std::string& aService) {
-  return mPipes.try_emplace(aService, PipeAllowanceOptions{}).first->second;
+InterZoneBudget& RelayContext::PipeOf(const std::string& aService) {
+  return mPipes.try_emplace(aService, InterZoneBudgetOptions{}).first->second;
 }
 
 void RelayContext::PathAsked(const std::string& aService) {
@@ -318,7 +320,7 @@
   occupancy.mOwnBytes = occupancy.mOwn * occupancy.mBodyBytes;
   occupancy.mRouters = Routers();
   occupancy.mOwnRate =
-      paths.mArrivals.PerMilliWithout(aQuestion.mArrivedAt, now) /
+      paths.mArrivals.PerMilliExcluding(aQuestion.mArrivedAt, now) /
       static_cast<double>(std::max<std::size_t>(1, aQuestion.mUpstreams));
   const Millis expected = aQuestion.mTarget > 0
                               ? std::min(aQuestion.mTarget, kExpectedTime)
@@ -352,22 +354,22 @@
   return paths.mReady;
 }
 
-PathAnswer RelayContext::ChoosePathOf(const std::string& aService,
-                                      const PathQuestion& aQuestion) {
+PathResult RelayContext::ChoosePathOf(const std::string& aService,
+                                      const PathQuery& aQuestion) {
   ServicePaths& paths = mPaths[aService];
   const Millis now = SteadyNow();
   const double others = Routers() - 1;
   const Millis age = std::min(kOldestNews, LoadsAge());
   const double sinceNews =
       others * paths.mArrivals.PerMilli(now) * static_cast<double>(age);
-  PathAnswer answer = paths.mChoice.Choose(
-      aQuestion,
-      {.mUnseen = std::max(sinceNews, mAdmission->UnreportedRequests(aService)),
-       .mRevision = mRegistry.Revision() + mPaces.Revision(),
-       .mNow = now});
-  mCounters.Add("paths", answer.mPath.empty() ? "way=\"none\""
-                         : answer.mDealt      ? "way=\"dealt\""
-                                              : "way=\"cheapest\"");
+  PathResult answer = paths.mChoice.Choose(
+      aQuestion, {.mUnreportedRequests = std::max(
+                      sinceNews, mAdmission->UnreportedRequests(aService)),
+                  .mRevision = mRegistry.Revision() + mPaces.Revision(),
+                  .mNow = now});
+  mCounters.Add("paths", answer.mPath.empty()    ? "way=\"none\""
+                         : answer.mDrawnByWeight ? "way=\"dealt\""
+                                                 : "way=\"cheapest\"");
   return answer;
 }
 
--- a/daemons/relay/relay_context.h
+++ b/daemons/relay/relay_context.h
@@ -49,7 +49,7 @@
 
 /// What paths of one service are chosen by.
 struct ServicePaths {
-  PathChoice mChoice;
+  PathChooser mChoice;
   ArrivalRate mArrivals;  ///< At this router.
   std::vector<const UpstreamRecord*> mReady;
   std::int64_t mReadyOf = -1;  ///< The change of the registry that it has.
@@ -123,7 +123,7 @@
   std::set<std::string> Avoided() const;
 
   RetryAllowance& RetriesOf(const std::string& aService);
-  PipeAllowance& PipeOf(const std::string& aService);
+  InterZoneBudget& PipeOf(const std::string& aService);
   /// The upstreams of a service that are ready.
   const std::vector<const UpstreamRecord*>& ReadyEngines(
       const std::string& aService);
@@ -142,8 +142,8 @@
   /// Requests a millisecond that come here for it.
   double ArrivalsOf(const std::string& aService);
   /// A path for it, by what is known of the work of all routers.
-  PathAnswer ChoosePathOf(const std::string& aService,
-                          const PathQuestion& aQuestion);
+  PathResult ChoosePathOf(const std::string& aService,
+                          const PathQuery& aQuestion);
   double Random();
 
   EventLoop& mLoop;
@@ -157,7 +157,7 @@
   ControlDirectory mDirectory;
   UpstreamRegistry mRegistry;
   BeatTaker mTaker;
-  EnginePaces mPaces;
+  EngineSlowdowns mPaces;
   NamedLimits mLimits;
   RestPeriods mRests;
   CrashWatch mCrashes;
@@ -179,7 +179,7 @@
   std::map<std::string, UpstreamExperience> mExperience;
   std::set<std::string> mRestarted;
   std::map<std::string, RetryAllowance> mRetries;
-  std::map<std::string, PipeAllowance> mPipes;
+  std::map<std::string, InterZoneBudget> mPipes;
   std::map<std::string, ServicePaths> mPaths;  ///< By service.
   RouterCount mRouters;
   std::mt19937_64 mRandom;
--- a/daemons/relay/relay_moves.cpp
+++ b/daemons/relay/relay_moves.cpp
@@ -37,7 +37,7 @@
   LayerPath parts;
   std::set_difference(aPath.begin(), aPath.end(), aOther.begin(), aOther.end(),
                       std::back_inserter(parts),
-                      [](const PathPart& aLeft, const PathPart& aRight) {
+                      [](const PathStage& aLeft, const PathStage& aRight) {
                         return aLeft.mLayers.mFrom < aRight.mLayers.mFrom ||
                                (aLeft.mLayers.mFrom == aRight.mLayers.mFrom &&
                                 aLeft.mInstance < aRight.mInstance);
@@ -63,20 +63,21 @@
 
 }  // namespace
 
-PathQuestion RelayRequest::EngineQuestion(SampleReach aReach) const {
+PathQuery RelayRequest::EngineQuestion(SampleScope aReach) const {
   const EngineProfile& engine = mService->mEngine;
-  PathQuestion question;
+  PathQuery question;
   question.mProfile = &engine;
   question.mZone = mContext.mOptions.mZone;
   const double guess =
       mFacts.mExpectedTokens > 0 ? mFacts.mExpectedTokens : engine.mUsualAnswer;
   question.mAnswerTokens =
       mFacts.mMostTokens > 0 ? std::min(guess, mFacts.mMostTokens) : guess;
-  question.mReadTokens = mFacts.mPromptTokens;
+  question.mPrefillTokens = mFacts.mPromptTokens;
   question.mTokens = mFacts.mPromptTokens + question.mAnswerTokens;
-  question.mFill = kPathFill;
-  question.mMayCross = mContext.PipeOf(mService->mName)
-                           .Allows(engine, mContext.Routers(), SteadyNow());
+  question.mMaxFill = kPathFill;
+  question.mMayCrossZones =
+      mContext.PipeOf(mService->mName)
+          .Allows(engine, mContext.Routers(), SteadyNow());
   const std::function<double()> random = [this] { return mContext.Random(); };
   EngineSample sample = SampleEngines(mContext.ReadyEngines(mService->mName),
                                       question.mZone, aReach, random);
@@ -85,15 +86,15 @@
   question.mLoadOf = [this](const std::string& aInstance) {
     return mContext.LoadOf(aInstance);
   };
-  question.mAvoid = mContext.Avoided();
-  question.mNotFirst = mContext.HeldBack();
+  question.mExcludedEngines = mContext.Avoided();
+  question.mExcludedFirstStages = mContext.HeldBack();
   question.mRandom = random;
   return question;
 }
 
 void RelayRequest::BeginReading(const LayerPath& aParts) {
   const double tokens = mFacts.mPromptTokens + mEvents * kTokensPerEvent;
-  for (const PathPart& part : aParts) {
+  for (const PathStage& part : aParts) {
     const double work = tokens * part.mLayers.Count();
     mAttempt->mReading.push_back({part.mInstance, work});
     mContext.AddReading(part.mInstance, work);
@@ -118,7 +119,7 @@
   if (mAttempt == nullptr || mAttempt->mPath.empty() || mEnded) {
     return;
   }
-  const auto hit = [&aInstances](const PathPart& aPart) {
+  const auto hit = [&aInstances](const PathStage& aPart) {
     return aInstances.contains(aPart.mInstance);
   };
   const LayerPath& path = mAttempt->mPath;
@@ -152,12 +153,12 @@
   SwitchAttempt(ResultCode::kOutcomeUnknown);
 }
 
-StreamAim RelayRequest::Aim() const {
-  return {.mFirst = mRoute->mTarget, .mPause = mRoute->mPause};
+StreamTargets RelayRequest::Aim() const {
+  return {.mFirstEvent = mRoute->mTarget, .mPause = mRoute->mPause};
 }
 
 std::set<std::string> RelayRequest::SlowParts() const {
-  const std::map<std::string, double>& slow = mContext.mPaces.Slow();
+  const std::map<std::string, double>& slow = mContext.mPaces.SlowEngines();
   std::set<std::string> parts;
   const LayerPath& path = mAttempt->mPath;
   for (std::size_t i = 1; i < path.size(); i++) {
@@ -194,46 +195,47 @@
     return false;
   }
   mAttempt->mSearchedAt = aNow;
-  const PathQuestion question = EngineQuestion();
-  const PathPace held = ExpectPace(question, mAttempt->mPath);
+  const PathQuery question = EngineQuestion();
+  const PathTiming held = EstimateTiming(question, mAttempt->mPath);
   LayerPath next = WithoutSlow(SlowParts());
-  const PathPace then = next.empty() ? held : ExpectPace(question, next);
-  const bool firstSlow = mContext.mPaces.Slow().contains(mAttempt->mInstance);
+  const PathTiming then = next.empty() ? held : EstimateTiming(question, next);
+  const bool firstSlow =
+      mContext.mPaces.SlowEngines().contains(mAttempt->mInstance);
   if (firstSlow && IsTooSlow(then, kTokensPerEvent, Aim())) {
     // Its first cannot be replaced by an order.
     SwitchAttempt(ResultCode::kOutcomeUnknown);
     return true;
   }
-  if (!next.empty() && IsWorthMoving(held, then)) {
+  if (!next.empty() && IsMoveWorthwhile(held, then)) {
     Repath(std::move(next), MoveReason::kSlow);
   }
   return true;
 }
 
 LayerPath RelayRequest::Without(const std::set<std::string>& aInstances) {
-  const PathQuestion question = EngineQuestion();
+  const PathQuery question = EngineQuestion();
   LayerPath next = WithoutIn(question, aInstances);
   const bool sawAll = question.mSampleShare >= 1;
   return !next.empty() || sawAll
              ? next
-             : WithoutIn(EngineQuestion(SampleReach::kAllZones), aInstances);
+             : WithoutIn(EngineQuestion(SampleScope::kAllZones), aInstances);
 }
 
-LayerPath RelayRequest::WithoutIn(PathQuestion aQuestion,
+LayerPath RelayRequest::WithoutIn(PathQuery aQuestion,
                                   const std::set<std::string>& aInstances) {
-  PathQuestion question = std::move(aQuestion);
-  question.mReadTokens += mEvents;
-  question.mFromEngine = true;
-  question.mSpread = kMoveSpread;
-  for (const PathPart& part : mAttempt->mPath) {
-    question.mAvoid.insert(part.mInstance);
+  PathQuery question = std::move(aQuestion);
+  question.mPrefillTokens += mEvents;
+  question.mStartsAtEngine = true;
+  question.mCostJitter = kMoveSpread;
+  for (const PathStage& part : mAttempt->mPath) {
+    question.mExcludedEngines.insert(part.mInstance);
   }
-  question.mAvoid.insert(aInstances.begin(), aInstances.end());
-  question.mAvoid.insert(mAttempt->mRefusedParts.begin(),
-                         mAttempt->mRefusedParts.end());
+  question.mExcludedEngines.insert(aInstances.begin(), aInstances.end());
+  question.mExcludedEngines.insert(mAttempt->mRefusedParts.begin(),
+                                   mAttempt->mRefusedParts.end());
   LayerPath next;
   for (std::size_t i = 0; i < mAttempt->mPath.size(); i++) {
-    const PathPart& part = mAttempt->mPath[i];
+    const PathStage& part = mAttempt->mPath[i];
     if (!aInstances.contains(part.mInstance)) {
       next.push_back(part);
       continue;
@@ -243,25 +245,25 @@
         mContext.mRegistry.Find(mAttempt->mPath[i - 1].mInstance);
     question.mZone =
         before == nullptr ? mContext.mOptions.mZone : before->mZone;
-    const PathAnswer answer = ChoosePath(question);
+    const PathResult answer = ChoosePath(question);
     if (answer.mPath.empty()) {
       return {};
     }
     SpendPipe(question, answer);
-    for (const PathPart& added : answer.mPath) {
-      question.mAvoid.insert(added.mInstance);
+    for (const PathStage& added : answer.mPath) {
+      question.mExcludedEngines.insert(added.mInstance);
       next.push_back(added);
     }
   }
   return next;
 }
 
-void RelayRequest::SpendPipe(const PathQuestion& aQuestion,
-                             const PathAnswer& aAnswer) {
+void RelayRequest::SpendPipe(const PathQuery& aQuestion,
+                             const PathResult& aAnswer) {
   mContext.PipeOf(mService->mName)
       .Spend(*aQuestion.mProfile,
-             aQuestion.mReadTokens + aQuestion.mAnswerTokens,
-             aAnswer.mCrossings);
+             aQuestion.mPrefillTokens + aQuestion.mAnswerTokens,
+             aAnswer.mZoneCrossings);
 }
 
 void RelayRequest::Repath(LayerPath aPath, MoveReason aWhy) {
@@ -323,10 +325,10 @@
   const LayerPath refused = mAttempt->mPath;
   const LayerPath before = std::move(mAttempt->mPathBefore);
   std::set<std::string> left;
-  for (const PathPart& part : PartsOnlyIn(before, refused)) {
+  for (const PathStage& part : PartsOnlyIn(before, refused)) {
     left.insert(part.mInstance);
   }
-  for (const PathPart& part : PartsOnlyIn(refused, before)) {
+  for (const PathStage& part : PartsOnlyIn(refused, before)) {
     mAttempt->mRefusedParts.insert(part.mInstance);
   }
   SetPath(before);
@@ -348,14 +350,15 @@
     mKey = mContext.mGuard->Add(this);
   }
   std::vector<std::string> instances;
-  for (const PathPart& part : mAttempt->mPath) {
+  for (const PathStage& part : mAttempt->mPath) {
     instances.push_back(part.mInstance);
   }
-  const StreamPatience patience = PatienceOf(
-      ExpectPace(EngineQuestion(), mAttempt->mPath), kTokensPerEvent, Aim());
+  const StreamStallTimeouts patience =
+      StallTimeoutsOf(EstimateTiming(EngineQuestion(), mAttempt->mPath),
+                      kTokensPerEvent, Aim());
   mContext.mGuard->Watch().Begin(
       mKey, std::move(instances), SteadyNow(),
-      {.mFirst = patience.mFirst, .mGap = patience.mGap});
+      {.mFirstEvent = patience.mFirstEvent, .mGap = patience.mGap});
 }
 
 void RelayRequest::CheckSilence() {
--- a/daemons/relay/relay_request.cpp
+++ b/daemons/relay/relay_request.cpp
@@ -364,7 +364,7 @@
   }
   Json::Value path(Json::arrayValue);
   if (mAttempt != nullptr) {
-    for (const PathPart& part : mAttempt->mPath) {
+    for (const PathStage& part : mAttempt->mPath) {
       path.append(part.mAddress + "=" + std::to_string(part.mLayers.mFrom) +
                   "-" + std::to_string(part.mLayers.mTo));
     }
--- a/daemons/relay/relay_request.h
+++ b/daemons/relay/relay_request.h
@@ -89,11 +89,11 @@
   std::set<std::string> SlowParts() const;
   /// The path without its slow parts, or without some; empty: no better one.
   LayerPath WithoutSlow(const std::set<std::string>& aSlow);
-  StreamAim Aim() const;
+  StreamTargets Aim() const;
   /// The path without some instances, the other parts kept; empty: none.
   LayerPath Without(const std::set<std::string>& aInstances);
   /// The same by the engines of a question only.
-  LayerPath WithoutIn(PathQuestion aQuestion,
+  LayerPath WithoutIn(PathQuery aQuestion,
                       const std::set<std::string>& aInstances);
   void Repath(LayerPath aPath, MoveReason aWhy);
   /// The order was answered; 0: it was not.
@@ -107,8 +107,8 @@
   /// Notes that these parts read all tokens so far.
   void BeginReading(const LayerPath& aParts);
   void EndReading();
-  PathQuestion EngineQuestion(SampleReach aReach = SampleReach::kOwnZone) const;
-  void SpendPipe(const PathQuestion& aQuestion, const PathAnswer& aAnswer);
+  PathQuery EngineQuestion(SampleScope aReach = SampleScope::kLocalZone) const;
+  void SpendPipe(const PathQuery& aQuestion, const PathResult& aAnswer);
 
   void Admit();
   /// Whether this router has just started and the request has not waited for
--- a/daemons/relay/relay_router.cpp
+++ b/daemons/relay/relay_router.cpp
@@ -268,7 +268,7 @@
   counters.Set("upstreams_gone", states[3]);
   std::int64_t begun = 0;
   for (const auto& [instance, load] : context.OwnLoads()) {
-    begun += load.mFirsts;
+    begun += load.mFirstStageRequests;
   }
   counters.Set("attempts_told", begun);
   if (context.Table() == nullptr) {
@@ -277,7 +277,7 @@
   double left = 0;
   for (const TrafficService& service :
        context.Table()->Configuration().mServices) {
-    left += context.RetriesOf(service.mName).Left(context.Routers(), now);
+    left += context.RetriesOf(service.mName).Available(context.Routers(), now);
   }
   counters.Set("retries_left", static_cast<std::int64_t>(left));
 }
--- a/daemons/relay/retry_wishes.cpp
+++ b/daemons/relay/retry_wishes.cpp
@@ -32,7 +32,7 @@
 }
 
 void RetryWishes::Ask(const std::string& aService, Wish& aWish) {
-  const bool pooled = mContext.mOptions.mRetries.mPooled > 0;
+  const bool pooled = mContext.mOptions.mRetries.mPooledShare > 0;
   if (!pooled || mLink.Controls().empty()) {
     aWish.mRequests.clear();
     return;
@@ -58,7 +58,7 @@
   wish.mAsking = false;
   wish.mNotBefore = aGranted < aWanted ? SteadyNow() + kAskAgain : 0;
   if (aGranted > 0) {
-    mContext.RetriesOf(aService).Credit(aGranted, SteadyNow());
+    mContext.RetriesOf(aService).AddCredits(aGranted, SteadyNow());
   }
   LogLine(LogLevel::kInfo, "retries_granted")
       .Add("service", aService)
--- a/daemons/relay/stream_guard.cpp
+++ b/daemons/relay/stream_guard.cpp
@@ -59,7 +59,7 @@
     // What came meanwhile has not been read yet: pauses prove nothing.
     return;
   }
-  for (const std::string& instance : mWatch.Suspects(now)) {
+  for (const std::string& instance : mWatch.SuspectInstances(now)) {
     ProbeIfDue(instance, now);
   }
   for (const std::string& instance : mContext.mCrashes.Unsettled(now)) {
@@ -67,7 +67,7 @@
   }
   StepPaces(now);
   std::set<std::string> firsts;
-  for (StreamKey key : mWatch.Silent(kAskAfter, now)) {
+  for (StreamKey key : mWatch.SilentStreams(kAskAfter, now)) {
     const auto it = mStreams.find(key);
     if (it != mStreams.end()) {
       firsts.insert(it->second->FirstInstance());
@@ -83,20 +83,20 @@
 }
 
 void StreamGuard::Progress(StreamKey aKey, Millis aNow) {
-  const std::optional<EventWait> inTime = mWatch.Progress(aKey, aNow);
+  const std::optional<EventWait> inTime = mWatch.OnEvent(aKey, aNow);
   if (inTime.has_value()) {
     mContext.mPaces.RecordOnTime(inTime->mInstances, inTime->mFrom);
   }
 }
 
 void StreamGuard::StepPaces(Millis aNow) {
-  EnginePaces& paces = mContext.mPaces;
-  for (const EventWait& late : mWatch.TakeLate(aNow)) {
+  EngineSlowdowns& paces = mContext.mPaces;
+  for (const EventWait& late : mWatch.TakeLateWaits(aNow)) {
     paces.RecordLate(late.mInstances, late.mFrom, aNow);
   }
   const auto random = [this] { return mContext.Random(); };
   for (const std::string& instance :
-       paces.ToAsk(aNow, mContext.Routers(), random)) {
+       paces.EnginesToPoll(aNow, mContext.Routers(), random)) {
     if (mStates[instance].mCall == nullptr) {
       mContext.mCounters.Add("pace_questions");
       AskState(instance);
@@ -107,28 +107,28 @@
 }
 
 void StreamGuard::JudgePaces(Millis aNow) {
-  for (const PaceChange& change : mContext.mPaces.Judge(aNow)) {
+  for (const SlowdownChange& change : mContext.mPaces.Evaluate(aNow)) {
     mContext.mCounters.Add("paces_judged",
-                           change.mSlow ? "as=\"slow\"" : "as=\"well\"");
+                           change.mIsSlow ? "as=\"slow\"" : "as=\"well\"");
     LogLine(LogLevel::kInfo, "engine_pace")
         .Add("instance", change.mInstance)
-        .Add("slow", change.mSlow)
-        .Add("pace", change.mPace)
+        .Add("slow", change.mIsSlow)
+        .Add("pace", change.mSlowdown)
         .Add("by", NameOf(change.mSource))
         .Add("word_age_ms", static_cast<Json::Int64>(change.mReportAge))
-        .Add("tellers", change.mTellers)
-        .Add("late_streams", change.mLate);
+        .Add("tellers", change.mReporters)
+        .Add("late_streams", change.mLateStreams);
   }
 }
 
 void StreamGuard::LeaveSlow(Millis aNow) {
-  const std::map<std::string, double>& slow = mContext.mPaces.Slow();
+  const std::map<std::string, double>& slow = mContext.mPaces.SlowEngines();
   if (slow.empty()) {
     return;
   }
   int searches = 0;
   // The longest silent has the least time left.
-  for (StreamKey key : mWatch.Through(slow)) {
+  for (StreamKey key : mWatch.StreamsThrough(slow)) {
     const auto it = mStreams.find(key);
     if (it == mStreams.end()) {
       continue;
@@ -169,7 +169,7 @@
   std::erase_if(mLeftBehind, unknown);
   std::erase_if(mProbes, ended);
   std::erase_if(mStates, ended);
-  mContext.mPaces.ForgetAll(unknown);
+  mContext.mPaces.ForgetIf(unknown);
 }
 
 void StreamGuard::MoveOffRestarted() {
@@ -318,7 +318,7 @@
     return;
   }
   const Millis now = SteadyNow();
-  mContext.mPaces.TakeReport(aInstance, aState.mPace, now);
+  mContext.mPaces.OnEngineReport(aInstance, aState.mPace, now);
   JudgePaces(now);
   std::set<std::string> addresses;
   for (const StalledRequest& stalled : aState.mStalled) {
--- a/daemons/relay/stream_guard.h
+++ b/daemons/relay/stream_guard.h
@@ -45,7 +45,7 @@
   /// Begins to watch a stream; the key is valid until Remove.
   StreamKey Add(GuardedStream* aStream);
   void Remove(StreamKey aKey);
-  ProgressWatch& Watch() { return mWatch; }
+  StallDetector& Watch() { return mWatch; }
   /// Moves streams off incarnations that were followed by others. To be called
   /// once all news that came together are taken, and before new streams begin.
   void MoveOffRestarted();
@@ -84,7 +84,7 @@
   };
 
   RelayContext& mContext;
-  ProgressWatch mWatch;
+  StallDetector mWatch;
   std::map<StreamKey, GuardedStream*> mStreams;
   std::map<std::string, Look> mProbes;
   std::map<std::string, Look> mStates;
--- a/daemons/relay/sync_link.cpp
+++ b/daemons/relay/sync_link.cpp
@@ -156,7 +156,7 @@
     question.mKnowsLoads = source.mLoadsNumber;
     LoadShares own = mContext.OwnLoads();
     question.mLoads = LoadTable::Of(own);
-    question.mTellsLoads = mTold.Tell(std::move(own));
+    question.mTellsLoads = mTold.Record(std::move(own));
   }
   const std::int64_t crashes = AddCrashes(source, question);
   const Millis askedAt = source.mAskedAt;
@@ -218,8 +218,9 @@
   // Others tell their work as often as this router, to this control or by way
   // of another: on the whole what is told is one such period old.
   mContext.SetOtherLoads(
-      mTold.OthersIn(mContext.mBadWords.Loads("loads", aAnswer.mPackedLoads),
-                     aAnswer.mSummedLoads),
+      mTold.SubtractReported(
+          mContext.mBadWords.Loads("loads", aAnswer.mPackedLoads),
+          aAnswer.mSummedLoads),
       aAskedAt - aAnswer.mAskEvery - aAnswer.mLoadsAgo);
 }
 
--- a/daemons/relay/sync_link.h
+++ b/daemons/relay/sync_link.h
@@ -63,7 +63,7 @@
   std::map<std::string, Source> mSources;
   std::vector<Endpoint> mControls;
   std::string mNear;  ///< The address that loads are told to.
-  ToldLoads mTold;
+  ReportedLoads mTold;
   std::map<std::string, Millis> mFailedAt;  ///< By address.
   Millis mForgotAt = 0;  ///< When ended upstreams were looked for.
   Millis mNearAt = 0;    ///< When the control at mNear answered last.
--- a/daemons/router/completion.cpp
+++ b/daemons/router/completion.cpp
@@ -133,7 +133,7 @@
     NoChain();
     return;
   }
-  mGate.NextAttempt();
+  mGate.BeginAttempt();
   mReceipt.mAttempts.push_back({.mAttempt = mGate.Attempt(),
                                 .mFirstToken = mGate.Delivered(),
                                 .mStages = mStages});
--- a/daemons/router/completion.h
+++ b/daemons/router/completion.h
@@ -64,7 +64,7 @@
   CompletionBody mBody;
   ModelSpec mModel;
   CompletionReply mReply;
-  TokenGate mGate;
+  TokenFilter mGate;
   Phase mPhase = Phase::kQueued;
   bool mDispatched = false;  ///< Something may have run.
   /// Set once the first event is written.
--- a/daemons/router/completion_chain.cpp
+++ b/daemons/router/completion_chain.cpp
@@ -75,11 +75,11 @@
                  std::to_string(engine.mLast) + ")");
   }
   Json::Value refused(Json::objectValue);
-  refused["model"] = aChoice.mRefused.mOtherModel;
-  refused["unusable"] = aChoice.mRefused.mUnusable;
-  refused["zone"] = aChoice.mRefused.mZone;
-  refused["hardware"] = aChoice.mRefused.mHardware;
-  refused["excluded"] = aChoice.mRefused.mExcluded;
+  refused["model"] = aChoice.mRejected.mOtherModel;
+  refused["unusable"] = aChoice.mRejected.mUnusable;
+  refused["zone"] = aChoice.mRejected.mZone;
+  refused["hardware"] = aChoice.mRejected.mHardware;
+  refused["excluded"] = aChoice.mRejected.mExcluded;
   LogLine(LogLevel::kInfo, "route")
       .Add("request", mRequest.mId)
       .Add("workspace", mRequest.mWorkspace.mName)
--- a/daemons/upstream_watcher.cpp
+++ b/daemons/upstream_watcher.cpp
@@ -41,7 +41,7 @@
                          continue;
                        }
                      }
-                     mView.EndOfList(mLoop.RunningNow());
+                     mView.ListEnded(mLoop.RunningNow());
                    });
 }
 
--- a/include/spindleweir/servers/routing/arrival_rate.h
+++ b/include/spindleweir/servers/routing/arrival_rate.h
@@ -15,10 +15,10 @@
   /// The same without one that arrived at aArrivedAt, the last or an earlier
   /// one. Who asks how much others are asked must not count itself: where
   /// arrivals are rare it would find several times what they are.
-  double PerMilliWithout(Millis aArrivedAt, Millis aNow) const;
+  double PerMilliExcluding(Millis aArrivedAt, Millis aNow) const;
 
  private:
-  double Faded(Millis aNow) const;
+  double DecayedCount(Millis aNow) const;
 
   double mCount = 0;  ///< Arrivals, each by its age, at mCountedAt.
   Millis mCountedAt = 0;
--- a/include/spindleweir/servers/routing/chain_chooser.h
+++ b/include/spindleweir/servers/routing/chain_chooser.h
@@ -44,11 +44,11 @@
   std::function<double()> mRandom;
   /// Costs are blurred by up to this share, so that routers that see the same
   /// do not all choose the same.
-  double mBlur = 0.05;
+  double mCostJitter = 0.05;
 };
 
 /// Why candidates were left out: for the decision line.
-struct ChainRefusals {
+struct ChainRejections {
   int mOtherModel = 0;
   int mUnusable = 0;
   int mZone = 0;
@@ -61,7 +61,7 @@
   std::vector<std::size_t> mStages;  ///< Indices into the candidates, in order.
   double mCostMillis = 0;
   int mConsidered = 0;
-  ChainRefusals mRefused;
+  ChainRejections mRejected;
 
   bool Found() const { return !mStages.empty(); }
 };
--- a/include/spindleweir/servers/routing/engine_pace.h
+++ b/include/spindleweir/servers/routing/engine_pace.h
@@ -17,68 +17,69 @@
 namespace spindleweir {
 
 /// How suspicion is followed and how long a judgement holds.
-struct EnginePaceOptions {
+struct EngineSlowdownOptions {
   /// An engine that takes so many times as long as its model says is slow: the
   /// model itself is off by up to a third under load, and paths of eight parts
   /// bear one part at this pace within the usual pauses.
-  double mSlowFrom = 1.5;
+  double mSlowThreshold = 1.5;
   /// An engine's report, and what others tell of it, holds for so long.
-  Millis mReportHolds = 1500;
+  Millis mReportLifetime = 1500;
   /// A report that is newer goes before what others tell, which is half a
   /// second to a second old; from then on an engine that is judged slow is
   /// asked again.
-  Millis mAskAgain = 700;
+  Millis mRepollDelay = 700;
   /// What others tell is so old, at most.
-  Millis mNewsAge = 1000;
+  Millis mPeerReportAge = 1000;
   /// An engine's report tells how it was so long ago, at most: streams that
   /// blame it since are not contradicted by it.
   Millis mReportLag = 500;
   /// Without a new report a judgement fades over this time: the engine comes
   /// back by few requests first, as its cost falls.
-  Millis mFade = 1000;
+  Millis mFadeDuration = 1000;
   /// An engine that says it is well isn't asked for so long by the same
-  /// router; doubled each time up to mMostQuiet. Load and slow links make
+  /// router; doubled each time up to mMaxPollBackoff. Load and slow links make
   /// streams late for long, and each question is priced like a probe.
-  Millis mQuiet = 240;
-  Millis mMostQuiet = 8000;
+  Millis mPollBackoff = 240;
+  Millis mMaxPollBackoff = 8000;
   /// Questions that a router may ask at once, and gets each second, and gets
   /// for each slow engine that one finds: where one is slow others may be, and
   /// one in three that are asked pays for the search. So false alarms alone are
   /// bounded: 35 routers ask 18 questions a second.
-  double mBurst = 12;
-  double mPerSecond = 0.5;
-  double mFound = 3;
+  double mPollBurst = 12;
+  double mPollsPerSecond = 0.5;
+  double mPollsPerSlowEngine = 3;
   /// Late streams that must blame the same engine, all their other parts being
   /// cleared, before it is judged by streams alone: where it gives no report.
-  int mWitnesses = 3;
-  Millis mBlameHolds = 1000;
+  int mMinBlamingStreams = 3;
+  Millis mBlameLifetime = 1000;
   /// What such a judgement counts as: streams tell who is slow, hardly how.
-  double mBlamedPace = 4;
+  double mBlamedSlowdown = 4;
 };
 
 /// How an engine came to be judged.
-enum class PaceSource {
+enum class SlowdownSource {
   kReport,   ///< It reported so to this router.
-  kNews,     ///< It said so to other routers.
+  kPeers,    ///< It said so to other routers.
   kStreams,  ///< Late streams have it in common.
 };
 
 /// An engine that is judged slow, or well again.
-struct PaceChange {
+struct SlowdownChange {
   std::string mInstance;
-  bool mSlow = false;
-  double mPace = 1;
-  PaceSource mSource = PaceSource::kReport;
+  bool mIsSlow = false;
+  double mSlowdown = 1;
+  SlowdownSource mSource = SlowdownSource::kReport;
   Millis mReportAge = -1;  ///< Of its report here; -1: none.
-  int mTellers = 0;        ///< Other routers that say so.
-  int mLate = 0;           ///< Late streams through it that blamed it.
+  int mReporters = 0;      ///< Other routers that say so.
+  int mLateStreams = 0;    ///< Late streams through it that blamed it.
 };
 
 /// The paces as one router knows them. Decisions only: the time comes with
 /// each call.
-class EnginePaces {
+class EngineSlowdowns {
  public:
-  explicit EnginePaces(EnginePaceOptions aOptions = {}) : mOptions(aOptions) {}
+  explicit EngineSlowdowns(EngineSlowdownOptions aOptions = {})
+      : mOptions(aOptions) {}
 
   /// An event that was waited for from aFrom on came in time by this path.
   void RecordOnTime(std::span<const std::string> aPath, Millis aFrom);
@@ -90,54 +91,57 @@
   /// The engines that this router should ask for a report now. They count as
   /// asked. aRouters: that share the questions to known slow engines.
   /// aRandom: 0 to 1.
-  std::vector<std::string> ToAsk(Millis aNow, int aRouters,
-                                 const std::function<double()>& aRandom);
+  std::vector<std::string> EnginesToPoll(
+      Millis aNow, int aRouters, const std::function<double()>& aRandom);
   /// What an engine said of itself, over 1 being slow.
-  void TakeReport(const std::string& aInstance, double aPace, Millis aNow);
+  void OnEngineReport(const std::string& aInstance, double aSlowdown,
+                      Millis aNow);
   /// What other routers tell now. An engine of which they tell nothing any more
   /// keeps what they told last for as long as a report holds.
-  void TakeNews(const LoadShares& aOthers, Millis aNow);
+  void ApplyPeerReports(const LoadShares& aOthers, Millis aNow);
   /// Adds what this router tells the others.
-  void Tell(LoadShares& aLoads, Millis aNow) const;
+  void AddReports(LoadShares& aLoads, Millis aNow) const;
 
   /// Judges anew; returns what changed. To be called every few dozen
   /// milliseconds, and after reports and news.
-  std::vector<PaceChange> Judge(Millis aNow);
+  std::vector<SlowdownChange> Evaluate(Millis aNow);
   /// Times that an engine takes as long as its model says, as judged; 1: well.
-  double PaceOf(const std::string& aInstance) const;
+  double SlowdownOf(const std::string& aInstance) const;
   /// Grows whenever a judgement changes.
   std::int64_t Revision() const { return mRevision; }
   /// Engines judged slow, with their paces.
-  const std::map<std::string, double>& Slow() const { return mSlow; }
+  const std::map<std::string, double>& SlowEngines() const {
+    return mSlowEngines;
+  }
   /// Nothing known of an instance holds any more.
   void Forget(const std::string& aInstance);
   /// The same of all instances of which aIsGone says so.
-  void ForgetAll(const std::function<bool(const std::string&)>& aIsGone);
+  void ForgetIf(const std::function<bool(const std::string&)>& aIsGone);
   /// Instances of which something is kept.
-  std::size_t Known() const { return mEngines.size(); }
+  std::size_t TrackedEngines() const { return mEngines.size(); }
 
  private:
   /// What is known of one engine.
   struct Engine {
     Millis mClearedFrom =
         -1;  ///< An event waited for from here on was on time.
-    Millis mAskedAt = -1;
+    Millis mPolledAt = -1;
     Millis mReportedAt = -1;
-    double mReportedPace = 1;
-    Millis mQuietUntil = -1;
-    Millis mQuiet = 0;
-    int mSuspicion = 0;  ///< Late streams since it was asked or cleared.
+    double mReportedSlowdown = 1;
+    Millis mNoPollUntil = -1;
+    Millis mPollBackoff = 0;
+    int mLateStreams = 0;  ///< Late streams since it was asked or cleared.
     int mBlames = 0;
     Millis mBlamedFrom = -1;
     Millis mBlamedAt = -1;
-    Millis mWellAt = -1;    ///< Heard to be well again, after it was slow.
-    bool mWasSlow = false;  ///< When it said that it is well.
+    Millis mRecoveredAt = -1;    ///< Heard to be well again, after it was slow.
+    bool mHasRecovered = false;  ///< When it said that it is well.
   };
 
   /// An engine that may be asked; the greatest is asked first.
   struct Suspect {
-    bool mIsSecond = false;  ///< It was asked a moment ago.
-    double mSuspicion = 0;   ///< Late streams, and chance.
+    bool mIsSecondPoll = false;  ///< It was asked a moment ago.
+    double mLateStreams = 0;     ///< Late streams, and chance.
     std::string mInstance;
 
     // clang-tidy 14 takes the default for a null pointer.
@@ -146,10 +150,10 @@
   };
 
   /// What other routers say of one engine.
-  struct News {
-    double mPace = 1;
-    int mTellers = 0;
-    Millis mHeardAt = 0;
+  struct PeerReport {
+    double mSlowdown = 1;
+    int mReporters = 0;
+    Millis mReceivedAt = 0;
   };
 
   /// Whether it says, or others tell, that it is slow.
@@ -157,32 +161,34 @@
                    Millis aNow) const;
   /// Whether streams blame it since the time that its report is about.
   bool IsBlamed(const Engine& aEngine) const;
-  bool HoldsSlowReport(const Engine& aEngine, Millis aNow) const;
+  bool HasSlowReport(const Engine& aEngine, Millis aNow) const;
   /// A pace that fades once it is older than it holds.
-  double Faded(double aPace, Millis aAge, Millis aHolds) const;
-  PaceChange JudgeOne(const std::string& aInstance, const Engine& aEngine,
-                      Millis aNow) const;
-  int TellersOf(const std::string& aInstance) const;
+  double FadedSlowdown(double aSlowdown, Millis aAge, Millis aHolds) const;
+  SlowdownChange EvaluateEngine(const std::string& aInstance,
+                                const Engine& aEngine, Millis aNow) const;
+  int ReportersOf(const std::string& aInstance) const;
   /// Whether an engine known to be slow should be asked again now.
-  bool IsDueAgain(const Engine& aEngine, Millis aNow, int aRouters,
-                  const std::function<double()>& aRandom) const;
-  /// Adds those that the allowance is enough for to aAsked.
-  void AskSuspects(std::vector<Suspect> aSuspects, Millis aNow,
-                   std::vector<std::string>& aAsked);
-  void TakeSlowReport(const std::string& aInstance, double aPace, Millis aNow);
-  void TakeWellReport(const std::string& aInstance, double aPace, Millis aNow);
-  void Refill(Millis aNow);
-
-  EnginePaceOptions mOptions;
+  bool IsRepollDue(const Engine& aEngine, Millis aNow, int aRouters,
+                   const std::function<double()>& aRandom) const;
+  /// Adds those that the allowance is enough for to aPolled.
+  void PollSuspects(std::vector<Suspect> aSuspects, Millis aNow,
+                    std::vector<std::string>& aPolled);
+  void OnSlowReport(const std::string& aInstance, double aSlowdown,
+                    Millis aNow);
+  void OnNormalReport(const std::string& aInstance, double aSlowdown,
+                      Millis aNow);
+  void RefillAllowance(Millis aNow);
+
+  EngineSlowdownOptions mOptions;
   std::map<std::string, Engine> mEngines;
-  std::map<std::string, News> mNews;
-  std::map<std::string, double> mSlow;
-  double mAllowance = 0;
+  std::map<std::string, PeerReport> mPeerReports;
+  std::map<std::string, double> mSlowEngines;
+  double mPollAllowance = 0;
   Millis mRefilledAt = -1;
   std::int64_t mRevision = 0;
 };
 
 /// The source as log lines name it.
-const char* NameOf(PaceSource aSource);
+const char* NameOf(SlowdownSource aSource);
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/routing/engine_sample.h
+++ b/include/spindleweir/servers/routing/engine_sample.h
@@ -17,9 +17,9 @@
 };
 
 /// How far a choice looks.
-enum class SampleReach {
-  kOwnZone,   ///< Enough where the own zone has many engines.
-  kAllZones,  ///< Where no path was found there.
+enum class SampleScope {
+  kLocalZone,  ///< Enough where the own zone has many engines.
+  kAllZones,   ///< Where no path was found there.
 };
 
 /// All engines where they are few. Where the own zone has more than 128, about
@@ -28,7 +28,7 @@
 /// found the same fast path, while a sample has each engine in every tenth
 /// choice only.
 EngineSample SampleEngines(const std::vector<const UpstreamRecord*>& aEngines,
-                           const std::string& aZone, SampleReach aReach,
+                           const std::string& aZone, SampleScope aReach,
                            const std::function<double()>& aRandom);
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/routing/path_choice.h
+++ b/include/spindleweir/servers/routing/path_choice.h
@@ -12,10 +12,10 @@
 namespace spindleweir {
 
 /// What is known of the news that a choice is made by.
-struct ChoiceNews {
+struct ChoiceContext {
   /// Requests that other routers of all zones may have begun since the loads
   /// that are known were true.
-  double mUnseen = 0;
+  double mUnreportedRequests = 0;
   std::int64_t mRevision = 0;  ///< Of the engines and their paces.
   Millis mNow = 0;
 };
@@ -29,22 +29,23 @@
 /// 195 routers with news that is 1 s old, 490 requests a second: the cheapest
 /// for all gets 0.52 of the requests refused, this one none
 /// (spindleweir-bench choice).
-class PathChoice {
+class PathChooser {
  public:
-  PathAnswer Choose(const PathQuestion& aQuestion, const ChoiceNews& aNews);
+  PathResult Choose(const PathQuery& aQuery, const ChoiceContext& aContext);
 
  private:
   /// The paths of one zone, and what they were made from.
   struct ZonePaths {
-    std::vector<SharedPath> mPaths;
+    std::vector<PathShare> mPaths;
     std::int64_t mRevision = -1;
-    Millis mMadeAt = 0;
+    Millis mDividedAt = 0;
   };
 
-  const std::vector<SharedPath>& PathsOf(const PathQuestion& aQuestion,
-                                         const std::string& aZone,
-                                         const ChoiceNews& aNews);
-  PathAnswer Deal(const PathQuestion& aQuestion, const ChoiceNews& aNews);
+  const std::vector<PathShare>& PathsOfZone(const PathQuery& aQuery,
+                                            const std::string& aZone,
+                                            const ChoiceContext& aContext);
+  PathResult DrawByWeight(const PathQuery& aQuery,
+                          const ChoiceContext& aContext);
 
   std::map<std::string, ZonePaths> mZones;
 };
--- a/include/spindleweir/servers/routing/path_pace.h
+++ b/include/spindleweir/servers/routing/path_pace.h
@@ -7,34 +7,35 @@
 namespace spindleweir {
 
 /// Milliseconds by the model.
-struct PathPace {
-  double mFirst = 0;  ///< To the first token.
-  double mToken = 0;  ///< From one token to the next.
+struct PathTiming {
+  double mFirstTokenMillis = 0;  ///< To the first token.
+  double mTokenMillis = 0;       ///< From one token to the next.
 };
 
 /// Parts whose engine the question doesn't list are left out.
-PathPace ExpectPace(const PathQuestion& aQuestion, const LayerPath& aPath);
+PathTiming EstimateTiming(const PathQuery& aQuery, const LayerPath& aPath);
 
 /// What a route wants of a stream.
-struct StreamAim {
-  Millis mFirst = 0;  ///< To the first event; 0: any.
-  Millis mPause = 0;  ///< Between events; 0: any.
+struct StreamTargets {
+  Millis mFirstEvent = 0;  ///< To the first event; 0: any.
+  Millis mPause = 0;       ///< Between events; 0: any.
 };
 
 /// How long an event may be waited for before the path is suspected.
-struct StreamPatience {
-  Millis mFirst = 0;
+struct StreamStallTimeouts {
+  Millis mFirstEvent = 0;
   Millis mGap = 0;
 };
 
 /// aTokens: of one event.
-StreamPatience PatienceOf(const PathPace& aPace, double aTokens,
-                          const StreamAim& aAim);
+StreamStallTimeouts StallTimeoutsOf(const PathTiming& aTiming, double aTokens,
+                                    const StreamTargets& aTargets);
 
 /// Whether a stream should leave a path for one that comes at another pace.
-bool IsWorthMoving(const PathPace& aHeld, const PathPace& aOther);
+bool IsMoveWorthwhile(const PathTiming& aCurrent, const PathTiming& aOther);
 
 /// Whether events of a path come too late, or nearly so.
-bool IsTooSlow(const PathPace& aPace, double aTokens, const StreamAim& aAim);
+bool IsTooSlow(const PathTiming& aTiming, double aTokens,
+               const StreamTargets& aTargets);
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/routing/path_shares.h
+++ b/include/spindleweir/servers/routing/path_shares.h
@@ -11,22 +11,25 @@
 namespace spindleweir {
 
 /// A path with its share of its zone's work.
-struct SharedPath {
+struct PathShare {
   LayerPath mPath;
-  double mPlaces = 0;  ///< Requests that may be on it at a time.
-  double mMillis = 0;  ///< That a usual request is on it.
-  double mSlowed = 1;  ///< Times as long as if all its engines were well.
+  double mMaxRequests = 0;    ///< Requests that may be on it at a time.
+  double mRequestMillis = 0;  ///< That a usual request is on it.
+  double mSlowdown = 1;  ///< Times as long as if all its engines were well.
 
   /// Requests a millisecond.
-  double Rate() const { return mMillis <= 0 ? 0 : mPlaces / mMillis; }
+  double Rate() const {
+    return mRequestMillis <= 0 ? 0 : mMaxRequests / mRequestMillis;
+  }
 };
 
 /// The fastest path first, up to what the engines of it can carry, then the
 /// fastest of what is left. aEngines: those of one zone that may be used.
-/// aPaceOf: times as long as its model says that an engine takes; may be empty.
-std::vector<SharedPath> DividePaths(
+/// aSlowdownOf: times as long as its model says that an engine takes; may be
+/// empty.
+std::vector<PathShare> DividePaths(
     const EngineProfile& aProfile,
     const std::vector<const UpstreamRecord*>& aEngines,
-    const std::function<double(const std::string&)>& aPaceOf = {});
+    const std::function<double(const std::string&)>& aSlowdownOf = {});
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/routing/pipe_allowance.h
+++ b/include/spindleweir/servers/routing/pipe_allowance.h
@@ -8,7 +8,7 @@
 namespace spindleweir {
 
 /// How the pipe is shared.
-struct PipeAllowanceOptions {
+struct InterZoneBudgetOptions {
   /// The part of the pipe that all routers together may fill: near its limit
   /// each token of each request waits for the prompts of others.
   double mShare = 0.7;
@@ -17,9 +17,10 @@
 
 /// Bits that come in with time and go out with requests. A request larger than
 /// what is there is let through while anything is, and the debt is waited out.
-class PipeAllowance {
+class InterZoneBudget {
  public:
-  explicit PipeAllowance(PipeAllowanceOptions aOptions) : mOptions(aOptions) {}
+  explicit InterZoneBudget(InterZoneBudgetOptions aOptions)
+      : mOptions(aOptions) {}
 
   /// Whether a path may go over now; aRouters share the pipe.
   bool Allows(const EngineProfile& aProfile, int aRouters, Millis aNow);
@@ -27,9 +28,9 @@
   void Spend(const EngineProfile& aProfile, double aTokens, int aCrossings);
 
  private:
-  PipeAllowanceOptions mOptions;
+  InterZoneBudgetOptions mOptions;
   double mBits = 0;
-  Millis mFilledAt = -1;
+  Millis mRefilledAt = -1;
 };
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/routing/relative_costs.h
+++ b/include/spindleweir/servers/routing/relative_costs.h
@@ -7,7 +7,7 @@
 /// 1 is an installation where the price counts as a rule; 0: it costs nothing.
 struct RelativeCosts {
   /// Of a byte between availability zones.
-  double mZoneByte = 1;
+  double mInterZoneByte = 1;
 };
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/routing/retry_allowance.h
+++ b/include/spindleweir/servers/routing/retry_allowance.h
@@ -12,7 +12,7 @@
 /// Half of the slack where it is pooled: with less in the pool a loss of one
 /// engine exhausts it, with less divided a router that hears no control has
 /// none.
-inline constexpr double kUsualPooledRetries = 0.5;
+inline constexpr double kDefaultPooledRetries = 0.5;
 
 /// Bounds that hold for all routers together.
 struct RetryAllowanceOptions {
@@ -20,10 +20,10 @@
   Millis mWindow = 10000;
   double mSlack = 200;  ///< Beside the ratio, over all routers.
   /// What is kept back, since windows and routers do not match exactly.
-  double mUsed = 0.7;
+  double mUsableShare = 0.7;
   /// The part of the slack that is not divided: control hands it out to the
   /// routers that need it. A single router has it all.
-  double mPooled = 0;
+  double mPooledShare = 0;
   /// When this process started, steady; -1: longer ago than a window. What the
   /// one before it on this VM spent is not known: until a window has passed, of
   /// the slack only that part is taken which no process takes later.
@@ -37,13 +37,13 @@
       : mOptions(aOptions) {}
 
   void RequestStarted(Millis aNow);
-  /// Takes one where it is allowed; aSharers, at least 1, share the slack.
-  bool TrySpend(double aSharers, Millis aNow);
+  /// Takes one where it is allowed; aRouters, at least 1, share the slack.
+  bool TrySpend(double aRouters, Millis aNow);
   /// What could be taken now.
-  double Left(double aSharers, Millis aNow);
+  double Available(double aRouters, Millis aNow);
   /// Control handed out some more. They were counted there at this moment, so
   /// that those not taken within moments are void.
-  void Credit(int aRetries, Millis aNow);
+  void AddCredits(int aRetries, Millis aNow);
 
  private:
   /// Counts of a tenth of a window.
@@ -53,12 +53,12 @@
     double mRetries = 0;
   };
 
-  Slice& Current(Millis aNow);
+  Slice& CurrentSlice(Millis aNow);
   /// The part of the slack that may be taken.
-  double SlackUsed(Millis aNow) const;
+  double UsableSlackShare(Millis aNow) const;
 
   /// What is left of what control handed out.
-  int Credits(Millis aNow) const;
+  int ValidCredits(Millis aNow) const;
 
   RetryAllowanceOptions mOptions;
   std::deque<Slice> mSlices;
--- a/include/spindleweir/servers/routing/retry_budget.h
+++ b/include/spindleweir/servers/routing/retry_budget.h
@@ -10,9 +10,9 @@
 
 /// How the budget is set up.
 struct RetryBudgetOptions {
-  double mShare = 0.1;    ///< Retries earned by each request.
-  double mMaximum = 100;  ///< Retries that can be saved up.
-  double mStart = 10;     ///< Retries at the start.
+  double mEarnedPerRequest = 0.1;  ///< Retries earned by each request.
+  double mMaxBalance = 100;        ///< Retries that can be saved up.
+  double mInitialBalance = 10;     ///< Retries at the start.
 };
 
 /// Requests earn, retries spend.
@@ -30,8 +30,8 @@
 };
 
 /// How long to wait before attempt aAttempt (from 1): doubled each time from
-/// aFirst to aMost, times a random share between one half and one.
-Millis BackoffDelay(int aAttempt, Millis aFirst, Millis aMost,
+/// aFirst to aMax, times a random share between one half and one.
+Millis BackoffDelay(int aAttempt, Millis aFirst, Millis aMax,
                     const std::function<double()>& aRandom);
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/routing/retry_pool.h
+++ b/include/spindleweir/servers/routing/retry_pool.h
@@ -9,9 +9,9 @@
 namespace spindleweir {
 
 /// The routers that a control process speaks for, of all.
-struct RoutersHere {
-  int mHere = 0;
-  int mAll = 1;
+struct RouterShare {
+  int mLocal = 0;
+  int mTotal = 1;
 };
 
 /// What one control process hands out for one service: its part of the pool, by
@@ -23,11 +23,11 @@
   explicit RetryPool(const RetryAllowanceOptions& aOptions);
 
   /// How many of aWanted a router may send once more now.
-  int Grant(int aWanted, RoutersHere aRouters, Millis aNow);
-  double Left(RoutersHere aRouters, Millis aNow);
+  int Grant(int aWanted, RouterShare aRouters, Millis aNow);
+  double Available(RouterShare aRouters, Millis aNow);
 
  private:
-  RetryAllowance mSpent;
+  RetryAllowance mAllowance;
 };
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/routing/service_choice.h
+++ b/include/spindleweir/servers/routing/service_choice.h
@@ -11,7 +11,7 @@
 namespace spindleweir {
 
 /// What an upstream is chosen by.
-struct ServiceQuestion {
+struct ServiceQuery {
   std::string mZone;  ///< Where the router is.
   std::vector<const UpstreamRecord*> mUpstreams;
   std::set<std::string> mAvoid;  ///< By instance; used where nothing else is.
@@ -23,6 +23,6 @@
 };
 
 /// The instance of the upstream that should take the request; empty: none.
-std::string ChooseUpstream(const ServiceQuestion& aQuestion);
+std::string ChooseUpstream(const ServiceQuery& aQuestion);
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/routing/token_gate.h
+++ b/include/spindleweir/servers/routing/token_gate.h
@@ -34,7 +34,7 @@
 enum class TokenVerdict {
   kDeliver,       ///< Give it to the caller.
   kOtherRequest,  ///< Of another request: the upstream is at fault.
-  kOldAttempt,    ///< Of an attempt that was given up.
+  kStaleAttempt,  ///< Of an attempt that was given up.
   kDuplicate,     ///< An index already delivered.
   kGap,           ///< An index is missing before it.
   kWrongLayers,   ///< Not every layer was run.
@@ -45,25 +45,25 @@
 const char* NameOf(TokenVerdict aVerdict);
 
 /// The gate of one request.
-class TokenGate {
+class TokenFilter {
  public:
-  TokenGate(std::string aRequest, int aLayers)
+  TokenFilter(std::string aRequest, int aLayers)
       : mRequest(std::move(aRequest)), mLayers(aLayers) {}
 
   /// Begins a further attempt; frames of earlier ones are refused from now.
-  int NextAttempt() { return ++mAttempt; }
+  int BeginAttempt() { return ++mAttempt; }
   TokenVerdict Check(const TokenFrame& aFrame);
 
   int Attempt() const { return mAttempt; }
   /// Tokens delivered: the index that comes next.
-  int Delivered() const { return mNext; }
+  int Delivered() const { return mNextIndex; }
   bool Ended() const { return mEnded; }
 
  private:
   std::string mRequest;
   int mLayers;
   int mAttempt = 0;
-  int mNext = 0;
+  int mNextIndex = 0;
   bool mEnded = false;
 };
 
--- a/include/spindleweir/servers/routing/told_loads.h
+++ b/include/spindleweir/servers/routing/told_loads.h
@@ -10,22 +10,22 @@
 namespace spindleweir {
 
 /// Kept by the router; each thing told has a number, from 1.
-class ToldLoads {
+class ReportedLoads {
  public:
   /// Notes what is told now; returns its number.
-  std::int64_t Tell(LoadShares aShares);
+  std::int64_t Record(LoadShares aShares);
   /// A sum without what was told under a number; 0, or one that is not
   /// remembered any more: nothing is taken out.
-  LoadShares OthersIn(LoadShares aSum, std::int64_t aNumber) const;
+  LoadShares SubtractReported(LoadShares aSum, std::int64_t aSequence) const;
 
  private:
-  struct Told {
-    std::int64_t mNumber = 0;
+  struct Entry {
+    std::int64_t mSequence = 0;
     LoadShares mShares;
   };
 
-  std::deque<Told> mTold;  ///< Oldest first.
-  std::int64_t mNext = 1;
+  std::deque<Entry> mEntries;  ///< Oldest first.
+  std::int64_t mNextSequence = 1;
 };
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/routing/upstream_view.h
+++ b/include/spindleweir/servers/routing/upstream_view.h
@@ -37,8 +37,8 @@
   Millis mReportLifetime = 3000;  ///< An older report is no report.
   int mFailuresToEject = 2;
   Millis mEjection = 2000;  ///< Doubled with each ejection in a row.
-  Millis mMaximumEjection = 15000;
-  double mMaximumEjectedShare = 0.5;  ///< Of a zone's upstreams of one kind.
+  Millis mMaxEjection = 15000;
+  double mMaxEjectedShare = 0.5;  ///< Of a zone's upstreams of one kind.
 };
 
 /// The upstreams as one router sees them.
@@ -53,7 +53,7 @@
               Millis aNow);  /// Ends a reading of the platform's list: VMs not
                              /// named in it since the
   /// last call are kept while they report, and dropped else.
-  void EndOfList(Millis aNow);
+  void ListEnded(Millis aNow);
   /// An engine reported.
   void Reported(const EngineReport& aReport, Millis aNow);
   /// The VMs that are leaving by any other word: drain, peers.
@@ -98,7 +98,7 @@
   UpstreamViewOptions mOptions;
   std::map<std::string, Upstream> mUpstreams;
   std::set<std::string> mLeaving;
-  std::set<std::string> mSeenInList;
+  std::set<std::string> mListedSinceEnd;
   std::vector<std::string> mNewlyLeaving;
 };
 
--- a/include/spindleweir/servers/streams/event_reader.h
+++ b/include/spindleweir/servers/streams/event_reader.h
@@ -11,7 +11,7 @@
 namespace spindleweir {
 
 /// One whole event with the empty line that ends it.
-struct RelayedEvent {
+struct ServerSentEvent {
   std::string mBytes;
   std::optional<std::int64_t> mId;
 };
@@ -20,14 +20,14 @@
 class EventReader {
  public:
   /// Takes bytes; returns the events that are complete now.
-  std::vector<RelayedEvent> Take(std::string_view aBytes);
+  std::vector<ServerSentEvent> Append(std::string_view aBytes);
   /// Bytes of an event that is not complete.
-  const std::string& Rest() const { return mRest; }
-  void Clear() { mRest.clear(); }
+  const std::string& Incomplete() const { return mIncomplete; }
+  void Clear() { mIncomplete.clear(); }
 
  private:
-  std::string mRest;
-  std::size_t mSearched = 0;
+  std::string mIncomplete;
+  std::size_t mSearchFrom = 0;
 };
 
 }  // namespace spindleweir
--- a/main/router_main.cpp
+++ b/main/router_main.cpp
@@ -72,12 +72,13 @@
   if (!FLAGS_boot.empty()) {
     RequireSetting(FLAGS_cluster_key, "--cluster_key");
     RequireRange(FLAGS_cost_zone_byte, 0, 1, "--cost_zone_byte");
-    return platform::RunRouter({.mBoot = FLAGS_boot,
-                                .mClusterKey = FLAGS_cluster_key,
-                                .mLogLevel = FLAGS_log_level,
-                                .mCheckOnly = FLAGS_check,
-                                .mMetricsPort = FLAGS_metrics_port,
-                                .mCosts = {.mZoneByte = FLAGS_cost_zone_byte}});
+    return platform::RunRouter(
+        {.mBoot = FLAGS_boot,
+         .mClusterKey = FLAGS_cluster_key,
+         .mLogLevel = FLAGS_log_level,
+         .mCheckOnly = FLAGS_check,
+         .mMetricsPort = FLAGS_metrics_port,
+         .mCosts = {.mInterZoneByte = FLAGS_cost_zone_byte}});
   }
   RouterOptions options = ReadOptions();
   StartLog(FLAGS_log_level, FLAGS_id);
--- a/servers/limits/named_limits.cpp
+++ b/servers/limits/named_limits.cpp
@@ -76,21 +76,23 @@
         known != mLimits.end() && known->second.mNamedAt >= 0;
     const bool namedLately =
         namedHere && aNow - known->second.mNamedAt <= 2 * mOptions.mNewsAge;
-    if (share.mLimitEnds > 0 && !namedLately) {
+    if (share.mLimitEndReporters > 0 && !namedLately) {
       mLimits.erase(instance);
       continue;
     }
     // Those who were told before it ended tell of it for a while.
-    if (share.mLimitTellers > 0 && !namedHere && !mEndedAt.contains(instance)) {
+    if (share.mLimitReporters > 0 && !namedHere &&
+        !mEndedAt.contains(instance)) {
       Know(instance,
            static_cast<double>(share.mLimitThousandths) / kThousandths /
-               static_cast<double>(share.mLimitTellers),
+               static_cast<double>(share.mLimitReporters),
            aNow);
     }
   }
   std::erase_if(mLimits, [&aOthers](const auto& aItem) {
     const auto told = aOthers.find(aItem.first);
-    const bool isTold = told != aOthers.end() && told->second.mLimitTellers > 0;
+    const bool isTold =
+        told != aOthers.end() && told->second.mLimitReporters > 0;
     return aItem.second.mNamedAt < 0 && !isTold;
   });
 }
@@ -99,17 +101,17 @@
   for (const auto& [instance, limit] : mLimits) {
     LoadShare& share = aLoads[instance];
     share.mInstance = instance;
-    share.mWantedThousandths = std::max<std::int64_t>(
+    share.mDemandThousandths = std::max<std::int64_t>(
         1, std::llround(mOptions.mDemandOf(instance).mOwn * kThousandths));
     if (limit.mNamedAt >= 0) {
-      share.mLimitTellers = 1;
+      share.mLimitReporters = 1;
       share.mLimitThousandths = std::llround(limit.mPerSecond * kThousandths);
     }
   }
   for (const auto& [instance, endedAt] : mEndedAt) {
     if (aNow - endedAt <= mOptions.mNewsAge) {
       aLoads[instance].mInstance = instance;
-      aLoads[instance].mLimitEnds = 1;
+      aLoads[instance].mLimitEndReporters = 1;
     }
   }
 }
--- a/servers/membership/ask_schedule.cpp
+++ b/servers/membership/ask_schedule.cpp
@@ -58,8 +58,8 @@
     return least;
   }
   const double factor =
-      std::clamp(kOthersFactor * (1 + aControl.mCosts.mZoneByte), kOthersFactor,
-                 kMostOthersFactor);
+      std::clamp(kOthersFactor * (1 + aControl.mCosts.mInterZoneByte),
+                 kOthersFactor, kMostOthersFactor);
   const auto wanted = static_cast<Millis>(factor * aPeriod);
   return std::max(least, std::min(wanted, kMostOthersPeriod));
 }
--- a/servers/routing/chain_chooser.cpp
+++ b/servers/routing/chain_chooser.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr double kUnreached = std::numeric_limits<double>::infinity();
+constexpr double kInfinity = std::numeric_limits<double>::infinity();
 constexpr std::size_t kNone = std::numeric_limits<std::size_t>::max();
 
 bool Contains(std::span<const std::string> aList, const std::string& aName) {
@@ -17,29 +17,29 @@
 
 /// Counts why a candidate is left out; true where it is not.
 bool Admit(const ChainCandidate& aCandidate, const ChainQuery& aQuery,
-           ChainRefusals& aRefused) {
+           ChainRejections& aRejected) {
   if (aCandidate.mModel != aQuery.mModel ||
       aCandidate.mVersion != aQuery.mVersion ||
       aCandidate.mLast > aQuery.mLayers ||
       aCandidate.mFirst >= aCandidate.mLast) {
-    aRefused.mOtherModel++;
+    aRejected.mOtherModel++;
     return false;
   }
   if (!aCandidate.mUsable) {
-    aRefused.mUnusable++;
+    aRejected.mUnusable++;
     return false;
   }
   if (!Contains(aQuery.mZones, aCandidate.mZone)) {
-    aRefused.mZone++;
+    aRejected.mZone++;
     return false;
   }
   if (!Contains(aQuery.mHardware, aCandidate.mAccelerator)) {
-    aRefused.mHardware++;
+    aRejected.mHardware++;
     return false;
   }
   if (aQuery.mExcluded != nullptr &&
       aQuery.mExcluded->contains(aCandidate.mEngine)) {
-    aRefused.mExcluded++;
+    aRejected.mExcluded++;
     return false;
   }
   return true;
@@ -47,45 +47,45 @@
 
 /// The cheapest way found to have done all layers before a boundary, ending
 /// in one zone.
-struct Arrival {
+struct Node {
   int mLayer = 0;
   std::size_t mZone = 0;
-  double mCost = kUnreached;
-  std::size_t mEngine = kNone;  ///< The last engine of the way.
-  std::size_t mBefore = kNone;  ///< The arrival that it set out from.
+  double mCost = kInfinity;
+  std::size_t mEngine = kNone;    ///< The last engine of the way.
+  std::size_t mPrevious = kNone;  ///< The arrival that it set out from.
 };
 
 /// The search: candidates by ascending first layer, arrivals by boundary.
-class Search {
+class ChainSearch {
  public:
-  Search(std::span<const ChainCandidate> aCandidates, const ChainQuery& aQuery,
-         ChainChoice& aChoice)
+  ChainSearch(std::span<const ChainCandidate> aCandidates,
+              const ChainQuery& aQuery, ChainChoice& aChoice)
       : mCandidates(aCandidates), mQuery(aQuery), mChoice(aChoice) {
     for (std::size_t i = 0; i < aCandidates.size(); i++) {
-      if (Admit(aCandidates[i], aQuery, aChoice.mRefused)) {
-        mOrder.push_back(i);
-        mZoneOf.push_back(ZoneIndex(aCandidates[i].mZone));
+      if (Admit(aCandidates[i], aQuery, aChoice.mRejected)) {
+        mAdmitted.push_back(i);
+        mAdmittedZones.push_back(ZoneIndex(aCandidates[i].mZone));
       }
     }
-    mChoice.mConsidered = static_cast<int>(mOrder.size());
+    mChoice.mConsidered = static_cast<int>(mAdmitted.size());
   }
 
   void Run() {
     ComputeLinks();
-    std::vector<std::size_t> sorted(mOrder.size());
+    std::vector<std::size_t> sorted(mAdmitted.size());
     for (std::size_t i = 0; i < sorted.size(); i++) {
       sorted[i] = i;
     }
     std::sort(sorted.begin(), sorted.end(),
               [this](std::size_t aLeft, std::size_t aRight) {
-                return mCandidates[mOrder[aLeft]].mFirst <
-                       mCandidates[mOrder[aRight]].mFirst;
+                return mCandidates[mAdmitted[aLeft]].mFirst <
+                       mCandidates[mAdmitted[aRight]].mFirst;
               });
-    mAt.assign(static_cast<std::size_t>(mQuery.mLayers) + 1, {});
+    mNodesAt.assign(static_cast<std::size_t>(mQuery.mLayers) + 1, {});
     for (std::size_t i : sorted) {
-      Extend(i);
+      AppendCandidate(i);
     }
-    Finish();
+    CollectStages();
   }
 
  private:
@@ -102,64 +102,65 @@
   void ComputeLinks() {
     for (const std::string& from : mZones) {
       for (const std::string& to : mZones) {
-        mLinks.push_back(mQuery.mLinkMillis(from, to));
+        mLinkMillis.push_back(mQuery.mLinkMillis(from, to));
       }
-      mHome.push_back(mQuery.mLinkMillis(from, mQuery.mHomeZone));
+      mHomeLinkMillis.push_back(mQuery.mLinkMillis(from, mQuery.mHomeZone));
     }
   }
 
   double CostOf(const ChainCandidate& aCandidate) const {
     const double cost = aCandidate.mWaitMillis + aCandidate.mStepMillis -
                         aCandidate.mSavedMillis;
-    return std::max(0.0, cost) * (1 + mQuery.mBlur * mQuery.mRandom());
+    return std::max(0.0, cost) * (1 + mQuery.mCostJitter * mQuery.mRandom());
   }
 
-  void Extend(std::size_t aIndex) {
-    const ChainCandidate& candidate = mCandidates[mOrder[aIndex]];
-    const std::size_t zone = mZoneOf[aIndex];
-    Arrival arrival{.mLayer = candidate.mLast, .mZone = zone};
+  void AppendCandidate(std::size_t aIndex) {
+    const ChainCandidate& candidate = mCandidates[mAdmitted[aIndex]];
+    const std::size_t zone = mAdmittedZones[aIndex];
+    Node arrival{.mLayer = candidate.mLast, .mZone = zone};
     if (candidate.mFirst == 0) {
-      arrival.mCost = mHome[zone];
+      arrival.mCost = mHomeLinkMillis[zone];
     }
-    for (std::size_t before : mAt[static_cast<std::size_t>(candidate.mFirst)]) {
+    for (std::size_t before :
+         mNodesAt[static_cast<std::size_t>(candidate.mFirst)]) {
       const double cost =
-          mArrivals[before].mCost +
-          mLinks[mArrivals[before].mZone * mZones.size() + zone];
+          mNodes[before].mCost +
+          mLinkMillis[mNodes[before].mZone * mZones.size() + zone];
       if (cost < arrival.mCost) {
         arrival.mCost = cost;
-        arrival.mBefore = before;
+        arrival.mPrevious = before;
       }
     }
-    if (arrival.mCost == kUnreached) {
+    if (arrival.mCost == kInfinity) {
       return;
     }
     arrival.mCost += CostOf(candidate);
-    arrival.mEngine = mOrder[aIndex];
-    Keep(arrival);
+    arrival.mEngine = mAdmitted[aIndex];
+    AddNode(arrival);
   }
 
   /// Of two ways to the same boundary and zone only the cheaper is kept.
-  void Keep(const Arrival& aArrival) {
+  void AddNode(const Node& aNode) {
     std::vector<std::size_t>& list =
-        mAt[static_cast<std::size_t>(aArrival.mLayer)];
+        mNodesAt[static_cast<std::size_t>(aNode.mLayer)];
     for (std::size_t index : list) {
-      if (mArrivals[index].mZone == aArrival.mZone) {
-        if (aArrival.mCost < mArrivals[index].mCost) {
-          mArrivals[index] = aArrival;
+      if (mNodes[index].mZone == aNode.mZone) {
+        if (aNode.mCost < mNodes[index].mCost) {
+          mNodes[index] = aNode;
         }
         return;
       }
     }
-    mArrivals.push_back(aArrival);
-    list.push_back(mArrivals.size() - 1);
+    mNodes.push_back(aNode);
+    list.push_back(mNodes.size() - 1);
   }
 
-  void Finish() {
+  void CollectStages() {
     std::size_t best = kNone;
-    double least = kUnreached;
-    for (std::size_t index : mAt.back()) {
+    double least = kInfinity;
+    for (std::size_t index : mNodesAt.back()) {
       const double cost =
-          mArrivals[index].mCost + mHome[mArrivals[index].mZone];
+          mNodes[index].mCost + mHomeLinkMillis[mNodes[index].mZone];
       if (cost < least) {
         least = cost;
         best = index;
@@ -169,8 +170,8 @@
       return;
     }
     mChoice.mCostMillis = least;
-    for (std::size_t at = best; at != kNone; at = mArrivals[at].mBefore) {
-      mChoice.mStages.push_back(mArrivals[at].mEngine);
+    for (std::size_t at = best; at != kNone; at = mNodes[at].mPrevious) {
+      mChoice.mStages.push_back(mNodes[at].mEngine);
     }
     std::reverse(mChoice.mStages.begin(), mChoice.mStages.end());
   }
@@ -178,13 +179,14 @@
   std::span<const ChainCandidate> mCandidates;
   const ChainQuery& mQuery;
   ChainChoice& mChoice;
-  std::vector<std::size_t> mOrder;   ///< Admitted candidates.
-  std::vector<std::size_t> mZoneOf;  ///< Zone of each admitted candidate.
+  std::vector<std::size_t> mAdmitted;  ///< Admitted candidates.
+  std::vector<std::size_t>
+      mAdmittedZones;  ///< Zone of each admitted candidate.
   std::vector<std::string> mZones;
-  std::vector<double> mLinks;
-  std::vector<double> mHome;
-  std::vector<Arrival> mArrivals;
-  std::vector<std::vector<std::size_t>> mAt;  ///< Arrivals by boundary.
+  std::vector<double> mLinkMillis;
+  std::vector<double> mHomeLinkMillis;
+  std::vector<Node> mNodes;
+  std::vector<std::vector<std::size_t>> mNodesAt;  ///< Arrivals by boundary.
 };
 
 }  // namespace
@@ -192,7 +194,7 @@
 ChainChoice ChooseChain(std::span<const ChainCandidate> aCandidates,
                         const ChainQuery& aQuery) {
   ChainChoice choice;
-  Search search(aCandidates, aQuery, choice);
+  ChainSearch search(aCandidates, aQuery, choice);
   search.Run();
   return choice;
 }
--- a/servers/routing/engine_pace.cpp
+++ b/servers/routing/engine_pace.cpp
@@ -8,60 +8,60 @@
 
 namespace {
 
-constexpr double kWell = 1;
+constexpr double kNormal = 1;
 constexpr double kPercent = 100;
 /// A pace that is told is not above this: what an engine says of itself is
 /// read from outside.
-constexpr double kMostPace = 100;
+constexpr double kMaxSlowdown = 100;
 constexpr double kMillisPerSecond = 1000;
 /// Questions in one look, so that what the first find spares others.
-constexpr int kMostAtOnce = 3;
+constexpr int kMaxPollsPerRound = 3;
 /// An engine is not asked twice in this time by one router. Its report tells
 /// how it was at the last question that is 200 ms old: the first question after
 /// a while finds hardly any (411 reports within 150 ms, 13 of 98 engines slow
 /// for 0.7 s: 3), the next one, 240 ms later, does.
-constexpr Millis kAskGap = 240;
+constexpr Millis kMinPollInterval = 240;
 /// For so long a question counts as a first one.
-constexpr Millis kSecondWithin = 1000;
+constexpr Millis kSecondPollWindow = 1000;
 /// The part of the questions that is kept for second ones.
-constexpr double kForSecond = 0.5;
+constexpr double kSecondPollReserve = 0.5;
 /// Chance that an engine known to be slow is asked again in one look, by any
 /// of the routers: looks are 20 ms apart, so that 2.5 questions a second go to
 /// each whatever the number of routers, and it is used again about a second
 /// after it is well.
-constexpr double kAgainChance = 0.05;
+constexpr double kRepollChance = 0.05;
 /// A change of a pace below this part isn't news to those who divide paths.
-constexpr double kSamePace = 0.25;
+constexpr double kMinSlowdownChange = 0.25;
 
 }  // namespace
 
-const char* NameOf(PaceSource aSource) {
+const char* NameOf(SlowdownSource aSource) {
   switch (aSource) {
-    case PaceSource::kReport:
+    case SlowdownSource::kReport:
       return "word";
-    case PaceSource::kNews:
+    case SlowdownSource::kPeers:
       return "news";
-    case PaceSource::kStreams:
+    case SlowdownSource::kStreams:
       return "streams";
   }
   return "";
 }
 
-void EnginePaces::RecordOnTime(std::span<const std::string> aPath,
-                               Millis aFrom) {
+void EngineSlowdowns::RecordOnTime(std::span<const std::string> aPath,
+                                   Millis aFrom) {
   for (const std::string& instance : aPath) {
     Engine& engine = mEngines[instance];
     engine.mClearedFrom = std::max(engine.mClearedFrom, aFrom);
-    engine.mSuspicion = 0;
+    engine.mLateStreams = 0;
     engine.mBlames = 0;
   }
 }
 
-void EnginePaces::RecordLate(std::span<const std::string> aPath, Millis aFrom,
-                             Millis aNow) {
+void EngineSlowdowns::RecordLate(std::span<const std::string> aPath,
+                                 Millis aFrom, Millis aNow) {
   std::vector<Engine*> suspects;
   for (const std::string& instance : aPath) {
-    if (mSlow.contains(instance)) {
+    if (mSlowEngines.contains(instance)) {
       return;
     }
     Engine& engine = mEngines[instance];
@@ -70,289 +70,303 @@
     }
   }
   for (Engine* engine : suspects) {
-    engine->mSuspicion++;
+    engine->mLateStreams++;
   }
   if (suspects.size() != 1) {
     return;
   }
   Engine& blamed = *suspects.front();
   const bool fresh =
-      blamed.mBlames > 0 && aNow - blamed.mBlamedAt < mOptions.mBlameHolds;
+      blamed.mBlames > 0 && aNow - blamed.mBlamedAt < mOptions.mBlameLifetime;
   blamed.mBlames = fresh ? blamed.mBlames + 1 : 1;
   blamed.mBlamedFrom = fresh ? blamed.mBlamedFrom : aFrom;
   blamed.mBlamedAt = aNow;
 }
 
-bool EnginePaces::HoldsSlowReport(const Engine& aEngine, Millis aNow) const {
+bool EngineSlowdowns::HasSlowReport(const Engine& aEngine, Millis aNow) const {
   return aEngine.mReportedAt >= 0 &&
-         aEngine.mReportedPace >= mOptions.mSlowFrom &&
-         aNow - aEngine.mReportedAt < mOptions.mReportHolds;
+         aEngine.mReportedSlowdown >= mOptions.mSlowThreshold &&
+         aNow - aEngine.mReportedAt < mOptions.mReportLifetime;
 }
 
-bool EnginePaces::IsKnownSlow(const std::string& aInstance,
-                              const Engine& aEngine, Millis aNow) const {
-  return HoldsSlowReport(aEngine, aNow) || mNews.contains(aInstance);
+bool EngineSlowdowns::IsKnownSlow(const std::string& aInstance,
+                                  const Engine& aEngine, Millis aNow) const {
+  return HasSlowReport(aEngine, aNow) || mPeerReports.contains(aInstance);
 }
 
-bool EnginePaces::IsBlamed(const Engine& aEngine) const {
-  return aEngine.mBlames >= mOptions.mWitnesses &&
+bool EngineSlowdowns::IsBlamed(const Engine& aEngine) const {
+  return aEngine.mBlames >= mOptions.mMinBlamingStreams &&
          aEngine.mBlamedFrom >= aEngine.mReportedAt - mOptions.mReportLag;
 }
 
-int EnginePaces::TellersOf(const std::string& aInstance) const {
-  const auto it = mNews.find(aInstance);
-  return it == mNews.end() ? 0 : it->second.mTellers;
+int EngineSlowdowns::ReportersOf(const std::string& aInstance) const {
+  const auto it = mPeerReports.find(aInstance);
+  return it == mPeerReports.end() ? 0 : it->second.mReporters;
 }
 
-void EnginePaces::Refill(Millis aNow) {
+void EngineSlowdowns::RefillAllowance(Millis aNow) {
   const double gained = mRefilledAt < 0
-                            ? mOptions.mBurst
-                            : mOptions.mPerSecond / kMillisPerSecond *
+                            ? mOptions.mPollBurst
+                            : mOptions.mPollsPerSecond / kMillisPerSecond *
                                   static_cast<double>(aNow - mRefilledAt);
-  mAllowance = std::min(mOptions.mBurst, mAllowance + gained);
+  mPollAllowance = std::min(mOptions.mPollBurst, mPollAllowance + gained);
   mRefilledAt = aNow;
 }
 
-bool EnginePaces::IsDueAgain(const Engine& aEngine, Millis aNow, int aRouters,
-                             const std::function<double()>& aRandom) const {
+bool EngineSlowdowns::IsRepollDue(
+    const Engine& aEngine, Millis aNow, int aRouters,
+    const std::function<double()>& aRandom) const {
   const bool isNew = aEngine.mReportedAt >= 0 &&
-                     aNow - aEngine.mReportedAt < mOptions.mAskAgain;
-  return !isNew && aRandom() * std::max(1, aRouters) < kAgainChance;
+                     aNow - aEngine.mReportedAt < mOptions.mRepollDelay;
+  return !isNew && aRandom() * std::max(1, aRouters) < kRepollChance;
 }
 
-std::vector<std::string> EnginePaces::ToAsk(
+std::vector<std::string> EngineSlowdowns::EnginesToPoll(
     Millis aNow, int aRouters, const std::function<double()>& aRandom) {
-  Refill(aNow);
+  RefillAllowance(aNow);
   std::vector<std::string> asked;
   std::vector<Suspect> suspects;
   for (auto& [instance, engine] : mEngines) {
-    const bool justAsked =
-        engine.mAskedAt >= 0 && aNow - engine.mAskedAt < kAskGap;
-    if (justAsked) {
+    const bool justPolled =
+        engine.mPolledAt >= 0 && aNow - engine.mPolledAt < kMinPollInterval;
+    if (justPolled) {
       continue;
     }
-    if (mSlow.contains(instance) && IsKnownSlow(instance, engine, aNow)) {
-      if (IsDueAgain(engine, aNow, aRouters, aRandom)) {
-        engine.mAskedAt = aNow;
+    if (mSlowEngines.contains(instance) &&
+        IsKnownSlow(instance, engine, aNow)) {
+      if (IsRepollDue(engine, aNow, aRouters, aRandom)) {
+        engine.mPolledAt = aNow;
         asked.push_back(instance);
       }
       continue;
     }
-    const bool suspected = (engine.mSuspicion > 0 || IsBlamed(engine)) &&
-                           aNow >= engine.mQuietUntil;
+    const bool suspected = (engine.mLateStreams > 0 || IsBlamed(engine)) &&
+                           aNow >= engine.mNoPollUntil;
     if (suspected) {
       // Routers that suspect the same engines begin with different ones.
       const bool second =
-          engine.mAskedAt >= 0 && aNow - engine.mAskedAt <= kSecondWithin;
-      suspects.push_back({second, engine.mSuspicion + aRandom(), instance});
+          engine.mPolledAt >= 0 && aNow - engine.mPolledAt <= kSecondPollWindow;
+      suspects.push_back({second, engine.mLateStreams + aRandom(), instance});
     }
   }
-  AskSuspects(std::move(suspects), aNow, asked);
+  PollSuspects(std::move(suspects), aNow, asked);
   return asked;
 }
 
-void EnginePaces::AskSuspects(std::vector<Suspect> aSuspects, Millis aNow,
-                              std::vector<std::string>& aAsked) {
+void EngineSlowdowns::PollSuspects(std::vector<Suspect> aSuspects, Millis aNow,
+                                   std::vector<std::string>& aPolled) {
   std::sort(aSuspects.rbegin(), aSuspects.rend());
-  int left = kMostAtOnce;
+  int left = kMaxPollsPerRound;
   for (const Suspect& suspect : aSuspects) {
-    const double kept = suspect.mIsSecond ? 0 : mOptions.mBurst * kForSecond;
-    if (mAllowance < 1 + kept || left-- <= 0) {
+    const double kept =
+        suspect.mIsSecondPoll ? 0 : mOptions.mPollBurst * kSecondPollReserve;
+    if (mPollAllowance < 1 + kept || left-- <= 0) {
       break;
     }
-    mAllowance -= 1;
+    mPollAllowance -= 1;
     Engine& engine = mEngines[suspect.mInstance];
-    engine.mAskedAt = aNow;
-    engine.mSuspicion = 0;
-    aAsked.push_back(suspect.mInstance);
+    engine.mPolledAt = aNow;
+    engine.mLateStreams = 0;
+    aPolled.push_back(suspect.mInstance);
   }
 }
 
-void EnginePaces::TakeReport(const std::string& aInstance, double aPace,
-                             Millis aNow) {
-  const double reported = std::clamp(aPace, kWell, kMostPace);
-  if (reported >= mOptions.mSlowFrom) {
-    TakeSlowReport(aInstance, reported, aNow);
+void EngineSlowdowns::OnEngineReport(const std::string& aInstance,
+                                     double aSlowdown, Millis aNow) {
+  const double reported = std::clamp(aSlowdown, kNormal, kMaxSlowdown);
+  if (reported >= mOptions.mSlowThreshold) {
+    OnSlowReport(aInstance, reported, aNow);
   } else {
-    TakeWellReport(aInstance, reported, aNow);
+    OnNormalReport(aInstance, reported, aNow);
   }
 }
 
-void EnginePaces::TakeSlowReport(const std::string& aInstance, double aPace,
-                                 Millis aNow) {
+void EngineSlowdowns::OnSlowReport(const std::string& aInstance,
+                                   double aSlowdown, Millis aNow) {
   Engine& engine = mEngines[aInstance];
   const bool wasKnown = IsKnownSlow(aInstance, engine, aNow);
   const bool second =
-      engine.mReportedAt >= 0 && aNow - engine.mReportedAt <= kSecondWithin;
+      engine.mReportedAt >= 0 && aNow - engine.mReportedAt <= kSecondPollWindow;
   engine.mReportedAt = aNow;
   if (!wasKnown && !second) {
     // It may tell of the time of a question long ago: engines that had been
     // slow were judged so again 7 to 17 s after they were well.
-    engine.mReportedPace = kWell;
-    engine.mSuspicion++;
-    engine.mQuietUntil = aNow;
+    engine.mReportedSlowdown = kNormal;
+    engine.mLateStreams++;
+    engine.mNoPollUntil = aNow;
     return;
   }
-  engine.mReportedPace = aPace;
-  engine.mQuiet = 0;
-  mAllowance =
-      std::min(mOptions.mBurst, mAllowance + (wasKnown ? 0 : mOptions.mFound));
+  engine.mReportedSlowdown = aSlowdown;
+  engine.mPollBackoff = 0;
+  mPollAllowance =
+      std::min(mOptions.mPollBurst,
+               mPollAllowance + (wasKnown ? 0 : mOptions.mPollsPerSlowEngine));
 }
 
-void EnginePaces::TakeWellReport(const std::string& aInstance, double aPace,
-                                 Millis aNow) {
+void EngineSlowdowns::OnNormalReport(const std::string& aInstance,
+                                     double aSlowdown, Millis aNow) {
   Engine& engine = mEngines[aInstance];
   const bool wasSlow =
-      mSlow.contains(aInstance) && IsKnownSlow(aInstance, engine, aNow);
-  const bool reportedWell = engine.mWasSlow &&
-                            engine.mReportedPace < mOptions.mSlowFrom &&
-                            aNow - engine.mReportedAt < mOptions.mReportHolds;
-  engine.mWasSlow = wasSlow || reportedWell;
-  engine.mWellAt = engine.mWasSlow ? aNow : engine.mWellAt;
-  engine.mReportedPace = aPace;
+      mSlowEngines.contains(aInstance) && IsKnownSlow(aInstance, engine, aNow);
+  const bool reportedWell =
+      engine.mHasRecovered &&
+      engine.mReportedSlowdown < mOptions.mSlowThreshold &&
+      aNow - engine.mReportedAt < mOptions.mReportLifetime;
+  engine.mHasRecovered = wasSlow || reportedWell;
+  engine.mRecoveredAt = engine.mHasRecovered ? aNow : engine.mRecoveredAt;
+  engine.mReportedSlowdown = aSlowdown;
   engine.mReportedAt = aNow;
-  mNews.erase(aInstance);
-  engine.mQuiet =
-      std::clamp(engine.mQuiet * 2, mOptions.mQuiet, mOptions.mMostQuiet);
-  engine.mQuietUntil = aNow + engine.mQuiet;
+  mPeerReports.erase(aInstance);
+  engine.mPollBackoff = std::clamp(
+      engine.mPollBackoff * 2, mOptions.mPollBackoff, mOptions.mMaxPollBackoff);
+  engine.mNoPollUntil = aNow + engine.mPollBackoff;
 }
 
-void EnginePaces::TakeNews(const LoadShares& aOthers, Millis aNow) {
+void EngineSlowdowns::ApplyPeerReports(const LoadShares& aOthers, Millis aNow) {
   for (const auto& [instance, share] : aOthers) {
-    if (share.mWellTellers > 0) {
-      mNews.erase(instance);
+    if (share.mRecoveryReporters > 0) {
+      mPeerReports.erase(instance);
       Engine& engine = mEngines[instance];
-      engine.mWellAt = aNow;
-      const bool isNew = aNow - engine.mReportedAt < mOptions.mAskAgain;
-      if (HoldsSlowReport(engine, aNow) && !isNew) {
-        engine.mReportedPace = kWell;
+      engine.mRecoveredAt = aNow;
+      const bool isNew = aNow - engine.mReportedAt < mOptions.mRepollDelay;
+      if (HasSlowReport(engine, aNow) && !isNew) {
+        engine.mReportedSlowdown = kNormal;
       }
       continue;
     }
     const auto known = mEngines.find(instance);
     // Reports of before travel on for a while after one hears that it is well.
-    const bool isOld = known != mEngines.end() && known->second.mWellAt >= 0 &&
-                       aNow - known->second.mWellAt <
-                           mOptions.mReportHolds + mOptions.mNewsAge;
-    if (share.mPaceTellers <= 0 || isOld) {
+    const bool isOld = known != mEngines.end() &&
+                       known->second.mRecoveredAt >= 0 &&
+                       aNow - known->second.mRecoveredAt <
+                           mOptions.mReportLifetime + mOptions.mPeerReportAge;
+    if (share.mSlowdownReporters <= 0 || isOld) {
       continue;
     }
-    const double mean = static_cast<double>(share.mPacePercent) / kPercent /
-                        static_cast<double>(share.mPaceTellers);
-    mNews[instance] = {.mPace = std::clamp(mean, kWell, kMostPace),
-                       .mTellers = static_cast<int>(share.mPaceTellers),
-                       .mHeardAt = aNow};
+    const double mean = static_cast<double>(share.mSlowdownPercent) / kPercent /
+                        static_cast<double>(share.mSlowdownReporters);
+    mPeerReports[instance] = {
+        .mSlowdown = std::clamp(mean, kNormal, kMaxSlowdown),
+        .mReporters = static_cast<int>(share.mSlowdownReporters),
+        .mReceivedAt = aNow};
   }
-  std::erase_if(mNews, [&](const auto& aItem) {
-    return aNow - aItem.second.mHeardAt >
-           mOptions.mReportHolds + mOptions.mFade;
+  std::erase_if(mPeerReports, [&](const auto& aItem) {
+    return aNow - aItem.second.mReceivedAt >
+           mOptions.mReportLifetime + mOptions.mFadeDuration;
   });
 }
 
-void EnginePaces::Tell(LoadShares& aLoads, Millis aNow) const {
+void EngineSlowdowns::AddReports(LoadShares& aLoads, Millis aNow) const {
   for (const auto& [instance, engine] : mEngines) {
     const bool holds = engine.mReportedAt >= 0 &&
-                       aNow - engine.mReportedAt < mOptions.mReportHolds;
-    const bool slow = engine.mReportedPace >= mOptions.mSlowFrom;
-    if (!holds || (!slow && !engine.mWasSlow)) {
+                       aNow - engine.mReportedAt < mOptions.mReportLifetime;
+    const bool slow = engine.mReportedSlowdown >= mOptions.mSlowThreshold;
+    if (!holds || (!slow && !engine.mHasRecovered)) {
       continue;
     }
     LoadShare& share = aLoads[instance];
     share.mInstance = instance;
     if (!slow) {
-      share.mWellTellers = 1;
+      share.mRecoveryReporters = 1;
       continue;
     }
-    share.mPacePercent = std::llround(engine.mReportedPace * kPercent);
-    share.mPaceTellers = 1;
+    share.mSlowdownPercent = std::llround(engine.mReportedSlowdown * kPercent);
+    share.mSlowdownReporters = 1;
   }
 }
 
-double EnginePaces::Faded(double aPace, Millis aAge, Millis aHolds) const {
+double EngineSlowdowns::FadedSlowdown(double aSlowdown, Millis aAge,
+                                      Millis aHolds) const {
   if (aAge <= aHolds) {
-    return aPace;
+    return aSlowdown;
   }
   const double left = 1 - static_cast<double>(aAge - aHolds) /
-                              static_cast<double>(mOptions.mFade);
-  return kWell + (aPace - kWell) * std::max(0.0, left);
+                              static_cast<double>(mOptions.mFadeDuration);
+  return kNormal + (aSlowdown - kNormal) * std::max(0.0, left);
 }
 
-PaceChange EnginePaces::JudgeOne(const std::string& aInstance,
-                                 const Engine& aEngine, Millis aNow) const {
-  PaceChange judged{.mInstance = aInstance, .mLate = aEngine.mBlames};
+SlowdownChange EngineSlowdowns::EvaluateEngine(const std::string& aInstance,
+                                               const Engine& aEngine,
+                                               Millis aNow) const {
+  SlowdownChange judged{.mInstance = aInstance,
+                        .mLateStreams = aEngine.mBlames};
   const Millis reportAge =
       aEngine.mReportedAt < 0 ? -1 : aNow - aEngine.mReportedAt;
   judged.mReportAge = reportAge;
-  const auto news = mNews.find(aInstance);
-  judged.mTellers = TellersOf(aInstance);
+  const auto news = mPeerReports.find(aInstance);
+  judged.mReporters = ReportersOf(aInstance);
   if (reportAge >= 0) {
-    judged.mPace =
-        aEngine.mReportedPace >= mOptions.mSlowFrom
-            ? Faded(aEngine.mReportedPace, reportAge, mOptions.mReportHolds)
-            : kWell;
+    judged.mSlowdown = aEngine.mReportedSlowdown >= mOptions.mSlowThreshold
+                           ? FadedSlowdown(aEngine.mReportedSlowdown, reportAge,
+                                           mOptions.mReportLifetime)
+                           : kNormal;
   }
   // A report newer than what others tell goes before it.
-  const bool isNew = reportAge >= 0 && reportAge < mOptions.mAskAgain;
-  if (!isNew && news != mNews.end()) {
-    const double told = Faded(news->second.mPace, aNow - news->second.mHeardAt,
-                              mOptions.mReportHolds);
-    judged.mSource = told > judged.mPace ? PaceSource::kNews : judged.mSource;
-    judged.mPace = std::max(told, judged.mPace);
+  const bool isNew = reportAge >= 0 && reportAge < mOptions.mRepollDelay;
+  if (!isNew && news != mPeerReports.end()) {
+    const double told =
+        FadedSlowdown(news->second.mSlowdown, aNow - news->second.mReceivedAt,
+                      mOptions.mReportLifetime);
+    judged.mSource =
+        told > judged.mSlowdown ? SlowdownSource::kPeers : judged.mSource;
+    judged.mSlowdown = std::max(told, judged.mSlowdown);
   }
-  if (judged.mPace < mOptions.mSlowFrom && IsBlamed(aEngine)) {
-    judged.mPace = Faded(mOptions.mBlamedPace, aNow - aEngine.mBlamedAt,
-                         mOptions.mBlameHolds);
-    judged.mSource = PaceSource::kStreams;
+  if (judged.mSlowdown < mOptions.mSlowThreshold && IsBlamed(aEngine)) {
+    judged.mSlowdown =
+        FadedSlowdown(mOptions.mBlamedSlowdown, aNow - aEngine.mBlamedAt,
+                      mOptions.mBlameLifetime);
+    judged.mSource = SlowdownSource::kStreams;
   }
-  judged.mSlow = judged.mPace >= mOptions.mSlowFrom;
+  judged.mIsSlow = judged.mSlowdown >= mOptions.mSlowThreshold;
   return judged;
 }
 
-std::vector<PaceChange> EnginePaces::Judge(Millis aNow) {
-  for (const auto& [instance, news] : mNews) {
+std::vector<SlowdownChange> EngineSlowdowns::Evaluate(Millis aNow) {
+  for (const auto& [instance, news] : mPeerReports) {
     mEngines.try_emplace(instance);
   }
-  std::vector<PaceChange> changes;
+  std::vector<SlowdownChange> changes;
   for (auto& [instance, engine] : mEngines) {
     const bool quiet = engine.mReportedAt < 0 && engine.mBlames == 0 &&
-                       !mSlow.contains(instance) && !mNews.contains(instance);
+                       !mSlowEngines.contains(instance) &&
+                       !mPeerReports.contains(instance);
     if (quiet) {
       continue;
     }
-    const PaceChange judged = JudgeOne(instance, engine, aNow);
-    const auto it = mSlow.find(instance);
-    const bool wasSlow = it != mSlow.end();
-    if (wasSlow != judged.mSlow) {
+    const SlowdownChange judged = EvaluateEngine(instance, engine, aNow);
+    const auto it = mSlowEngines.find(instance);
+    const bool wasSlow = it != mSlowEngines.end();
+    if (wasSlow != judged.mIsSlow) {
       changes.push_back(judged);
     }
-    const double before = wasSlow ? it->second : kWell;
-    const double after = judged.mSlow ? judged.mPace : kWell;
-    mRevision += std::abs(after - before) > before * kSamePace ? 1 : 0;
-    if (judged.mSlow) {
-      mSlow[instance] = judged.mPace;
+    const double before = wasSlow ? it->second : kNormal;
+    const double after = judged.mIsSlow ? judged.mSlowdown : kNormal;
+    mRevision += std::abs(after - before) > before * kMinSlowdownChange ? 1 : 0;
+    if (judged.mIsSlow) {
+      mSlowEngines[instance] = judged.mSlowdown;
       continue;
     }
     if (wasSlow) {
-      mSlow.erase(it);
+      mSlowEngines.erase(it);
       engine.mBlames = 0;
-      engine.mSuspicion = 0;
+      engine.mLateStreams = 0;
     }
   }
   return changes;
 }
 
-double EnginePaces::PaceOf(const std::string& aInstance) const {
-  const auto it = mSlow.find(aInstance);
-  return it == mSlow.end() ? kWell : it->second;
+double EngineSlowdowns::SlowdownOf(const std::string& aInstance) const {
+  const auto it = mSlowEngines.find(aInstance);
+  return it == mSlowEngines.end() ? kNormal : it->second;
 }
 
-void EnginePaces::Forget(const std::string& aInstance) {
+void EngineSlowdowns::Forget(const std::string& aInstance) {
   mEngines.erase(aInstance);
-  mNews.erase(aInstance);
-  mRevision += mSlow.erase(aInstance) > 0 ? 1 : 0;
+  mPeerReports.erase(aInstance);
+  mRevision += mSlowEngines.erase(aInstance) > 0 ? 1 : 0;
 }
 
-void EnginePaces::ForgetAll(
+void EngineSlowdowns::ForgetIf(
     const std::function<bool(const std::string&)>& aIsGone) {
   std::vector<std::string> gone;
   for (const auto& [instance, engine] : mEngines) {
--- a/servers/routing/engine_sample.cpp
+++ b/servers/routing/engine_sample.cpp
@@ -8,70 +8,70 @@
 namespace {
 
 /// A zone with more engines is looked at by samples.
-constexpr std::size_t kMany = 128;
+constexpr std::size_t kMaxUnsampled = 128;
 /// Engines of a sample that hold each layer, where so many do. With 8 a path
 /// of ten parts has a choice at each of them, and some 90 engines are drawn.
-constexpr std::size_t kHolders = 8;
+constexpr std::size_t kEnginesPerLayer = 8;
 /// The same of all other zones together, where they are needed.
-constexpr std::size_t kHoldersElsewhere = 4;
+constexpr std::size_t kRemoteEnginesPerLayer = 4;
 
 using Engines = std::vector<const UpstreamRecord*>;
 using RandomHook = std::function<double()>;
 
 /// Draws engines layer by layer, so that no layer is missed that is held: of
 /// 96 engines drawn from 600 at large, every third sample had no whole path.
-class Drawing {
+class LayerSampler {
  public:
-  Drawing(const Engines& aEngines, const RandomHook& aRandom)
+  LayerSampler(const Engines& aEngines, const RandomHook& aRandom)
       : mRandom(aRandom) {
     for (const UpstreamRecord* engine : aEngines) {
       const auto end =
           static_cast<std::size_t>(std::max(0, engine->mLayers.mTo));
-      if (mHolders.size() < end) {
-        mHolders.resize(end);
+      if (mEnginesByLayer.size() < end) {
+        mEnginesByLayer.resize(end);
       }
       for (std::size_t i = static_cast<std::size_t>(engine->mLayers.mFrom);
            i < end; i++) {
-        mHolders[i].push_back(engine);
+        mEnginesByLayer[i].push_back(engine);
       }
     }
   }
 
-  Engines Draw(std::size_t aHolders) {
-    for (Engines& holders : mHolders) {
-      DrawOf(holders, aHolders);
+  Engines Draw(std::size_t aEngines) {
+    for (Engines& holders : mEnginesByLayer) {
+      DrawLayer(holders, aEngines);
     }
     return std::move(mDrawn);
   }
 
  private:
-  void DrawOf(Engines& aHolders, std::size_t aCount) {
+  void DrawLayer(Engines& aEngines, std::size_t aCount) {
     auto have = static_cast<std::size_t>(std::count_if(
-        aHolders.begin(), aHolders.end(), [this](const UpstreamRecord* aOne) {
-          return mIsDrawn.contains(aOne);
+        aEngines.begin(), aEngines.end(), [this](const UpstreamRecord* aOne) {
+          return mDrawnSet.contains(aOne);
         }));
-    for (std::size_t i = 0; i < aHolders.size() && have < aCount; i++) {
-      const double rest = static_cast<double>(aHolders.size() - i);
+    for (std::size_t i = 0; i < aEngines.size() && have < aCount; i++) {
+      const double rest = static_cast<double>(aEngines.size() - i);
       const auto step = static_cast<std::size_t>(mRandom() * rest);
-      std::swap(aHolders[i], aHolders[std::min(i + step, aHolders.size() - 1)]);
-      if (mIsDrawn.insert(aHolders[i]).second) {
-        mDrawn.push_back(aHolders[i]);
+      std::swap(aEngines[i], aEngines[std::min(i + step, aEngines.size() - 1)]);
+      if (mDrawnSet.insert(aEngines[i]).second) {
+        mDrawn.push_back(aEngines[i]);
         have++;
       }
     }
   }
 
   const RandomHook& mRandom;
-  std::vector<Engines> mHolders;  ///< By layer.
+  std::vector<Engines> mEnginesByLayer;  ///< By layer.
   Engines mDrawn;
-  std::unordered_set<const UpstreamRecord*> mIsDrawn;
+  std::unordered_set<const UpstreamRecord*> mDrawnSet;
 };
 
 }  // namespace
 
 EngineSample SampleEngines(const Engines& aEngines, const std::string& aZone,
-                           SampleReach aReach, const RandomHook& aRandom) {
-  if (aEngines.size() <= kMany) {
+                           SampleScope aReach, const RandomHook& aRandom) {
+  if (aEngines.size() <= kMaxUnsampled) {
     return {.mEngines = aEngines};
   }
   Engines own;
@@ -79,23 +79,23 @@
   for (const UpstreamRecord* engine : aEngines) {
     (engine->mZone == aZone ? own : others).push_back(engine);
   }
-  const bool many = own.size() > kMany;
-  const bool manyOthers = others.size() > 2 * kMany;
+  const bool many = own.size() > kMaxUnsampled;
+  const bool manyOthers = others.size() > 2 * kMaxUnsampled;
   if (!many && !manyOthers) {
     return {.mEngines = aEngines};
   }
   EngineSample sample;
   if (many) {
     const auto all = static_cast<double>(own.size());
-    own = Drawing(own, aRandom).Draw(kHolders);
+    own = LayerSampler(own, aRandom).Draw(kEnginesPerLayer);
     sample.mShare = static_cast<double>(own.size()) / all;
   }
   sample.mEngines = std::move(own);
-  if (many && aReach == SampleReach::kOwnZone) {
+  if (many && aReach == SampleScope::kLocalZone) {
     return sample;
   }
   if (manyOthers) {
-    others = Drawing(others, aRandom).Draw(kHoldersElsewhere);
+    others = LayerSampler(others, aRandom).Draw(kRemoteEnginesPerLayer);
   }
   sample.mEngines.insert(sample.mEngines.end(), others.begin(), others.end());
   return sample;
--- a/servers/routing/load_book.cpp
+++ b/servers/routing/load_book.cpp
@@ -46,23 +46,24 @@
 void LoadShare::Add(const LoadShare& aOther, int aSign) {
   mRequests += aSign * aOther.mRequests;
   mTokenLayers += aSign * aOther.mTokenLayers;
-  mFirsts += aSign * aOther.mFirsts;
-  mReadTokenLayers += aSign * aOther.mReadTokenLayers;
-  mUnreachable += aSign * aOther.mUnreachable;
-  mPaceTellers += aSign * aOther.mPaceTellers;
-  mPacePercent += aSign * aOther.mPacePercent;
-  mWellTellers += aSign * aOther.mWellTellers;
-  mLimitTellers += aSign * aOther.mLimitTellers;
+  mFirstStageRequests += aSign * aOther.mFirstStageRequests;
+  mPrefillTokenLayers += aSign * aOther.mPrefillTokenLayers;
+  mUnreachableReporters += aSign * aOther.mUnreachableReporters;
+  mSlowdownReporters += aSign * aOther.mSlowdownReporters;
+  mSlowdownPercent += aSign * aOther.mSlowdownPercent;
+  mRecoveryReporters += aSign * aOther.mRecoveryReporters;
+  mLimitReporters += aSign * aOther.mLimitReporters;
   mLimitThousandths += aSign * aOther.mLimitThousandths;
-  mLimitEnds += aSign * aOther.mLimitEnds;
-  mWantedThousandths += aSign * aOther.mWantedThousandths;
+  mLimitEndReporters += aSign * aOther.mLimitEndReporters;
+  mDemandThousandths += aSign * aOther.mDemandThousandths;
 }
 
 bool LoadShare::Empty() const {
-  return mRequests == 0 && mTokenLayers == 0 && mFirsts == 0 &&
-         mReadTokenLayers == 0 && mUnreachable == 0 && mPaceTellers == 0 &&
-         mWellTellers == 0 && mLimitTellers == 0 && mLimitEnds == 0 &&
-         mWantedThousandths == 0;
+  return mRequests == 0 && mTokenLayers == 0 && mFirstStageRequests == 0 &&
+         mPrefillTokenLayers == 0 && mUnreachableReporters == 0 &&
+         mSlowdownReporters == 0 && mRecoveryReporters == 0 &&
+         mLimitReporters == 0 && mLimitEndReporters == 0 &&
+         mDemandThousandths == 0;
 }
 
 LoadTable LoadTable::Of(const LoadShares& aShares) {
@@ -74,53 +75,56 @@
     table.mInstances.push_back(instance);
     table.mRequests.push_back(share.mRequests);
     table.mTokenLayers.push_back(share.mTokenLayers);
-    table.mFirsts.push_back(share.mFirsts);
-    table.mReadTokenLayers.push_back(share.mReadTokenLayers);
-    table.mUnreachable.push_back(share.mUnreachable);
-    table.mPaceTellers.push_back(share.mPaceTellers);
-    table.mPacePercent.push_back(share.mPacePercent);
-    table.mWellTellers.push_back(share.mWellTellers);
-    table.mLimitTellers.push_back(share.mLimitTellers);
+    table.mFirstStageRequests.push_back(share.mFirstStageRequests);
+    table.mPrefillTokenLayers.push_back(share.mPrefillTokenLayers);
+    table.mUnreachableReporters.push_back(share.mUnreachableReporters);
+    table.mSlowdownReporters.push_back(share.mSlowdownReporters);
+    table.mSlowdownPercent.push_back(share.mSlowdownPercent);
+    table.mRecoveryReporters.push_back(share.mRecoveryReporters);
+    table.mLimitReporters.push_back(share.mLimitReporters);
     table.mLimitThousandths.push_back(share.mLimitThousandths);
-    table.mLimitEnds.push_back(share.mLimitEnds);
-    table.mWantedThousandths.push_back(share.mWantedThousandths);
+    table.mLimitEndReporters.push_back(share.mLimitEndReporters);
+    table.mDemandThousandths.push_back(share.mDemandThousandths);
   }
   for (Column* column :
-       {&table.mRequests, &table.mTokenLayers, &table.mFirsts,
-        &table.mReadTokenLayers, &table.mUnreachable, &table.mPaceTellers,
-        &table.mPacePercent, &table.mWellTellers, &table.mLimitTellers,
-        &table.mLimitThousandths, &table.mLimitEnds,
-        &table.mWantedThousandths}) {
+       {&table.mRequests, &table.mTokenLayers, &table.mFirstStageRequests,
+        &table.mPrefillTokenLayers, &table.mUnreachableReporters,
+        &table.mSlowdownReporters, &table.mSlowdownPercent,
+        &table.mRecoveryReporters, &table.mLimitReporters,
+        &table.mLimitThousandths, &table.mLimitEndReporters,
+        &table.mDemandThousandths}) {
     DropZeros(*column);
   }
   return table;
 }
 
-LoadShares LoadTable::Shares() const {
+LoadShares LoadTable::ToShares() const {
   const std::size_t n = mInstances.size();
   for (const Column* column :
-       {&mRequests, &mTokenLayers, &mFirsts, &mReadTokenLayers, &mUnreachable,
-        &mPaceTellers, &mPacePercent, &mWellTellers, &mLimitTellers,
-        &mLimitThousandths, &mLimitEnds, &mWantedThousandths}) {
+       {&mRequests, &mTokenLayers, &mFirstStageRequests, &mPrefillTokenLayers,
+        &mUnreachableReporters, &mSlowdownReporters, &mSlowdownPercent,
+        &mRecoveryReporters, &mLimitReporters, &mLimitThousandths,
+        &mLimitEndReporters, &mDemandThousandths}) {
     if (!column->empty() && column->size() != n) {
       throw Error(ResultCode::kBadField, "columns of loads differ in length");
     }
   }
   LoadShares shares;
   for (std::size_t i = 0; i < n; i++) {
-    shares[mInstances[i]] = {.mInstance = mInstances[i],
-                             .mRequests = At(mRequests, i),
-                             .mTokenLayers = At(mTokenLayers, i),
-                             .mFirsts = At(mFirsts, i),
-                             .mReadTokenLayers = At(mReadTokenLayers, i),
-                             .mUnreachable = At(mUnreachable, i),
-                             .mPaceTellers = At(mPaceTellers, i),
-                             .mPacePercent = At(mPacePercent, i),
-                             .mWellTellers = At(mWellTellers, i),
-                             .mLimitTellers = At(mLimitTellers, i),
-                             .mLimitThousandths = At(mLimitThousandths, i),
-                             .mLimitEnds = At(mLimitEnds, i),
-                             .mWantedThousandths = At(mWantedThousandths, i)};
+    shares[mInstances[i]] = {
+        .mInstance = mInstances[i],
+        .mRequests = At(mRequests, i),
+        .mTokenLayers = At(mTokenLayers, i),
+        .mFirstStageRequests = At(mFirstStageRequests, i),
+        .mPrefillTokenLayers = At(mPrefillTokenLayers, i),
+        .mUnreachableReporters = At(mUnreachableReporters, i),
+        .mSlowdownReporters = At(mSlowdownReporters, i),
+        .mSlowdownPercent = At(mSlowdownPercent, i),
+        .mRecoveryReporters = At(mRecoveryReporters, i),
+        .mLimitReporters = At(mLimitReporters, i),
+        .mLimitThousandths = At(mLimitThousandths, i),
+        .mLimitEndReporters = At(mLimitEndReporters, i),
+        .mDemandThousandths = At(mDemandThousandths, i)};
   }
   return shares;
 }
@@ -136,58 +140,61 @@
   }
   const std::string text = Unpack(aPacked, kMostUnpacked);
   if (aOnBad) {
-    return ReadLoadTable(ParseJson(text), aOnBad).Shares();
+    return ReadLoadTable(ParseJson(text), aOnBad).ToShares();
   }
-  return FromJson<LoadTable>(ParseJson(text)).Shares();
+  return FromJson<LoadTable>(ParseJson(text)).ToShares();
 }
 
-void LoadBook::Tell(const std::string& aProcess, std::int64_t aNumber,
-                    LoadShares aShares, Millis aNow) {
-  Teller& teller = mRouters[RouterOf(aProcess)];
+void LoadAggregator::OnRouterReport(const std::string& aProcess,
+                                    std::int64_t aSequence, LoadShares aShares,
+                                    Millis aNow) {
+  Report& teller = mRouters[RouterOf(aProcess)];
   teller.mProcess = aProcess;
-  teller.mNumber = aNumber;
+  teller.mSequence = aSequence;
   teller.mShares = std::move(aShares);
-  teller.mToldAt = aNow;
+  teller.mReceivedAt = aNow;
 }
 
-void LoadBook::TellOfControl(const std::string& aControl, LoadShares aShares,
-                             int aRouters, Millis aNow) {
-  Teller& teller = mControls[aControl];
+void LoadAggregator::OnControlReport(const std::string& aControl,
+                                     LoadShares aShares, int aRouters,
+                                     Millis aNow) {
+  Report& teller = mControls[aControl];
   teller.mShares = std::move(aShares);
-  teller.mToldAt = aNow;
-  mCounts[aControl] = {.mRouters = aRouters, .mToldAt = aNow};
+  teller.mReceivedAt = aNow;
+  mRouterCounts[aControl] = {.mRouters = aRouters, .mReceivedAt = aNow};
 }
 
-void LoadBook::HearOfControl(const std::string& aControl, int aRouters,
-                             Millis aNow) {
-  mControls[aControl].mToldAt = aNow;
-  mCounts[aControl] = {.mRouters = aRouters, .mToldAt = aNow};
+void LoadAggregator::OnControlUnchanged(const std::string& aControl,
+                                        int aRouters, Millis aNow) {
+  mControls[aControl].mReceivedAt = aNow;
+  mRouterCounts[aControl] = {.mRouters = aRouters, .mReceivedAt = aNow};
 }
 
-bool LoadBook::IsOld(Millis aMadeAt, std::size_t aRows, int aRowsEachMilli,
-                     Millis aNow) const {
-  const Millis byRows = static_cast<Millis>(aRows) / aRowsEachMilli;
-  return aMadeAt < 0 || aNow - aMadeAt >= std::max(mOptions.mSumEvery, byRows);
+bool LoadAggregator::IsStale(Millis aMadeAt, std::size_t aRows,
+                             int aRowsPerMilli, Millis aNow) const {
+  const Millis byRows = static_cast<Millis>(aRows) / aRowsPerMilli;
+  return aMadeAt < 0 ||
+         aNow - aMadeAt >= std::max(mOptions.mSumInterval, byRows);
 }
 
-void LoadBook::Forget(Millis aNow) {
-  std::erase_if(mCounts, [&](const auto& aItem) {
-    return aNow - aItem.second.mToldAt > mOptions.mRoutersKept;
+void LoadAggregator::DropExpired(Millis aNow) {
+  std::erase_if(mRouterCounts, [&](const auto& aItem) {
+    return aNow - aItem.second.mReceivedAt > mOptions.mRouterCountRetention;
   });
   for (auto* tellers : {&mRouters, &mControls}) {
     const std::size_t gone = std::erase_if(*tellers, [&](const auto& aItem) {
-      return aNow - aItem.second.mToldAt > mOptions.mKept;
+      return aNow - aItem.second.mReceivedAt > mOptions.mReportRetention;
     });
     if (gone > 0) {
       mSummedAt = -1;
-      mPackedOwn.mMadeAt = -1;
+      mPackedLocal.mBuiltAt = -1;
     }
   }
 }
 
-void LoadBook::SumUp(Millis aNow) {
-  Forget(aNow);
-  if (!IsOld(mSummedAt, mSum.size(), mOptions.mRowsEachMilli, aNow)) {
+void LoadAggregator::UpdateSum(Millis aNow) {
+  DropExpired(aNow);
+  if (!IsStale(mSummedAt, mSum.size(), mOptions.mRowsPerMilli, aNow)) {
     return;
   }
   mSummedAt = aNow;
@@ -195,21 +202,22 @@
   for (auto* tellers : {&mRouters, &mControls}) {
     for (auto& [name, teller] : *tellers) {
       AddAll(mSum, teller.mShares);
-      teller.mSummed = teller.mNumber;
+      teller.mIncluded = teller.mSequence;
     }
   }
 }
 
-const PackedLoads& LoadBook::PackedSum(const std::string& aZone,
-                                       const ZoneHook& aZoneOf, Millis aNow) {
-  SumUp(aNow);
-  const bool whole = mSum.size() <= mOptions.mWholeRows;
+const PackedLoads& LoadAggregator::PackedSum(const std::string& aZone,
+                                             const ZoneHook& aZoneOf,
+                                             Millis aNow) {
+  UpdateSum(aNow);
+  const bool whole = mSum.size() <= mOptions.mMaxUnfilteredRows;
   PackedLoads& packed = mPackedSums[whole ? "" : aZone];
-  if (packed.mMadeAt == mSummedAt) {
+  if (packed.mBuiltAt == mSummedAt) {
     return packed;
   }
-  packed.mMadeAt = mSummedAt;
-  packed.mNumber = ++mPackedNumber;
+  packed.mBuiltAt = mSummedAt;
+  packed.mSequence = ++mPackedSequence;
   if (whole) {
     packed.mText = PackLoads(mSum);
     return packed;
@@ -224,44 +232,46 @@
   return packed;
 }
 
-std::int64_t LoadBook::SummedOf(const std::string& aProcess) const {
+std::int64_t LoadAggregator::IncludedSequence(
+    const std::string& aProcess) const {
   const auto it = mRouters.find(RouterOf(aProcess));
   const bool told = it != mRouters.end() && it->second.mProcess == aProcess;
-  return told ? it->second.mSummed : 0;
+  return told ? it->second.mIncluded : 0;
 }
 
-const PackedLoads& LoadBook::PackedOwn(Millis aNow) {
-  Forget(aNow);
-  if (IsOld(mPackedOwn.mMadeAt, mOwnRows, mOptions.mOwnRowsEachMilli, aNow)) {
+const PackedLoads& LoadAggregator::PackedLocal(Millis aNow) {
+  DropExpired(aNow);
+  if (IsStale(mPackedLocal.mBuiltAt, mLocalRows, mOptions.mLocalRowsPerMilli,
+              aNow)) {
     LoadShares own;
     for (const auto& [process, teller] : mRouters) {
       AddAll(own, teller.mShares);
     }
-    mOwnRows = own.size();
-    mPackedOwn = {PackLoads(own), mPackedOwn.mNumber + 1, aNow};
+    mLocalRows = own.size();
+    mPackedLocal = {PackLoads(own), mPackedLocal.mSequence + 1, aNow};
   }
-  return mPackedOwn;
+  return mPackedLocal;
 }
 
-int LoadBook::OwnRouters(Millis aNow) {
-  Forget(aNow);
+int LoadAggregator::LocalRouters(Millis aNow) {
+  DropExpired(aNow);
   return static_cast<int>(mRouters.size());
 }
 
-int LoadBook::AllRouters(Millis aNow) {
-  int n = OwnRouters(aNow);
-  for (const auto& [control, count] : mCounts) {
+int LoadAggregator::AllRouters(Millis aNow) {
+  int n = LocalRouters(aNow);
+  for (const auto& [control, count] : mRouterCounts) {
     n += count.mRouters;
   }
   return n;
 }
 
-std::set<std::string> LoadBook::Unreachable(std::int64_t aWitnesses,
-                                            Millis aNow) {
-  SumUp(aNow);
+std::set<std::string> LoadAggregator::UnreachableUpstreams(
+    std::int64_t aWitnesses, Millis aNow) {
+  UpdateSum(aNow);
   std::set<std::string> lost;
   for (const auto& [instance, sum] : mSum) {
-    if (sum.mUnreachable >= aWitnesses) {
+    if (sum.mUnreachableReporters >= aWitnesses) {
       lost.insert(instance);
     }
   }
--- a/servers/routing/load_check.cpp
+++ b/servers/routing/load_check.cpp
@@ -65,13 +65,13 @@
 /// Keeps some rows of each column.
 class RowCut {
  public:
-  explicit RowCut(const std::vector<bool>& aKept) : mKept(aKept) {}
+  explicit RowCut(const std::vector<bool>& aKept) : mReportRetention(aKept) {}
 
   template <class T>
   void Sparse(const char*, std::vector<T>& aColumn) {
     std::vector<T> kept;
     for (std::size_t i = 0; i < aColumn.size(); i++) {
-      if (mKept[i]) {
+      if (mReportRetention[i]) {
         kept.push_back(std::move(aColumn[i]));
       }
     }
@@ -79,7 +79,7 @@
   }
 
  private:
-  const std::vector<bool>& mKept;
+  const std::vector<bool>& mReportRetention;
 };
 
 }  // namespace
--- a/servers/routing/path_choice.cpp
+++ b/servers/routing/path_choice.cpp
@@ -10,39 +10,39 @@
 
 /// The part of the places left on the cheapest path that may be taken before
 /// the others hear of it: the rest is for what the loads do not show.
-constexpr double kTakenUnseen = 0.5;
+constexpr double kUnreportedFill = 0.5;
 /// Paths are divided anew at most this often: in a release each engine's
 /// change would do it.
-constexpr Millis kDivideEvery = 300;
+constexpr Millis kDivideInterval = 300;
 
 /// A path that takes so many times as long as with sound engines is not dealt
 /// where others are: its requests are late, or near it.
-constexpr double kSlowed = 1.5;
+constexpr double kSlowPathFactor = 1.5;
 
 /// A path with what it has left for this request.
-struct Offer {
-  const SharedPath* mShare = nullptr;
-  double mPlaces = 0;  ///< Requests that may still come.
-  double mWeight = 0;  ///< Requests a millisecond.
+struct Candidate {
+  const PathShare* mShare = nullptr;
+  double mMaxRequests = 0;  ///< Requests that may still come.
+  double mWeight = 0;       ///< Requests a millisecond.
 };
 
 /// What a path offers by the loads that are known; nothing where it is full.
-Offer OfferOf(const PathQuestion& aQuestion, const SharedPath& aShare) {
+Candidate CandidateOf(const PathQuery& aQuery, const PathShare& aShare) {
   const bool avoided =
-      aQuestion.mNotFirst.contains(aShare.mPath.front().mInstance) ||
+      aQuery.mExcludedFirstStages.contains(aShare.mPath.front().mInstance) ||
       std::any_of(aShare.mPath.begin(), aShare.mPath.end(),
-                  [&aQuestion](const PathPart& aPart) {
-                    return aQuestion.mAvoid.contains(aPart.mInstance);
+                  [&aQuery](const PathStage& aPart) {
+                    return aQuery.mExcludedEngines.contains(aPart.mInstance);
                   });
-  Offer offer{.mShare = &aShare};
+  Candidate offer{.mShare = &aShare};
   if (avoided) {
     return offer;
   }
-  const double left = PlacesLeft(aQuestion, aShare.mPath);
+  const double left = RequestCapacityLeft(aQuery, aShare.mPath);
   if (left < 1) {
     return offer;
   }
-  offer.mPlaces = left;
+  offer.mMaxRequests = left;
   // By what the path can carry, not by what it has left at the moment: with
   // news 1.5 s old and 700 requests a second that refused 0.052 of them, since
   // all go where there was room; this refuses 0.001.
@@ -50,50 +50,52 @@
   return offer;
 }
 
-bool IsSlowed(const Offer& aOffer) {
-  return aOffer.mShare->mSlowed >= kSlowed;
+bool IsSlow(const Candidate& aCandidate) {
+  return aCandidate.mShare->mSlowdown >= kSlowPathFactor;
 }
 
 /// What slowed paths would carry if they were sound goes to the paths that
-/// aOthers gives, beside the sound ones that are there. Unless there are none:
-/// then slow ones are better than nothing.
-void ReplaceSlowed(std::vector<Offer>& aOffers,
-                   const std::function<std::vector<Offer>()>& aOthers) {
+/// aReplacements gives, beside the sound ones that are there. Unless there are
+/// none: then slow ones are better than nothing.
+void ReplaceSlowPaths(
+    std::vector<Candidate>& aCandidates,
+    const std::function<std::vector<Candidate>()>& aReplacements) {
   double lost = 0;
-  for (const Offer& offer : aOffers) {
-    lost += IsSlowed(offer) ? offer.mWeight * offer.mShare->mSlowed : 0;
+  for (const Candidate& offer : aCandidates) {
+    lost += IsSlow(offer) ? offer.mWeight * offer.mShare->mSlowdown : 0;
   }
   if (lost <= 0) {
     return;
   }
-  std::vector<Offer> others = aOthers();
-  std::erase_if(others, IsSlowed);
+  std::vector<Candidate> others = aReplacements();
+  std::erase_if(others, IsSlow);
   double weight = 0;
-  for (const Offer& offer : others) {
+  for (const Candidate& offer : others) {
     weight += offer.mWeight;
   }
-  const bool soundLeft =
-      std::any_of(aOffers.begin(), aOffers.end(), [](const Offer& aOffer) {
-        return !IsSlowed(aOffer) && aOffer.mWeight > 0;
+  const bool soundLeft = std::any_of(
+      aCandidates.begin(), aCandidates.end(), [](const Candidate& aCandidate) {
+        return !IsSlow(aCandidate) && aCandidate.mWeight > 0;
       });
   if (weight <= 0 && !soundLeft) {
     return;
   }
-  std::erase_if(aOffers, IsSlowed);
-  for (Offer& offer : others) {
+  std::erase_if(aCandidates, IsSlow);
+  for (Candidate& offer : others) {
     offer.mWeight *= std::min(1.0, lost / weight);
-    aOffers.push_back(offer);
+    aCandidates.push_back(offer);
   }
 }
 
-const Offer* Draw(const std::vector<Offer>& aOffers, double aRandom) {
+const Candidate* DrawCandidate(const std::vector<Candidate>& aCandidates,
+                               double aRandom) {
   double total = 0;
-  for (const Offer& offer : aOffers) {
+  for (const Candidate& offer : aCandidates) {
     total += offer.mWeight;
   }
   double left = aRandom * total;
-  const Offer* drawn = nullptr;
-  for (const Offer& offer : aOffers) {
+  const Candidate* drawn = nullptr;
+  for (const Candidate& offer : aCandidates) {
     if (offer.mWeight <= 0) {
       continue;
     }
@@ -108,84 +110,85 @@
 
 }  // namespace
 
-const std::vector<SharedPath>& PathChoice::PathsOf(
-    const PathQuestion& aQuestion, const std::string& aZone,
-    const ChoiceNews& aNews) {
+const std::vector<PathShare>& PathChooser::PathsOfZone(
+    const PathQuery& aQuery, const std::string& aZone,
+    const ChoiceContext& aContext) {
   ZonePaths& zone = mZones[aZone];
-  const bool fresh =
-      aQuestion.mSampleShare >= 1 &&
-      (zone.mRevision == aNews.mRevision ||
-       (zone.mRevision >= 0 && aNews.mNow - zone.mMadeAt < kDivideEvery));
+  const bool fresh = aQuery.mSampleShare >= 1 &&
+                     (zone.mRevision == aContext.mRevision ||
+                      (zone.mRevision >= 0 &&
+                       aContext.mNow - zone.mDividedAt < kDivideInterval));
   if (fresh) {
     return zone.mPaths;
   }
   std::vector<const UpstreamRecord*> engines;
-  for (const UpstreamRecord* engine : aQuestion.mEngines) {
+  for (const UpstreamRecord* engine : aQuery.mEngines) {
     if (engine->mZone == aZone) {
       engines.push_back(engine);
     }
   }
-  zone.mPaths = DividePaths(*aQuestion.mProfile, engines,
-                            [&aQuestion](const std::string& aInstance) {
-                              return aQuestion.mLoadOf(aInstance).mPace;
+  zone.mPaths = DividePaths(*aQuery.mProfile, engines,
+                            [&aQuery](const std::string& aInstance) {
+                              return aQuery.mLoadOf(aInstance).mSlowdown;
                             });
-  zone.mRevision = aNews.mRevision;
-  zone.mMadeAt = aNews.mNow;
+  zone.mRevision = aContext.mRevision;
+  zone.mDividedAt = aContext.mNow;
   return zone.mPaths;
 }
 
-PathAnswer PathChoice::Deal(const PathQuestion& aQuestion,
-                            const ChoiceNews& aNews) {
-  std::vector<Offer> offers;
+PathResult PathChooser::DrawByWeight(const PathQuery& aQuery,
+                                     const ChoiceContext& aContext) {
+  std::vector<Candidate> offers;
   double places = 0;
   const auto add = [&](const std::string& aZone) {
-    for (const SharedPath& share : PathsOf(aQuestion, aZone, aNews)) {
-      offers.push_back(OfferOf(aQuestion, share));
-      places += offers.back().mPlaces;
+    for (const PathShare& share : PathsOfZone(aQuery, aZone, aContext)) {
+      offers.push_back(CandidateOf(aQuery, share));
+      places += offers.back().mMaxRequests;
     }
   };
   std::set<std::string> zones;
-  for (const UpstreamRecord* engine : aQuestion.mEngines) {
+  for (const UpstreamRecord* engine : aQuery.mEngines) {
     zones.insert(engine->mZone);
   }
-  add(aQuestion.mZone);
-  if (places * static_cast<double>(zones.size()) < aNews.mUnseen) {
+  add(aQuery.mZone);
+  if (places * static_cast<double>(zones.size()) <
+      aContext.mUnreportedRequests) {
     // Its own zone may not carry what comes before the next news.
-    zones.erase(aQuestion.mZone);
+    zones.erase(aQuery.mZone);
     for (const std::string& zone : zones) {
       add(zone);
     }
     zones.clear();
   }
-  ReplaceSlowed(offers, [&] {
-    std::vector<Offer> others;
-    zones.erase(aQuestion.mZone);
+  ReplaceSlowPaths(offers, [&] {
+    std::vector<Candidate> others;
+    zones.erase(aQuery.mZone);
     for (const std::string& zone : zones) {
-      for (const SharedPath& share : PathsOf(aQuestion, zone, aNews)) {
-        others.push_back(OfferOf(aQuestion, share));
+      for (const PathShare& share : PathsOfZone(aQuery, zone, aContext)) {
+        others.push_back(CandidateOf(aQuery, share));
       }
     }
     return others;
   });
-  const Offer* drawn = Draw(offers, aQuestion.mRandom());
-  return drawn == nullptr
-             ? PathAnswer()
-             : PathAnswer{.mPath = drawn->mShare->mPath, .mDealt = true};
+  const Candidate* drawn = DrawCandidate(offers, aQuery.mRandom());
+  return drawn == nullptr ? PathResult()
+                          : PathResult{.mPath = drawn->mShare->mPath,
+                                       .mDrawnByWeight = true};
 }
 
-PathAnswer PathChoice::Choose(const PathQuestion& aQuestion,
-                              const ChoiceNews& aNews) {
-  PathAnswer cheapest = ChoosePath(aQuestion);
-  if (cheapest.mPath.empty() || !aQuestion.mRandom) {
+PathResult PathChooser::Choose(const PathQuery& aQuery,
+                               const ChoiceContext& aContext) {
+  PathResult cheapest = ChoosePath(aQuery);
+  if (cheapest.mPath.empty() || !aQuery.mRandom) {
     return cheapest;
   }
-  const double left = PlacesLeft(aQuestion, cheapest.mPath);
+  const double left = RequestCapacityLeft(aQuery, cheapest.mPath);
   // Who else chooses looks at another sample: so much less comes this way.
-  const double unseen = aNews.mUnseen * aQuestion.mSampleShare;
-  if (aQuestion.mRandom() * unseen <= left * kTakenUnseen) {
+  const double unseen = aContext.mUnreportedRequests * aQuery.mSampleShare;
+  if (aQuery.mRandom() * unseen <= left * kUnreportedFill) {
     return cheapest;
   }
-  PathAnswer dealt = Deal(aQuestion, aNews);
+  PathResult dealt = DrawByWeight(aQuery, aContext);
   return dealt.mPath.empty() ? cheapest : dealt;
 }
 
--- a/servers/routing/pipe_allowance.cpp
+++ b/servers/routing/pipe_allowance.cpp
@@ -12,20 +12,20 @@
 
 }  // namespace
 
-bool PipeAllowance::Allows(const EngineProfile& aProfile, int aRouters,
-                           Millis aNow) {
+bool InterZoneBudget::Allows(const EngineProfile& aProfile, int aRouters,
+                             Millis aNow) {
   const double rate = aProfile.mPipeMbps * kBitsPerMilli * mOptions.mShare /
                       std::max(1, aRouters);
   const double most = rate * static_cast<double>(mOptions.mBurst);
   const double gained =
-      mFilledAt < 0 ? most : rate * static_cast<double>(aNow - mFilledAt);
+      mRefilledAt < 0 ? most : rate * static_cast<double>(aNow - mRefilledAt);
   mBits = std::min(most, mBits + gained);
-  mFilledAt = aNow;
+  mRefilledAt = aNow;
   return mBits > 0;
 }
 
-void PipeAllowance::Spend(const EngineProfile& aProfile, double aTokens,
-                          int aCrossings) {
+void InterZoneBudget::Spend(const EngineProfile& aProfile, double aTokens,
+                            int aCrossings) {
   mBits -= aTokens * aProfile.mActivationBytes * kBitsPerByte * aCrossings;
 }
 
--- a/servers/routing/retry_allowance.cpp
+++ b/servers/routing/retry_allowance.cpp
@@ -6,15 +6,16 @@
 
 namespace {
 
-constexpr int kSlices = 10;
+constexpr int kSlicesPerWindow = 10;
 /// A window that is counted at control must cover the moment of use: a
 /// hundredth of the usual one, and more than a few steps of who waits.
-constexpr Millis kCreditLasts = 100;
+constexpr Millis kCreditLifetime = 100;
 
 }  // namespace
 
-RetryAllowance::Slice& RetryAllowance::Current(Millis aNow) {
-  const Millis length = std::max<Millis>(1, mOptions.mWindow / kSlices);
+RetryAllowance::Slice& RetryAllowance::CurrentSlice(Millis aNow) {
+  const Millis length =
+      std::max<Millis>(1, mOptions.mWindow / kSlicesPerWindow);
   if (mSlices.empty() || aNow - mSlices.back().mFrom >= length) {
     mSlices.push_back({.mFrom = aNow});
   }
@@ -25,49 +26,49 @@
 }
 
 void RetryAllowance::RequestStarted(Millis aNow) {
-  Current(aNow).mRequests += 1;
+  CurrentSlice(aNow).mRequests += 1;
 }
 
-double RetryAllowance::SlackUsed(Millis aNow) const {
+double RetryAllowance::UsableSlackShare(Millis aNow) const {
   // Eight routers that were all ended and started again spent their slack twice
   // in one window: 272 retries where 200 are allowed beside the ratio.
   const bool fresh =
       mOptions.mStartedAt >= 0 && aNow - mOptions.mStartedAt < mOptions.mWindow;
-  return fresh ? 1 - mOptions.mUsed : mOptions.mUsed;
+  return fresh ? 1 - mOptions.mUsableShare : mOptions.mUsableShare;
 }
 
-void RetryAllowance::Credit(int aRetries, Millis aNow) {
-  mCredits = Credits(aNow) + aRetries;
+void RetryAllowance::AddCredits(int aRetries, Millis aNow) {
+  mCredits = ValidCredits(aNow) + aRetries;
   mCreditedAt = aNow;
 }
 
-int RetryAllowance::Credits(Millis aNow) const {
-  return aNow - mCreditedAt <= kCreditLasts ? mCredits : 0;
+int RetryAllowance::ValidCredits(Millis aNow) const {
+  return aNow - mCreditedAt <= kCreditLifetime ? mCredits : 0;
 }
 
-double RetryAllowance::Left(double aSharers, Millis aNow) {
-  Current(aNow);
+double RetryAllowance::Available(double aRouters, Millis aNow) {
+  CurrentSlice(aNow);
   double requests = 0;
   double retries = 0;
   for (const Slice& slice : mSlices) {
     requests += slice.mRequests;
     retries += slice.mRetries;
   }
-  const double divided = aSharers > 1 ? 1 - mOptions.mPooled : 1;
-  const double part = mOptions.mSlack * divided / std::max(1.0, aSharers);
-  return mOptions.mRatio * requests * mOptions.mUsed + part * SlackUsed(aNow) -
-         retries + Credits(aNow);
+  const double divided = aRouters > 1 ? 1 - mOptions.mPooledShare : 1;
+  const double part = mOptions.mSlack * divided / std::max(1.0, aRouters);
+  return mOptions.mRatio * requests * mOptions.mUsableShare +
+         part * UsableSlackShare(aNow) - retries + ValidCredits(aNow);
 }
 
-bool RetryAllowance::TrySpend(double aSharers, Millis aNow) {
-  if (Left(aSharers, aNow) < 1) {
+bool RetryAllowance::TrySpend(double aRouters, Millis aNow) {
+  if (Available(aRouters, aNow) < 1) {
     return false;
   }
-  if (Credits(aNow) > 0) {
+  if (ValidCredits(aNow) > 0) {
     mCredits--;
     return true;
   }
-  Current(aNow).mRetries += 1;
+  CurrentSlice(aNow).mRetries += 1;
   return true;
 }
 
--- a/servers/routing/retry_budget.cpp
+++ b/servers/routing/retry_budget.cpp
@@ -6,10 +6,11 @@
 namespace spindleweir {
 
 RetryBudget::RetryBudget(RetryBudgetOptions aOptions)
-    : mOptions(aOptions), mBalance(aOptions.mStart) {}
+    : mOptions(aOptions), mBalance(aOptions.mInitialBalance) {}
 
 void RetryBudget::RequestStarted() {
-  mBalance = std::min(mBalance + mOptions.mShare, mOptions.mMaximum);
+  mBalance =
+      std::min(mBalance + mOptions.mEarnedPerRequest, mOptions.mMaxBalance);
 }
 
 bool RetryBudget::TrySpend() {
@@ -20,13 +21,13 @@
   return true;
 }
 
-Millis BackoffDelay(int aAttempt, Millis aFirst, Millis aMost,
+Millis BackoffDelay(int aAttempt, Millis aFirst, Millis aMax,
                     const std::function<double()>& aRandom) {
-  constexpr int kMostDoublings = 20;
-  const int doublings = std::clamp(aAttempt - 1, 0, kMostDoublings);
+  constexpr int kMaxDoublings = 20;
+  const int doublings = std::clamp(aAttempt - 1, 0, kMaxDoublings);
   const double full =
       std::min(static_cast<double>(aFirst) * std::exp2(doublings),
-               static_cast<double>(aMost));
+               static_cast<double>(aMax));
   return static_cast<Millis>(full * (0.5 + aRandom() / 2));
 }
 
--- a/servers/routing/service_choice.cpp
+++ b/servers/routing/service_choice.cpp
@@ -14,7 +14,7 @@
 constexpr double kAvoided = 100;
 constexpr double kTieBreak = 0.05;
 
-double Score(const ServiceQuestion& aQuestion, const UpstreamRecord& aRecord) {
+double Score(const ServiceQuery& aQuestion, const UpstreamRecord& aRecord) {
   const double places = std::max(1, aRecord.mSlots);
   double score = aQuestion.mRequestsOf(aRecord.mInstance) / places;
   score += aRecord.mZone == aQuestion.mZone ? 0 : kOtherZone;
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-std::string ChooseUpstream(const ServiceQuestion& aQuestion) {
+std::string ChooseUpstream(const ServiceQuery& aQuestion) {
   std::string best;
   double least = std::numeric_limits<double>::infinity();
   for (UpstreamState state : {UpstreamState::kReady, UpstreamState::kSilent}) {
--- a/servers/routing/token_gate.cpp
+++ b/servers/routing/token_gate.cpp
@@ -8,7 +8,7 @@
       return "deliver";
     case TokenVerdict::kOtherRequest:
       return "other_request";
-    case TokenVerdict::kOldAttempt:
+    case TokenVerdict::kStaleAttempt:
       return "old_attempt";
     case TokenVerdict::kDuplicate:
       return "duplicate";
@@ -22,26 +22,26 @@
   return "unknown";
 }
 
-TokenVerdict TokenGate::Check(const TokenFrame& aFrame) {
+TokenVerdict TokenFilter::Check(const TokenFrame& aFrame) {
   if (aFrame.mRequest != mRequest) {
     return TokenVerdict::kOtherRequest;
   }
   if (aFrame.mAttempt != mAttempt) {
-    return TokenVerdict::kOldAttempt;
+    return TokenVerdict::kStaleAttempt;
   }
   if (mEnded) {
     return TokenVerdict::kAfterEnd;
   }
-  if (aFrame.mIndex < mNext) {
+  if (aFrame.mIndex < mNextIndex) {
     return TokenVerdict::kDuplicate;
   }
-  if (aFrame.mIndex > mNext) {
+  if (aFrame.mIndex > mNextIndex) {
     return TokenVerdict::kGap;
   }
   if (aFrame.mLayers != mLayers) {
     return TokenVerdict::kWrongLayers;
   }
-  mNext++;
+  mNextIndex++;
   mEnded = aFrame.mLast;
   return TokenVerdict::kDeliver;
 }
--- a/servers/routing/told_loads.cpp
+++ b/servers/routing/told_loads.cpp
@@ -5,22 +5,23 @@
 namespace {
 
 /// What comes back has at most what was told a few answers ago.
-constexpr std::size_t kToldKept = 4;
+constexpr std::size_t kMaxStoredReports = 4;
 
 }  // namespace
 
-std::int64_t ToldLoads::Tell(LoadShares aShares) {
-  const std::int64_t number = mNext++;
-  mTold.push_back({number, std::move(aShares)});
-  if (mTold.size() > kToldKept) {
-    mTold.pop_front();
+std::int64_t ReportedLoads::Record(LoadShares aShares) {
+  const std::int64_t number = mNextSequence++;
+  mEntries.push_back({number, std::move(aShares)});
+  if (mEntries.size() > kMaxStoredReports) {
+    mEntries.pop_front();
   }
   return number;
 }
 
-LoadShares ToldLoads::OthersIn(LoadShares aSum, std::int64_t aNumber) const {
-  for (const Told& told : mTold) {
-    if (told.mNumber != aNumber) {
+LoadShares ReportedLoads::SubtractReported(LoadShares aSum,
+                                           std::int64_t aSequence) const {
+  for (const Entry& told : mEntries) {
+    if (told.mSequence != aSequence) {
       continue;
     }
     for (const auto& [instance, share] : told.mShares) {
--- a/servers/routing/upstream_view.cpp
+++ b/servers/routing/upstream_view.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr double kMillisPerMicro = 1e-3;
-constexpr std::size_t kMaximumRemembered = 4096;
+constexpr std::size_t kMaxRememberedDispatches = 4096;
 
 /// A step's time: measured where there is a measurement, else nominal.
 double StepMillis(const EngineReport& aReport) {
@@ -48,13 +48,13 @@
   }
   upstream.mListedLeaving = aLeaving || sticky;
   upstream.mListed = true;
-  mSeenInList.insert(aVm);
+  mListedSinceEnd.insert(aVm);
 }
 
-void UpstreamView::EndOfList(Millis aNow) {
+void UpstreamView::ListEnded(Millis aNow) {
   for (auto it = mUpstreams.begin(); it != mUpstreams.end();) {
     Upstream& upstream = it->second;
-    const bool seen = mSeenInList.contains(it->first);
+    const bool seen = mListedSinceEnd.contains(it->first);
     const bool reports = upstream.mReportedAt >= 0 &&
                          aNow - upstream.mReportedAt < mOptions.mReportLifetime;
     upstream.mListed = seen;
@@ -64,7 +64,7 @@
       ++it;
     }
   }
-  mSeenInList.clear();
+  mListedSinceEnd.clear();
 }
 
 void UpstreamView::Reported(const EngineReport& aReport, Millis aNow) {
@@ -88,7 +88,7 @@
     return;
   }
   it->second.mInFlight++;
-  if (it->second.mDispatches.size() < kMaximumRemembered) {
+  if (it->second.mDispatches.size() < kMaxRememberedDispatches) {
     it->second.mDispatches.push_back(aNow);
   }
 }
@@ -120,7 +120,7 @@
   }
   const auto length = static_cast<Millis>(
       static_cast<double>(mOptions.mEjection) * std::exp2(std::min(over, 8)));
-  upstream.mEjectedUntil = aNow + std::min(length, mOptions.mMaximumEjection);
+  upstream.mEjectedUntil = aNow + std::min(length, mOptions.mMaxEjection);
 }
 
 bool UpstreamView::MayEject(const Upstream& aUpstream, Millis aNow) const {
@@ -137,7 +137,7 @@
       ejected += (vm != aUpstream.mVm && other.mEjectedUntil > aNow) ? 1 : 0;
     }
   }
-  return ejected + 1 <= alike * mOptions.mMaximumEjectedShare;
+  return ejected + 1 <= alike * mOptions.mMaxEjectedShare;
 }
 
 bool UpstreamView::IsLeaving(const std::string& aVm) const {
--- a/servers/streams/event_reader.cpp
+++ b/servers/streams/event_reader.cpp
@@ -43,25 +43,25 @@
 
 }  // namespace
 
-std::vector<RelayedEvent> EventReader::Take(std::string_view aBytes) {
-  std::vector<RelayedEvent> events;
-  mRest += aBytes;
+std::vector<ServerSentEvent> EventReader::Append(std::string_view aBytes) {
+  std::vector<ServerSentEvent> events;
+  mIncomplete += aBytes;
   std::size_t begin = 0;
-  std::size_t from = mSearched;
+  std::size_t from = mSearchFrom;
   for (;;) {
-    const std::size_t end = EndOfEvent(mRest, from);
+    const std::size_t end = EndOfEvent(mIncomplete, from);
     if (end == std::string::npos) {
       break;
     }
-    RelayedEvent event{.mBytes = mRest.substr(begin, end - begin)};
+    ServerSentEvent event{.mBytes = mIncomplete.substr(begin, end - begin)};
     event.mId = IdOf(event.mBytes);
     events.push_back(std::move(event));
     begin = end;
     from = end;
   }
-  mRest.erase(0, begin);
+  mIncomplete.erase(0, begin);
   // The empty line may have begun in the last two bytes.
-  mSearched = mRest.size() < 2 ? 0 : mRest.size() - 2;
+  mSearchFrom = mIncomplete.size() < 2 ? 0 : mIncomplete.size() - 2;
   return events;
 }
 
--- a/servers/streams/progress_watch.cpp
+++ b/servers/streams/progress_watch.cpp
@@ -8,83 +8,85 @@
 namespace {
 
 /// What the time to a first event counts as, before any is known.
-constexpr double kFirstGap = 150;
-constexpr double kLeastGap = 20;
-constexpr double kMostGap = 250;
+constexpr double kInitialGapMillis = 150;
+constexpr double kMinGapMillis = 20;
+constexpr double kMaxGapMillis = 250;
 constexpr double kGapWeight = 0.2;
 /// The fewer streams pass an instance, the longer must be waited.
 constexpr double kLoneStreamFactor = 2;
-constexpr double kMargin = 10;
+constexpr double kMarginMillis = 10;
 /// Events closer to each other than this waited together on their way here.
-constexpr Millis kApart = 20;
+constexpr Millis kMinEventSpacing = 20;
 
 /// A stream with the time of its last event, the earliest first.
-struct SilentSince {
-  Millis mHeardAt = 0;
+struct LastEvent {
+  Millis mLastEventAt = 0;
   StreamKey mKey = 0;
 
   // clang-tidy 14 takes the default for a null pointer.
   // NOLINTNEXTLINE(modernize-use-nullptr)
-  auto operator<=>(const SilentSince&) const = default;
+  auto operator<=>(const LastEvent&) const = default;
 };
 
 /// What is known of one instance.
 struct Evidence {
   int mStreams = 0;
   double mGaps = 0;
-  Millis mHeardAt = 0;
+  Millis mLastEventAt = 0;
 };
 
 }  // namespace
 
-void ProgressWatch::Begin(StreamKey aKey, std::vector<std::string> aInstances,
-                          Millis aNow, const EventPatience& aPatience) {
+void StallDetector::Begin(StreamKey aKey, std::vector<std::string> aInstances,
+                          Millis aNow, const StallTimeouts& aPatience) {
   Stream& stream = mStreams[aKey];
   stream.mInstances = std::move(aInstances);
-  stream.mHeardAt = aNow;
+  stream.mLastEventAt = aNow;
   stream.mSuspended = false;
-  stream.mBegun = false;
-  stream.mGap = kFirstGap;
+  stream.mHasEvent = false;
+  stream.mGap = kInitialGapMillis;
   stream.mLate = false;
-  stream.mPatience = aPatience;
+  stream.mStallTimeouts = aPatience;
 }
 
-std::optional<EventWait> ProgressWatch::Progress(StreamKey aKey, Millis aNow) {
+std::optional<EventWait> StallDetector::OnEvent(StreamKey aKey, Millis aNow) {
   const auto it = mStreams.find(aKey);
   if (it == mStreams.end()) {
     return std::nullopt;
   }
   Stream& stream = it->second;
   std::optional<EventWait> inTime;
-  if (!stream.mLate && !stream.mSuspended && aNow - stream.mHeardAt >= kApart) {
-    inTime = {aKey, stream.mInstances, stream.mHeardAt};
+  if (!stream.mLate && !stream.mSuspended &&
+      aNow - stream.mLastEventAt >= kMinEventSpacing) {
+    inTime = {aKey, stream.mInstances, stream.mLastEventAt};
   }
-  const auto gap = static_cast<double>(aNow - stream.mHeardAt);
-  if (stream.mBegun) {
+  const auto gap = static_cast<double>(aNow - stream.mLastEventAt);
+  if (stream.mHasEvent) {
     stream.mGap +=
-        (std::clamp(gap, kLeastGap, kMostGap) - stream.mGap) * kGapWeight;
+        (std::clamp(gap, kMinGapMillis, kMaxGapMillis) - stream.mGap) *
+        kGapWeight;
   } else {
-    stream.mGap = kFirstGap / 2;
+    stream.mGap = kInitialGapMillis / 2;
   }
-  stream.mBegun = true;
+  stream.mHasEvent = true;
   stream.mSuspended = false;
   stream.mLate = false;
-  stream.mHeardAt = aNow;
+  stream.mLastEventAt = aNow;
   return inTime;
 }
 
-void ProgressWatch::Suspend(StreamKey aKey) {
+void StallDetector::Suspend(StreamKey aKey) {
   const auto it = mStreams.find(aKey);
   if (it != mStreams.end()) {
     it->second.mSuspended = true;
   }
 }
 
-void ProgressWatch::End(StreamKey aKey) {
+void StallDetector::End(StreamKey aKey) {
   mStreams.erase(aKey);
 }
 
-std::vector<std::string> ProgressWatch::Suspects(Millis aNow) const {
+std::vector<std::string> StallDetector::SuspectInstances(Millis aNow) const {
   std::map<std::string, Evidence> instances;
   for (const auto& [key, stream] : mStreams) {
     if (stream.mSuspended) {
@@ -94,50 +96,52 @@
       Evidence& evidence = instances[instance];
       evidence.mStreams++;
       evidence.mGaps += stream.mGap;
-      evidence.mHeardAt = std::max(evidence.mHeardAt, stream.mHeardAt);
+      evidence.mLastEventAt =
+          std::max(evidence.mLastEventAt, stream.mLastEventAt);
     }
   }
   std::vector<std::string> suspects;
   for (const auto& [instance, evidence] : instances) {
     const double n = evidence.mStreams;
     const double patience =
-        evidence.mGaps / n * (1 + kLoneStreamFactor / n) + kMargin;
-    if (static_cast<double>(aNow - evidence.mHeardAt) > patience) {
+        evidence.mGaps / n * (1 + kLoneStreamFactor / n) + kMarginMillis;
+    if (static_cast<double>(aNow - evidence.mLastEventAt) > patience) {
       suspects.push_back(instance);
     }
   }
   return suspects;
 }
 
-std::vector<StreamKey> ProgressWatch::Silent(Millis aSilence,
-                                             Millis aNow) const {
+std::vector<StreamKey> StallDetector::SilentStreams(Millis aSilence,
+                                                    Millis aNow) const {
   std::vector<StreamKey> keys;
   for (const auto& [key, stream] : mStreams) {
-    if (!stream.mSuspended && aNow - stream.mHeardAt > aSilence) {
+    if (!stream.mSuspended && aNow - stream.mLastEventAt > aSilence) {
       keys.push_back(key);
     }
   }
   return keys;
 }
 
-std::vector<EventWait> ProgressWatch::TakeLate(Millis aNow) {
+std::vector<EventWait> StallDetector::TakeLateWaits(Millis aNow) {
   std::vector<EventWait> late;
   for (auto& [key, stream] : mStreams) {
-    const Millis patience =
-        stream.mBegun ? stream.mPatience.mGap : stream.mPatience.mFirst;
-    const bool inTime = patience <= 0 || aNow - stream.mHeardAt <= patience;
+    const Millis patience = stream.mHasEvent
+                                ? stream.mStallTimeouts.mGap
+                                : stream.mStallTimeouts.mFirstEvent;
+    const bool inTime = patience <= 0 || aNow - stream.mLastEventAt <= patience;
     if (inTime || stream.mLate || stream.mSuspended) {
       continue;
     }
     stream.mLate = true;
-    late.push_back({key, stream.mInstances, stream.mHeardAt});
+    late.push_back({key, stream.mInstances, stream.mLastEventAt});
   }
   return late;
 }
 
-std::vector<StreamKey> ProgressWatch::Through(
+std::vector<StreamKey> StallDetector::StreamsThrough(
     const std::map<std::string, double>& aInstances) const {
-  std::vector<SilentSince> found;
+  std::vector<LastEvent> found;
   for (const auto& [key, stream] : mStreams) {
     const bool passes =
         std::any_of(stream.mInstances.begin(), stream.mInstances.end(),
@@ -145,12 +149,12 @@
                       return aInstances.contains(aInstance);
                     });
     if (passes) {
-      found.push_back({stream.mHeardAt, key});
+      found.push_back({stream.mLastEventAt, key});
     }
   }
   std::sort(found.begin(), found.end());
   std::vector<StreamKey> keys;
-  for (const SilentSince& silent : found) {
+  for (const LastEvent& silent : found) {
     keys.push_back(silent.mKey);
   }
   return keys;
--- a/standins/plain_protocol.cpp
+++ b/standins/plain_protocol.cpp
@@ -87,7 +87,7 @@
             EngineMessage message{.mMethod = "POST",
                                   .mTarget = kRepathTarget,
                                   .mHeaders = {{"Host", "engine"}}};
-            for (const PathPart& part : *aOrder.mPath) {
+            for (const PathStage& part : *aOrder.mPath) {
               message.mBody += part.mInstance + " ";
             }
             return message;
--- a/tests/daemons/cut_streams_test.cpp
+++ b/tests/daemons/cut_streams_test.cpp
@@ -46,8 +46,8 @@
   RelayStory story(kShortStart, {.mRatio = 0,
                                  .mWindow = kWindow,
                                  .mSlack = 40,
-                                 .mUsed = 1,
-                                 .mPooled = kUsualPooledRetries});
+                                 .mUsableShare = 1,
+                                 .mPooledShare = kDefaultPooledRetries});
   // Room for all of them at one: what is asked is not whether they fit.
   story.mSlots = 2 * kStreams;
   story.Begin();
@@ -117,8 +117,9 @@
 // 16 to 18 of its 20 s left, while the engines came back 3.5 s later.
 Test(cut_streams, a_begun_stream_is_not_broken_off_while_it_has_time) {
   // One retry in 2 s, and it is spent.
-  RelayStory story(kShortStart,
-                   {.mRatio = 0, .mWindow = kWindow, .mSlack = 1, .mUsed = 1});
+  RelayStory story(
+      kShortStart,
+      {.mRatio = 0, .mWindow = kWindow, .mSlack = 1, .mUsableShare = 1});
   story.Begin();
   story.Wait(kWindow);
   story.mA.Next({UpstreamAct::kCut});
--- a/tests/daemons/relay_test.cpp
+++ b/tests/daemons/relay_test.cpp
@@ -170,8 +170,9 @@
 
 Test(relay, a_stream_that_has_begun_waits_until_its_retry_is_paid) {
   // One retry in 400 ms, and it is spent.
-  RelayStory story(kShortStart,
-                   {.mRatio = 0, .mWindow = 400, .mSlack = 1, .mUsed = 1});
+  RelayStory story(
+      kShortStart,
+      {.mRatio = 0, .mWindow = 400, .mSlack = 1, .mUsableShare = 1});
   story.Begin();
   // Before, it keeps back what a process before it may have spent.
   story.Wait(400);
--- a/tests/daemons/restart_test.cpp
+++ b/tests/daemons/restart_test.cpp
@@ -233,8 +233,9 @@
 
 Test(restart, a_call_that_has_come_back_is_not_held) {
   // One retry a minute.
-  RelayStory story(kShortStart,
-                   {.mRatio = 0, .mWindow = 60000, .mSlack = 1, .mUsed = 1});
+  RelayStory story(
+      kShortStart,
+      {.mRatio = 0, .mWindow = 60000, .mSlack = 1, .mUsableShare = 1});
   story.Begin();
   constexpr Millis kFirst = 2000;
   CHECK(story.Call("/look/x", "key", kFirst).mStatus == 200);
--- a/tests/fuzz/parsers_fuzzer.cpp
+++ b/tests/fuzz/parsers_fuzzer.cpp
@@ -93,11 +93,11 @@
   EventReader reader;
   std::string back;
   for (char byte : aBytes) {
-    for (const RelayedEvent& event : reader.Take({&byte, 1})) {
+    for (const ServerSentEvent& event : reader.Append({&byte, 1})) {
       back += event.mBytes;
     }
   }
-  if (back + reader.Rest() != aBytes) {
+  if (back + reader.Incomplete() != aBytes) {
     abort();
   }
 }
--- a/tests/servers/choice_test.cpp
+++ b/tests/servers/choice_test.cpp
@@ -21,14 +21,14 @@
   return views;
 }
 
-PathQuestion QuestionOf(const ChoicePlayOptions& aFleet,
-                        const std::vector<UpstreamRecord>& aRecords) {
-  PathQuestion question;
+PathQuery QuestionOf(const ChoicePlayOptions& aFleet,
+                     const std::vector<UpstreamRecord>& aRecords) {
+  PathQuery question;
   question.mProfile = &aFleet.mProfile;
   question.mZone = "zone-1";
   question.mTokens =
       aFleet.mProfile.mUsualPrompt + aFleet.mProfile.mUsualAnswer;
-  question.mReadTokens = aFleet.mProfile.mUsualPrompt;
+  question.mPrefillTokens = aFleet.mProfile.mUsualPrompt;
   question.mAnswerTokens = aFleet.mProfile.mUsualAnswer;
   question.mEngines = Views(aRecords, "zone-1");
   question.mLoadOf = [](const std::string&) { return EngineLoad(); };
@@ -74,30 +74,30 @@
   const ChoicePlayOptions fleet = LargeFleet();
   const std::vector<UpstreamRecord> records =
       PlacedEngines(fleet.mProfile, fleet.mGroups);
-  const PathQuestion question = QuestionOf(fleet, records);
-  PathChoice choice;
+  const PathQuery question = QuestionOf(fleet, records);
+  PathChooser choice;
   SECTION("with nothing unseen") {
-    const PathAnswer answer = choice.Choose(question, {.mRevision = 1});
-    CHECK(!answer.mDealt);
+    const PathResult answer = choice.Choose(question, {.mRevision = 1});
+    CHECK(!answer.mDrawnByWeight);
     CHECK(answer.mPath == ChoosePath(question).mPath);
   }
   SECTION("with more unseen than it has places it is dealt") {
-    const PathAnswer answer =
-        choice.Choose(question, {.mUnseen = 500, .mRevision = 1});
-    CHECK(answer.mDealt);
+    const PathResult answer =
+        choice.Choose(question, {.mUnreportedRequests = 500, .mRevision = 1});
+    CHECK(answer.mDrawnByWeight);
     CHECK(!answer.mPath.empty());
   }
   SECTION("dealt paths leave out what is to be avoided") {
-    PathQuestion avoiding = question;
+    PathQuery avoiding = question;
     for (const UpstreamRecord* engine : question.mEngines) {
       if (engine->mKind != "middle") {
-        avoiding.mAvoid.insert(engine->mInstance);
+        avoiding.mExcludedEngines.insert(engine->mInstance);
       }
     }
-    const PathAnswer answer =
-        choice.Choose(avoiding, {.mUnseen = 5000, .mRevision = 1});
-    CHECK(answer.mDealt);
-    for (const PathPart& part : answer.mPath) {
+    const PathResult answer =
+        choice.Choose(avoiding, {.mUnreportedRequests = 5000, .mRevision = 1});
+    CHECK(answer.mDrawnByWeight);
+    for (const PathStage& part : answer.mPath) {
       CHECK(part.mInstance.find("middle") != std::string::npos);
     }
   }
@@ -108,18 +108,19 @@
   const std::vector<UpstreamRecord> records =
       PlacedEngines(fleet.mProfile, fleet.mGroups);
   const std::vector<const UpstreamRecord*> engines = Views(records, "zone-1");
-  const std::vector<SharedPath> paths = DividePaths(fleet.mProfile, engines);
+  const std::vector<PathShare> paths = DividePaths(fleet.mProfile, engines);
   const double tokens =
       fleet.mProfile.mUsualPrompt + fleet.mProfile.mUsualAnswer;
   std::map<std::string, double> promised;
   double rate = 0;
-  for (const SharedPath& path : paths) {
+  for (const PathShare& path : paths) {
     rate += path.Rate();
     int next = 0;
-    for (const PathPart& part : path.mPath) {
+    for (const PathStage& part : path.mPath) {
       CHECK(part.mLayers.mFrom == next);
       next = part.mLayers.mTo;
-      promised[part.mInstance] += path.mPlaces * tokens * part.mLayers.Count();
+      promised[part.mInstance] +=
+          path.mMaxRequests * tokens * part.mLayers.Count();
     }
     CHECK(next == fleet.mProfile.mLayers);
   }
@@ -140,21 +141,23 @@
   const ChoicePlayOptions fleet = LargeFleet();
   const std::vector<UpstreamRecord> records =
       PlacedEngines(fleet.mProfile, fleet.mGroups);
-  PathQuestion question = QuestionOf(fleet, records);
+  PathQuery question = QuestionOf(fleet, records);
   const std::string first = ChoosePath(question).mPath.front().mInstance;
-  const double free = PlacesLeft(question, ChoosePath(question).mPath);
+  const double free = RequestCapacityLeft(question, ChoosePath(question).mPath);
   CHECK(free > 1);
   question.mLoadOf = [&first, &fleet](const std::string& aInstance) {
-    return EngineLoad{.mFirsts = aInstance == first ? static_cast<double>(
-                                                          fleet.mProfile.mSlots)
-                                                    : 0};
+    return EngineLoad{.mFirstStageRequests =
+                          aInstance == first
+                              ? static_cast<double>(fleet.mProfile.mSlots)
+                              : 0};
   };
   SECTION("one whose places are taken is not the first of a path") {
     CHECK(ChoosePath(question).mPath.front().mInstance != first);
   }
   SECTION("where all are taken there is no room") {
     question.mLoadOf = [&fleet](const std::string&) {
-      return EngineLoad{.mFirsts = static_cast<double>(fleet.mProfile.mSlots)};
+      return EngineLoad{.mFirstStageRequests =
+                            static_cast<double>(fleet.mProfile.mSlots)};
     };
     CHECK(ChoosePath(question).mPath.empty());
     CHECK(ChoosePath(question).mLacksRoom);
@@ -165,15 +168,15 @@
   ArrivalRate rate;
   rate.Add(10000);
   SECTION("one call in a long time is no rate of one each two seconds") {
-    CHECK(rate.PerMilliWithout(10000, 10000) == 0);
-    CHECK(rate.PerMilliWithout(10000, 10300) == 0);
+    CHECK(rate.PerMilliExcluding(10000, 10000) == 0);
+    CHECK(rate.PerMilliExcluding(10000, 10300) == 0);
     CHECK(rate.PerMilli(10000) == 0.0005);
   }
   SECTION("of two, the other counts") {
     rate.Add(10500);
-    CHECK(std::abs(rate.PerMilliWithout(10500, 10500) -
+    CHECK(std::abs(rate.PerMilliExcluding(10500, 10500) -
                    std::exp(-0.25) / 2000) < 1e-12);
-    CHECK(std::abs(rate.PerMilliWithout(10000, 10500) - 1.0 / 2000) < 1e-12);
+    CHECK(std::abs(rate.PerMilliExcluding(10000, 10500) - 1.0 / 2000) < 1e-12);
   }
 }
 
--- a/tests/servers/layers_test.cpp
+++ b/tests/servers/layers_test.cpp
@@ -97,12 +97,12 @@
   return engines;
 }
 
-PathQuestion Question(const EngineProfile& aProfile, const Engines& aEngines) {
-  PathQuestion question;
+PathQuery Question(const EngineProfile& aProfile, const Engines& aEngines) {
+  PathQuery question;
   question.mProfile = &aProfile;
   question.mZone = "z";
   question.mTokens = 1000;
-  question.mReadTokens = 800;
+  question.mPrefillTokens = 800;
   question.mAnswerTokens = 200;
   question.mEngines = aEngines.Views();
   question.mLoadOf = [](const std::string&) { return EngineLoad{}; };
@@ -113,7 +113,7 @@
 bool IsWhole(const LayerPath& aPath, int aLayers) {
   int reached = 0;
   std::set<std::string> used;
-  for (const PathPart& part : aPath) {
+  for (const PathStage& part : aPath) {
     if (part.mLayers.mFrom != reached || part.mLayers.Count() <= 0 ||
         !used.insert(part.mInstance).second) {
       return false;
@@ -327,21 +327,21 @@
   engines.Add("other", "fast", 2);
   engines.Add("other", "middle", 2);
   engines.Place(profile);
-  PathQuestion question = Question(profile, engines);
-  const PathAnswer answer = ChoosePath(question);
+  PathQuery question = Question(profile, engines);
+  const PathResult answer = ChoosePath(question);
   CHECK(IsWhole(answer.mPath, profile.mLayers));
   SECTION("without one engine after the other") {
     for (const UpstreamRecord& record : engines.mRecords) {
-      question.mAvoid = {record.mInstance};
+      question.mExcludedEngines = {record.mInstance};
       const LayerPath path = ChoosePath(question).mPath;
       CHECK(IsWhole(path, profile.mLayers));
-      for (const PathPart& part : path) {
+      for (const PathStage& part : path) {
         CHECK(part.mInstance != record.mInstance);
       }
     }
   }
   SECTION("full engines are passed by; where all are, that is said") {
-    question.mAvoid.clear();
+    question.mExcludedEngines.clear();
     const std::string first = answer.mPath.front().mInstance;
     question.mLoadOf = [&](const std::string& aInstance) {
       return EngineLoad{.mTokenLayers = aInstance == first ? 1e12 : 0};
@@ -367,7 +367,7 @@
       };
       const LayerPath path = ChoosePath(question).mPath;
       CHECK(IsWhole(path, profile.mLayers));
-      for (const PathPart& part : path) {
+      for (const PathStage& part : path) {
         CHECK(engines.Find(part.mInstance)->mZone == "other");
       }
     }
@@ -380,12 +380,12 @@
       const bool full = upper == (record->mZone == "z");
       return EngineLoad{.mTokenLayers = full ? 1e12 : 0};
     };
-    const PathAnswer over = ChoosePath(question);
-    CHECK(over.mPath.empty() || over.mCrossings == 1);
-    question.mMayCross = false;
+    const PathResult over = ChoosePath(question);
+    CHECK(over.mPath.empty() || over.mZoneCrossings == 1);
+    question.mMayCrossZones = false;
     CHECK(ChoosePath(question).mPath.empty());
     CHECK(ChoosePath(question).mLacksRoom);
-    question.mMayCross = true;
+    question.mMayCrossZones = true;
   }
   SECTION("a part of the layers alone") {
     question.mLoadOf = [](const std::string&) { return EngineLoad{}; };
@@ -412,7 +412,7 @@
   EngineProfile profile = Profile();
   profile.mPipeMbps = 10;
   profile.mActivationBytes = 1000;
-  PipeAllowance pipe({.mShare = 0.5, .mBurst = 1000});
+  InterZoneBudget pipe({.mShare = 0.5, .mBurst = 1000});
   SECTION("a share for each router, and a debt is waited out") {
     // 5 Mbit/s for 10 routers: 0.5 Mbit in a second.
     CHECK(pipe.Allows(profile, 10, 0));
--- a/tests/servers/memory_test.cpp
+++ b/tests/servers/memory_test.cpp
@@ -329,10 +329,10 @@
     UpstreamOccupancy view;
     view.mSlots = 6;
     view.mRouters = mCounted;
-    view.mOwnRate =
-        (mJudgement.mSkipsItself ? aRouter.mArrivals.PerMilliWithout(aNow, aNow)
-                                 : aRouter.mArrivals.PerMilli(aNow)) /
-        5;
+    view.mOwnRate = (mJudgement.mSkipsItself
+                         ? aRouter.mArrivals.PerMilliExcluding(aNow, aNow)
+                         : aRouter.mArrivals.PerMilli(aNow)) /
+                    5;
     view.mNewsAge = mNewsAge;
     view.mUsualTime =
         aRouter.mTime.At(mJudgement.mExpects ? 120 : mNewsAge, aNow);
--- a/tests/servers/named_limits_test.cpp
+++ b/tests/servers/named_limits_test.cpp
@@ -187,8 +187,8 @@
   SECTION("who only heard of it does not tell of it") {
     LoadShares again;
     other.Tell(again, 40);
-    CHECK(again["a"].mLimitTellers == 0);
-    CHECK(again["a"].mWantedThousandths == 1000);
+    CHECK(again["a"].mLimitReporters == 0);
+    CHECK(again["a"].mDemandThousandths == 1000);
   }
   SECTION("it ends with the news of it") {
     other.TakeNews({}, 50);
--- a/tests/servers/pace_test.cpp
+++ b/tests/servers/pace_test.cpp
@@ -19,16 +19,16 @@
   return 0.99;
 }
 
-bool Asks(EnginePaces& aPaces, const std::string& aInstance, Millis aNow) {
-  const std::vector<std::string> asked = aPaces.ToAsk(aNow, 1, Half);
+bool Asks(EngineSlowdowns& aPaces, const std::string& aInstance, Millis aNow) {
+  const std::vector<std::string> asked = aPaces.EnginesToPoll(aNow, 1, Half);
   return std::find(asked.begin(), asked.end(), aInstance) != asked.end();
 }
 
 /// An engine says it twice: what it says first may be old.
-void SayTwice(EnginePaces& aPaces, const std::string& aInstance, double aPace,
-              Millis aNow) {
-  aPaces.TakeReport(aInstance, aPace, aNow - 240);
-  aPaces.TakeReport(aInstance, aPace, aNow);
+void SayTwice(EngineSlowdowns& aPaces, const std::string& aInstance,
+              double aSlowdown, Millis aNow) {
+  aPaces.OnEngineReport(aInstance, aSlowdown, aNow - 240);
+  aPaces.OnEngineReport(aInstance, aSlowdown, aNow);
 }
 
 /// Two in five engines twelve times slower for four seconds.
@@ -48,84 +48,84 @@
   const Path ab{"a", "b"};
   const Path bc{"b", "c"};
   SECTION("who is on a late path is asked for its word") {
-    EnginePaces paces;
+    EngineSlowdowns paces;
     paces.RecordLate(ab, 1000, 1150);
     CHECK(Asks(paces, "a", 1160));
     // What it says to the first question was true before the stream was late.
-    paces.TakeReport("a", 1, 1170);
+    paces.OnEngineReport("a", 1, 1170);
     paces.RecordLate(ab, 1150, 1250);
     CHECK(!Asks(paces, "a", 1260));
     CHECK(Asks(paces, "a", 1420));
     SayTwice(paces, "a", 12, 1620);
-    const std::vector<PaceChange> changes = paces.Judge(1620);
+    const std::vector<SlowdownChange> changes = paces.Evaluate(1620);
     REQUIRE(changes.size() == 1);
-    CHECK(changes[0].mInstance == "a" && changes[0].mSlow);
-    CHECK(paces.PaceOf("a") == 12);
-    CHECK(paces.PaceOf("b") == 1);
+    CHECK(changes[0].mInstance == "a" && changes[0].mIsSlow);
+    CHECK(paces.SlowdownOf("a") == 12);
+    CHECK(paces.SlowdownOf("b") == 1);
   }
   SECTION("a first word that it is slow is asked for again") {
-    EnginePaces paces;
-    paces.TakeReport("a", 12, 1000);
-    CHECK(paces.Judge(1000).empty());
+    EngineSlowdowns paces;
+    paces.OnEngineReport("a", 12, 1000);
+    CHECK(paces.Evaluate(1000).empty());
     CHECK(Asks(paces, "a", 1250));
-    paces.TakeReport("a", 12, 1260);
-    CHECK(paces.Judge(1260).size() == 1);
+    paces.OnEngineReport("a", 12, 1260);
+    CHECK(paces.Evaluate(1260).size() == 1);
   }
   SECTION("who is on a path that was in time meanwhile isn't") {
-    EnginePaces paces;
+    EngineSlowdowns paces;
     paces.RecordOnTime(bc, 1050);
     paces.RecordLate(ab, 1000, 1150);
-    CHECK(paces.ToAsk(1610, 1, Half) == Path{"a"});
+    CHECK(paces.EnginesToPoll(1610, 1, Half) == Path{"a"});
   }
   SECTION("a path in time from before says nothing") {
-    EnginePaces paces;
+    EngineSlowdowns paces;
     paces.RecordOnTime(bc, 900);
     paces.RecordLate(ab, 1000, 1150);
     CHECK(Asks(paces, "b", 1610));
   }
   SECTION("a path is late for what is known to be slow in it, not for others") {
-    EnginePaces paces;
+    EngineSlowdowns paces;
     SayTwice(paces, "a", 12, 1000);
-    paces.Judge(1000);
+    paces.Evaluate(1000);
     paces.RecordLate(ab, 1000, 1150);
-    CHECK(paces.ToAsk(1610, 1, Half).empty());
+    CHECK(paces.EnginesToPoll(1610, 1, Half).empty());
   }
   SECTION("an engine that gives no word is judged by several streams alone") {
-    EnginePaces paces;
+    EngineSlowdowns paces;
     paces.RecordOnTime(bc, 1100);
     for (Millis at = 1000; at < 1003; at++) {
-      CHECK(paces.Judge(1150).empty());
+      CHECK(paces.Evaluate(1150).empty());
       paces.RecordLate(ab, at, 1150);
     }
-    CHECK(paces.Judge(1150).size() == 1);
-    CHECK(paces.PaceOf("a") > 1);
+    CHECK(paces.Evaluate(1150).size() == 1);
+    CHECK(paces.SlowdownOf("a") > 1);
     // It is tried again after a time.
-    CHECK(!paces.Judge(3500).empty());
-    CHECK(paces.PaceOf("a") == 1);
+    CHECK(!paces.Evaluate(3500).empty());
+    CHECK(paces.SlowdownOf("a") == 1);
   }
   SECTION("but not against its word, where that is about the same time") {
-    EnginePaces paces;
-    paces.TakeReport("a", 1, 1600);
+    EngineSlowdowns paces;
+    paces.OnEngineReport("a", 1, 1600);
     paces.RecordOnTime(bc, 1100);
     for (Millis at = 1000; at < 1010; at++) {
       paces.RecordLate(ab, at, 1150);
     }
-    CHECK(paces.Judge(1650).empty());
+    CHECK(paces.Evaluate(1650).empty());
   }
   SECTION("its word of before they were late does not contradict them") {
-    EnginePaces paces;
+    EngineSlowdowns paces;
     paces.RecordOnTime(bc, 1100);
     for (Millis at = 1000; at < 1010; at++) {
       paces.RecordLate(ab, at, 1150);
     }
-    paces.TakeReport("a", 1, 1160);
-    CHECK(paces.Judge(1160).size() == 1);
-    CHECK(paces.PaceOf("a") > 1);
+    paces.OnEngineReport("a", 1, 1160);
+    CHECK(paces.Evaluate(1160).size() == 1);
+    CHECK(paces.SlowdownOf("a") > 1);
   }
 }
 
 Test(pace, false_alarms_cost_few_questions) {
-  EnginePaces paces;
+  EngineSlowdowns paces;
   int asked = 0;
   // A loaded fleet, or a slow link: 100 engines, all of whose streams are late
   // for 20 s, and all of which say that they are well.
@@ -135,113 +135,113 @@
           Path{"e" + std::to_string(i), "e" + std::to_string(i + 1)}, now - 150,
           now);
     }
-    for (const std::string& instance : paces.ToAsk(now, 1, Half)) {
+    for (const std::string& instance : paces.EnginesToPoll(now, 1, Half)) {
       asked++;
-      paces.TakeReport(instance, 1.2, now + 10);
+      paces.OnEngineReport(instance, 1.2, now + 10);
     }
-    CHECK(paces.Judge(now).empty());
+    CHECK(paces.Evaluate(now).empty());
   }
   CHECK(asked > 0);
   CHECK(asked <= 22);
-  CHECK(paces.Slow().empty());
+  CHECK(paces.SlowEngines().empty());
 }
 
 Test(pace, one_router_asks_for_all) {
-  EnginePaces asker;
+  EngineSlowdowns asker;
   SayTwice(asker, "a", 8, 1000);
   LoadShares told;
-  asker.Tell(told, 1100);
+  asker.AddReports(told, 1100);
   REQUIRE(told.size() == 1);
   SECTION("what one was told all take") {
-    EnginePaces other;
-    other.TakeNews(told, 1400);
-    CHECK(other.Judge(1500).size() == 1);
-    CHECK(other.PaceOf("a") == 8);
+    EngineSlowdowns other;
+    other.ApplyPeerReports(told, 1400);
+    CHECK(other.Evaluate(1500).size() == 1);
+    CHECK(other.SlowdownOf("a") == 8);
     other.RecordLate(Path{"a"}, 1400, 1550);
-    CHECK(other.ToAsk(1960, 1, Half).empty());
+    CHECK(other.EnginesToPoll(1960, 1, Half).empty());
   }
   SECTION("two that tell are not twice as slow") {
-    EnginePaces other;
+    EngineSlowdowns other;
     told["a"].Add(told["a"], 1);
-    other.TakeNews(told, 1400);
-    other.Judge(1500);
-    CHECK(other.PaceOf("a") == 8);
+    other.ApplyPeerReports(told, 1400);
+    other.Evaluate(1500);
+    CHECK(other.SlowdownOf("a") == 8);
   }
   SECTION("a word of its own that is newer goes before") {
-    EnginePaces other;
-    other.TakeNews(told, 1400);
-    other.TakeReport("a", 1, 1500);
-    other.Judge(1510);
-    CHECK(other.PaceOf("a") == 1);
+    EngineSlowdowns other;
+    other.ApplyPeerReports(told, 1400);
+    other.OnEngineReport("a", 1, 1500);
+    other.Evaluate(1510);
+    CHECK(other.SlowdownOf("a") == 1);
   }
   SECTION("where they tell nothing any more it holds and fades") {
-    EnginePaces other;
-    other.TakeNews(told, 1400);
-    other.Judge(1400);
-    other.TakeNews({}, 2000);
-    CHECK(other.Judge(2800).empty());
-    CHECK(!other.Judge(3900).empty());
+    EngineSlowdowns other;
+    other.ApplyPeerReports(told, 1400);
+    other.Evaluate(1400);
+    other.ApplyPeerReports({}, 2000);
+    CHECK(other.Evaluate(2800).empty());
+    CHECK(!other.Evaluate(3900).empty());
   }
   SECTION("one that hears it is well again tells it, against older words") {
-    EnginePaces other;
-    other.TakeNews(told, 1400);
-    other.Judge(1400);
-    other.TakeReport("a", 1, 1900);
+    EngineSlowdowns other;
+    other.ApplyPeerReports(told, 1400);
+    other.Evaluate(1400);
+    other.OnEngineReport("a", 1, 1900);
     LoadShares well;
-    other.Tell(well, 2000);
-    CHECK(well.at("a").mWellTellers == 1);
-    asker.Judge(1000);
-    CHECK(asker.PaceOf("a") == 8);
-    asker.TakeNews(well, 2400);
-    asker.Judge(2400);
-    CHECK(asker.PaceOf("a") == 1);
-    CHECK(other.Judge(2000).size() == 1);
+    other.AddReports(well, 2000);
+    CHECK(well.at("a").mRecoveryReporters == 1);
+    asker.Evaluate(1000);
+    CHECK(asker.SlowdownOf("a") == 8);
+    asker.ApplyPeerReports(well, 2400);
+    asker.Evaluate(2400);
+    CHECK(asker.SlowdownOf("a") == 1);
+    CHECK(other.Evaluate(2000).size() == 1);
   }
   SECTION("who was told nothing slow tells nothing") {
-    EnginePaces other;
+    EngineSlowdowns other;
     LoadShares nothing;
-    other.TakeReport("a", 1, 1000);
-    other.Tell(nothing, 1010);
+    other.OnEngineReport("a", 1, 1000);
+    other.AddReports(nothing, 1010);
     CHECK(nothing.empty());
   }
 }
 
 Test(pace, a_slow_engine_comes_back) {
-  EnginePaces slow;
+  EngineSlowdowns slow;
   SayTwice(slow, "a", 12, 1000);
-  slow.Judge(1000);
+  slow.Evaluate(1000);
   SECTION("it is asked again by one that holds its word, though unused") {
-    EnginePaces paces = slow;
+    EngineSlowdowns paces = slow;
     const auto always = [] { return 0.0; };
-    CHECK(paces.ToAsk(1600, 1, always).empty());
-    CHECK(paces.ToAsk(1700, 1, Never).empty());
-    CHECK(paces.ToAsk(1720, 1, always) == Path{"a"});
-    paces.TakeReport("a", 1, 1730);
-    const std::vector<PaceChange> changes = paces.Judge(1740);
+    CHECK(paces.EnginesToPoll(1600, 1, always).empty());
+    CHECK(paces.EnginesToPoll(1700, 1, Never).empty());
+    CHECK(paces.EnginesToPoll(1720, 1, always) == Path{"a"});
+    paces.OnEngineReport("a", 1, 1730);
+    const std::vector<SlowdownChange> changes = paces.Evaluate(1740);
     REQUIRE(changes.size() == 1);
-    CHECK(!changes[0].mSlow);
+    CHECK(!changes[0].mIsSlow);
   }
   SECTION("without a word it fades, so that few try it first") {
-    EnginePaces paces = slow;
-    paces.Judge(2900);
-    const double fading = paces.PaceOf("a");
+    EngineSlowdowns paces = slow;
+    paces.Evaluate(2900);
+    const double fading = paces.SlowdownOf("a");
     CHECK(fading > 1 && fading < 12);
-    paces.Judge(3600);
-    CHECK(paces.PaceOf("a") == 1);
+    paces.Evaluate(3600);
+    CHECK(paces.SlowdownOf("a") == 1);
   }
   SECTION("a new start knows nothing of it") {
-    EnginePaces paces = slow;
+    EngineSlowdowns paces = slow;
     paces.Forget("a");
-    CHECK(paces.PaceOf("a") == 1);
-    CHECK(paces.Judge(1100).empty());
+    CHECK(paces.SlowdownOf("a") == 1);
+    CHECK(paces.Evaluate(1100).empty());
   }
   SECTION("nothing is kept of engines that are gone") {
-    EnginePaces paces = slow;
+    EngineSlowdowns paces = slow;
     paces.RecordOnTime(Path{"b"}, 1050);
-    paces.ForgetAll([](const std::string& aId) { return aId == "a"; });
-    CHECK(paces.Known() == 1);
-    CHECK(paces.PaceOf("a") == 1);
-    CHECK(paces.Judge(1100).empty());
+    paces.ForgetIf([](const std::string& aId) { return aId == "a"; });
+    CHECK(paces.TrackedEngines() == 1);
+    CHECK(paces.SlowdownOf("a") == 1);
+    CHECK(paces.Evaluate(1100).empty());
   }
 }
 
@@ -249,20 +249,20 @@
   LoadShares shares{{"a",
                      {.mInstance = "a",
                       .mRequests = 1,
-                      .mPaceTellers = 2,
-                      .mPacePercent = 1600}},
+                      .mSlowdownReporters = 2,
+                      .mSlowdownPercent = 1600}},
                     {"b", {.mInstance = "b", .mRequests = 3}}};
   CHECK(UnpackLoads(PackLoads(shares)) == shares);
   SECTION("a table of a former version has no such columns") {
     LoadTable table = LoadTable::Of(shares);
-    table.mPaceTellers.clear();
-    table.mPacePercent.clear();
-    CHECK(table.Shares().at("a").mPaceTellers == 0);
-    CHECK(table.Shares().at("a").mRequests == 1);
+    table.mSlowdownReporters.clear();
+    table.mSlowdownPercent.clear();
+    CHECK(table.ToShares().at("a").mSlowdownReporters == 0);
+    CHECK(table.ToShares().at("a").mRequests == 1);
   }
   SECTION("where all are well none travel") {
     const LoadShares well{{"b", shares.at("b")}};
-    CHECK(LoadTable::Of(well).mPaceTellers.empty());
+    CHECK(LoadTable::Of(well).mSlowdownReporters.empty());
   }
   SECTION("an engine without work of the teller travels for its pace") {
     shares["a"].mRequests = 0;
@@ -301,11 +301,11 @@
   const ChoicePlayOptions fleet = LargeFleet();
   const std::vector<UpstreamRecord> records =
       PlacedEngines(fleet.mProfile, fleet.mGroups);
-  PathQuestion question;
+  PathQuery question;
   question.mProfile = &fleet.mProfile;
   question.mZone = "zone-1";
   question.mTokens = fleet.mProfile.mUsualPrompt + fleet.mProfile.mUsualAnswer;
-  question.mReadTokens = fleet.mProfile.mUsualPrompt;
+  question.mPrefillTokens = fleet.mProfile.mUsualPrompt;
   question.mAnswerTokens = fleet.mProfile.mUsualAnswer;
   for (const UpstreamRecord& record : records) {
     question.mEngines.push_back(&record);
@@ -318,17 +318,17 @@
   bool allSlow = false;
   question.mLoadOf = [&allSlow](const std::string& aInstance) {
     const bool own = aInstance.starts_with("zone-1");
-    return EngineLoad{.mPace = own || allSlow ? 12.0 : 1.0};
+    return EngineLoad{.mSlowdown = own || allSlow ? 12.0 : 1.0};
   };
   const auto dealtInOwnZone = [&] {
-    PathChoice choice;
+    PathChooser choice;
     int own = 0;
     for (int i = 0; i < 50; i++) {
-      const PathAnswer answer =
-          choice.Choose(question, {.mUnseen = 5000, .mRevision = 1});
+      const PathResult answer = choice.Choose(
+          question, {.mUnreportedRequests = 5000, .mRevision = 1});
       REQUIRE(!answer.mPath.empty());
       const std::string& first = answer.mPath.front().mInstance;
-      own += answer.mDealt && first.starts_with("zone-1") ? 1 : 0;
+      own += answer.mDrawnByWeight && first.starts_with("zone-1") ? 1 : 0;
     }
     return own;
   };
--- a/tests/servers/registry_test.cpp
+++ b/tests/servers/registry_test.cpp
@@ -498,7 +498,7 @@
     LoadTable loads;
     loads.mInstances = {"a", "b", "", "d", "e"};
     loads.mRequests = {1, -2, 3, 4};
-    const LoadShares shares = UsableRows(loads, onBad).Shares();
+    const LoadShares shares = UsableRows(loads, onBad).ToShares();
     CHECK(shares.size() == 2);
     CHECK(shares.at("d").mRequests == 4);
     Json::Value table = ToJson(loads);
--- a/tests/servers/retry_pool_test.cpp
+++ b/tests/servers/retry_pool_test.cpp
@@ -20,7 +20,7 @@
 RetryAllowanceOptions Options(Millis aStartedAt) {
   return {.mRatio = 0,
           .mSlack = kSlack,
-          .mPooled = kUsualPooledRetries,
+          .mPooledShare = kDefaultPooledRetries,
           .mStartedAt = aStartedAt};
 }
 
@@ -44,7 +44,7 @@
 
 Test(retry_pool, a_router_in_need_gets_many_times_its_equal_part) {
   RetryPool pool(Options(kOldStart));
-  const RoutersHere third{.mHere = 29, .mAll = kRouters};
+  const RouterShare third{.mLocal = 29, .mTotal = kRouters};
   const double equal = kSlack / kRouters;
   const int granted = pool.Grant(32, third, kNow);
   CHECK(granted == 32);
@@ -73,9 +73,9 @@
   }
   CHECK(spent > 240);
   RetryPool pool(Options(kOldStart));
-  CHECK(pool.Grant(5, {.mHere = 1, .mAll = 1}, kNow) == 0);
+  CHECK(pool.Grant(5, {.mLocal = 1, .mTotal = 1}, kNow) == 0);
   SECTION("nor by a control that no router tells anything") {
-    CHECK(pool.Grant(5, {.mHere = 0, .mAll = kRouters}, kNow) == 0);
+    CHECK(pool.Grant(5, {.mLocal = 0, .mTotal = kRouters}, kNow) == 0);
   }
 }
 
@@ -83,7 +83,7 @@
   RetryAllowance own(Options(kOldStart));
   while (own.TrySpend(kRouters, kNow)) {
   }
-  own.Credit(3, kNow);
+  own.AddCredits(3, kNow);
   CHECK(own.TrySpend(kRouters, kNow + 20));
   CHECK(own.TrySpend(kRouters, kNow + 90));
   SECTION("control counted it at the moment that it was handed out") {
--- a/tests/servers/routing_test.cpp
+++ b/tests/servers/routing_test.cpp
@@ -77,8 +77,8 @@
 
 Test(chain_chooser, finds_the_cheapest_of_all_chains) {
   std::mt19937 random(7);
-  const auto pick = [&random](int aLeast, int aMost) {
-    return std::uniform_int_distribution<int>(aLeast, aMost)(random);
+  const auto pick = [&random](int aLeast, int aMax) {
+    return std::uniform_int_distribution<int>(aLeast, aMax)(random);
   };
   for (int round = 0; round < 300; round++) {
     std::vector<ChainCandidate> engines;
@@ -124,15 +124,15 @@
     const std::vector<std::string> zones = {"z1"};
     query.mZones = zones;
     const ChainChoice choice = ChooseChain(engines, query);
-    CHECK(choice.mStages[0] == 1 && choice.mRefused.mZone == 1);
-    CHECK(choice.mRefused.mOtherModel == 1 && choice.mRefused.mUnusable == 1);
+    CHECK(choice.mStages[0] == 1 && choice.mRejected.mZone == 1);
+    CHECK(choice.mRejected.mOtherModel == 1 && choice.mRejected.mUnusable == 1);
   }
   SECTION("only the hardware allowed") {
     ChainQuery query = MakeQuery(8);
     const std::vector<std::string> hardware = {"h100"};
     query.mHardware = hardware;
     const ChainChoice choice = ChooseChain(engines, query);
-    CHECK(!choice.Found() && choice.mRefused.mHardware == 2);
+    CHECK(!choice.Found() && choice.mRejected.mHardware == 2);
   }
   SECTION("none of those excluded") {
     ChainQuery query = MakeQuery(8);
@@ -148,8 +148,8 @@
 }
 
 Test(token_gate, lets_through_only_the_next_token_of_the_own_attempt) {
-  TokenGate gate("r", 8);
-  gate.NextAttempt();
+  TokenFilter gate("r", 8);
+  gate.BeginAttempt();
   CHECK(gate.Check(Frame("r", 1, 0)) == TokenVerdict::kDeliver);
   CHECK(gate.Check(Frame("s", 1, 1)) == TokenVerdict::kOtherRequest);
   CHECK(gate.Check(Frame("r", 1, 0)) == TokenVerdict::kDuplicate);
@@ -158,8 +158,8 @@
   lame.mLayers = 4;
   CHECK(gate.Check(lame) == TokenVerdict::kWrongLayers);
   SECTION("a further attempt goes on where the last one stopped") {
-    CHECK(gate.NextAttempt() == 2);
-    CHECK(gate.Check(Frame("r", 1, 1)) == TokenVerdict::kOldAttempt);
+    CHECK(gate.BeginAttempt() == 2);
+    CHECK(gate.Check(Frame("r", 1, 1)) == TokenVerdict::kStaleAttempt);
     CHECK(gate.Check(Frame("r", 2, 1, true)) == TokenVerdict::kDeliver);
     CHECK(gate.Check(Frame("r", 2, 2)) == TokenVerdict::kAfterEnd);
     CHECK(gate.Ended() && gate.Delivered() == 2);
@@ -167,7 +167,8 @@
 }
 
 Test(retry_budget, retries_stay_a_share_of_the_traffic) {
-  RetryBudget budget({.mShare = 0.1, .mMaximum = 20, .mStart = 5});
+  RetryBudget budget(
+      {.mEarnedPerRequest = 0.1, .mMaxBalance = 20, .mInitialBalance = 5});
   int spent = 0;
   for (int i = 0; i < 1000; i++) {
     budget.RequestStarted();
