--- a/tests/servers/sample_test.cpp
+++ b/tests/servers/sample_test.cpp
@@ -58,12 +58,12 @@
     return views;
   }
 
-  PathQuestion Question(std::vector<const UpstreamRecord*> aEngines) {
-    PathQuestion question;
+  PathQuery Question(std::vector<const UpstreamRecord*> aEngines) {
+    PathQuery question;
     question.mProfile = &mProfile;
     question.mZone = "z";
     question.mTokens = 900;
-    question.mReadTokens = 760;
+    question.mPrefillTokens = 760;
     question.mAnswerTokens = 140;
     question.mEngines = std::move(aEngines);
     question.mLoadOf = [](const std::string&) { return EngineLoad(); };
@@ -95,7 +95,7 @@
   std::vector<const UpstreamRecord*> few = fleet.Views();
   few.resize(100);
   const EngineSample sample =
-      SampleEngines(few, "z", SampleReach::kOwnZone, [] { return 0.5; });
+      SampleEngines(few, "z", SampleScope::kLocalZone, [] { return 0.5; });
   CHECK(sample.mEngines == few);
   CHECK(sample.mShare == 1);
 }
@@ -108,12 +108,12 @@
   std::map<std::string, int> counts;
   for (int i = 0; i < kChoices; i++) {
     const EngineSample sample = SampleEngines(
-        all, "z", SampleReach::kOwnZone, [&fleet] { return fleet.Random(); });
+        all, "z", SampleScope::kLocalZone, [&fleet] { return fleet.Random(); });
     CHECK(sample.mEngines.size() < 150);
-    const PathAnswer answer = ChoosePath(fleet.Question(sample.mEngines));
+    const PathResult answer = ChoosePath(fleet.Question(sample.mEngines));
     REQUIRE(!answer.mPath.empty());
     int reached = 0;
-    for (const PathPart& part : answer.mPath) {
+    for (const PathStage& part : answer.mPath) {
       CHECK(part.mLayers.mFrom == reached);
       reached = part.mLayers.mTo;
       counts[part.mInstance]++;
@@ -124,7 +124,7 @@
   SECTION("which they do not where each looks at all") {
     std::map<std::string, int> same;
     for (int i = 0; i < kChoices / 10; i++) {
-      for (const PathPart& part : ChoosePath(fleet.Question(all)).mPath) {
+      for (const PathStage& part : ChoosePath(fleet.Question(all)).mPath) {
         same[part.mInstance] += 10;
       }
     }
@@ -140,28 +140,28 @@
   });
   const auto random = [&fleet] { return fleet.Random(); };
   const EngineSample own =
-      SampleEngines(engines, "z", SampleReach::kOwnZone, random);
+      SampleEngines(engines, "z", SampleScope::kLocalZone, random);
   CHECK(own.mShare < 1);
   CHECK(ChoosePath(fleet.Question(own.mEngines)).mPath.empty());
   const EngineSample wide =
-      SampleEngines(engines, "z", SampleReach::kAllZones, random);
+      SampleEngines(engines, "z", SampleScope::kAllZones, random);
   CHECK(!ChoosePath(fleet.Question(wide.mEngines)).mPath.empty());
 }
 
 Test(sample, dealing_over_a_sample_remembers_no_earlier_one) {
   Fleet fleet;
   const std::vector<const UpstreamRecord*> all = fleet.Views();
-  PathChoice choice;
+  PathChooser choice;
   std::set<std::string> firsts;
   for (int i = 0; i < 20; i++) {
-    EngineSample sample = SampleEngines(all, "z", SampleReach::kOwnZone,
+    EngineSample sample = SampleEngines(all, "z", SampleScope::kLocalZone,
                                         [&fleet] { return fleet.Random(); });
-    PathQuestion question = fleet.Question(sample.mEngines);
+    PathQuery question = fleet.Question(sample.mEngines);
     question.mSampleShare = sample.mShare;
-    const PathAnswer answer =
-        choice.Choose(question, {.mUnseen = 1e6, .mRevision = 1, .mNow = i});
+    const PathResult answer = choice.Choose(
+        question, {.mUnreportedRequests = 1e6, .mRevision = 1, .mNow = i});
     REQUIRE(!answer.mPath.empty());
-    for (const PathPart& part : answer.mPath) {
+    for (const PathStage& part : answer.mPath) {
       const bool seen =
           std::any_of(sample.mEngines.begin(), sample.mEngines.end(),
                       [&part](const UpstreamRecord* aEngine) {
--- a/tests/servers/sources_test.cpp
+++ b/tests/servers/sources_test.cpp
@@ -104,11 +104,11 @@
   SECTION("others are asked more seldom while it answers and bytes are dear") {
     AskedControl far{.mPeriod = 150, .mHearsNear = true};
     CHECK(AskAgainAfter(far) == 1200);
-    far.mCosts.mZoneByte = 0.5;
+    far.mCosts.mInterZoneByte = 0.5;
     CHECK(AskAgainAfter(far) == 900);
-    far.mCosts.mZoneByte = 0;
+    far.mCosts.mInterZoneByte = 0;
     CHECK(AskAgainAfter(far) == 600);
-    far.mCosts.mZoneByte = 1;
+    far.mCosts.mInterZoneByte = 1;
     far.mHearsNear = false;
     CHECK(AskAgainAfter(far) == 600);
     // No longer than an upstream that leaves may get new work.
@@ -182,38 +182,40 @@
 }
 
 Test(loads, each_router_is_told_of_all_others) {
-  LoadBook book({.mKept = 2500, .mSumEvery = 40});
-  ToldLoads first;
-  ToldLoads second;
-  book.Tell("r1", first.Tell(Work("a", 3)), Work("a", 3), 0);
-  book.Tell("r2", second.Tell(Work("a", 4)), Work("a", 4), 0);
-  book.TellOfControl("c2", Work("a", 10), 5, 0);
-  const auto others = [&book](const ToldLoads& aTold,
+  LoadAggregator book({.mReportRetention = 2500, .mSumInterval = 40});
+  ReportedLoads first;
+  ReportedLoads second;
+  book.OnRouterReport("r1", first.Record(Work("a", 3)), Work("a", 3), 0);
+  book.OnRouterReport("r2", second.Record(Work("a", 4)), Work("a", 4), 0);
+  book.OnControlReport("c2", Work("a", 10), 5, 0);
+  const auto others = [&book](const ReportedLoads& aTold,
                               const std::string& aProcess, Millis aNow) {
     const LoadShares sum =
         UnpackLoads(book.PackedSum("z", ZoneOfAll, aNow).mText);
-    return aTold.OthersIn(sum, book.SummedOf(aProcess)).at("a").mRequests;
+    return aTold.SubtractReported(sum, book.IncludedSequence(aProcess))
+        .at("a")
+        .mRequests;
   };
   SECTION("its own work is not among it") {
     CHECK(others(first, "r1", 0) == 14);
     CHECK(others(second, "r2", 0) == 13);
   }
   SECTION("also between two sums its own work is taken out as it was added") {
-    book.Tell("r1", first.Tell(Work("a", 100)), Work("a", 100), 10);
+    book.OnRouterReport("r1", first.Record(Work("a", 100)), Work("a", 100), 10);
     CHECK(others(first, "r1", 10) == 14);
     CHECK(others(second, "r2", 60) == 110);
     CHECK(others(first, "r1", 60) == 14);
   }
   SECTION("another control is told only what was told here") {
-    CHECK(UnpackLoads(book.PackedOwn(60).mText).at("a").mRequests == 104);
+    CHECK(UnpackLoads(book.PackedLocal(60).mText).at("a").mRequests == 104);
     CHECK(book.AllRouters(60) == 7);
   }
   SECTION("who says nothing counts for nothing") {
-    book.Tell("r2", second.Tell(Work("a", 1)), Work("a", 1), 2000);
+    book.OnRouterReport("r2", second.Record(Work("a", 1)), Work("a", 1), 2000);
     CHECK(UnpackLoads(book.PackedSum("z", ZoneOfAll, 2600).mText)
               .at("a")
               .mRequests == 1);
-    CHECK(book.SummedOf("r1") == 0);
+    CHECK(book.IncludedSequence("r1") == 0);
     // Those of a silent control may go on at the other side of a cut.
     CHECK(book.AllRouters(2600) == 6);
     CHECK(book.AllRouters(60000) == 5);
@@ -222,17 +224,18 @@
 }
 
 Test(loads, a_router_counts_once_though_its_process_starts_again) {
-  LoadBook book({.mKept = 2500});
-  ToldLoads told;
-  book.Tell("r1/a", told.Tell(Work("u", 3)), Work("u", 3), 0);
-  book.Tell("r2/a", told.Tell(Work("u", 4)), Work("u", 4), 0);
+  LoadAggregator book({.mReportRetention = 2500});
+  ReportedLoads told;
+  book.OnRouterReport("r1/a", told.Record(Work("u", 3)), Work("u", 3), 0);
+  book.OnRouterReport("r2/a", told.Record(Work("u", 4)), Work("u", 4), 0);
   SECTION("the work of the process before it goes") {
-    book.Tell("r1/b", 1, Work("u", 1), 100);
-    CHECK(book.OwnRouters(100) == 2);
+    book.OnRouterReport("r1/b", 1, Work("u", 1), 100);
+    CHECK(book.LocalRouters(100) == 2);
     CHECK(UnpackLoads(book.PackedSum("z", ZoneOfAll, 100).mText)
               .at("u")
               .mRequests == 5);
-    CHECK(book.SummedOf("r1/a") == 0 && book.SummedOf("r1/b") == 1);
+    CHECK(book.IncludedSequence("r1/a") == 0 &&
+          book.IncludedSequence("r1/b") == 1);
   }
 }
 
@@ -270,45 +273,46 @@
 }
 
 Test(loads, routers_of_a_large_fleet_are_told_those_of_their_zone) {
-  LoadBook book({.mKept = 2500, .mSumEvery = 40, .mWholeRows = 2});
+  LoadAggregator book(
+      {.mReportRetention = 2500, .mSumInterval = 40, .mMaxUnfilteredRows = 2});
   const ZoneHook zoneOf = [](const std::string& aInstance) {
     return aInstance.substr(0, 1);
   };
   LoadShares shares = Work("a1", 1);
   shares.merge(Work("b1", 2));
-  book.Tell("r1", 1, shares, 0);
+  book.OnRouterReport("r1", 1, shares, 0);
   CHECK(UnpackLoads(book.PackedSum("a", zoneOf, 0).mText).size() == 2);
   shares.merge(Work("b2", 3));
-  book.Tell("r1", 2, shares, 50);
+  book.OnRouterReport("r1", 2, shares, 50);
   const PackedLoads ofA = book.PackedSum("a", zoneOf, 50);
   const PackedLoads ofB = book.PackedSum("b", zoneOf, 50);
   CHECK(UnpackLoads(ofA.mText).size() == 1);
   CHECK(UnpackLoads(ofB.mText).size() == 2);
   SECTION("by a number that stands for nothing else") {
-    CHECK(ofA.mNumber != ofB.mNumber);
-    CHECK(book.PackedSum("a", zoneOf, 60).mNumber == ofA.mNumber);
-    CHECK(book.PackedSum("a", zoneOf, 100).mNumber > ofB.mNumber);
+    CHECK(ofA.mSequence != ofB.mSequence);
+    CHECK(book.PackedSum("a", zoneOf, 60).mSequence == ofA.mSequence);
+    CHECK(book.PackedSum("a", zoneOf, 100).mSequence > ofB.mSequence);
   }
 }
 
 Test(loads, what_is_not_remembered_is_not_taken_out) {
-  ToldLoads told;
+  ReportedLoads told;
   for (int i = 1; i <= 6; i++) {
-    CHECK(told.Tell(Work("a", i)) == i);
+    CHECK(told.Record(Work("a", i)) == i);
   }
-  CHECK(told.OthersIn(Work("a", 10), 6).at("a").mRequests == 4);
-  CHECK(told.OthersIn(Work("a", 10), 1).at("a").mRequests == 10);
-  CHECK(told.OthersIn(Work("a", 10), 0).at("a").mRequests == 10);
-  CHECK(told.OthersIn({}, 6).empty());
+  CHECK(told.SubtractReported(Work("a", 10), 6).at("a").mRequests == 4);
+  CHECK(told.SubtractReported(Work("a", 10), 1).at("a").mRequests == 10);
+  CHECK(told.SubtractReported(Work("a", 10), 0).at("a").mRequests == 10);
+  CHECK(told.SubtractReported({}, 6).empty());
 }
 
 Test(loads, upstreams_are_lost_by_several_witnesses) {
-  LoadBook book({.mKept = 2500, .mSumEvery = 40});
-  LoadShares lost{{"a", {.mInstance = "a", .mUnreachable = 1}}};
-  book.Tell("r1", 1, lost, 0);
-  CHECK(book.Unreachable(2, 0).empty());
-  book.TellOfControl("c2", lost, 1, 50);
-  CHECK(book.Unreachable(2, 50).contains("a"));
+  LoadAggregator book({.mReportRetention = 2500, .mSumInterval = 40});
+  LoadShares lost{{"a", {.mInstance = "a", .mUnreachableReporters = 1}}};
+  book.OnRouterReport("r1", 1, lost, 0);
+  CHECK(book.UnreachableUpstreams(2, 0).empty());
+  book.OnControlReport("c2", lost, 1, 50);
+  CHECK(book.UnreachableUpstreams(2, 50).contains("a"));
 }
 
 Test(loads, tables_travel_without_rows_of_nothing) {
@@ -316,8 +320,8 @@
   shares["idle"].mInstance = "idle";
   LoadTable table = LoadTable::Of(shares);
   CHECK(table.mInstances.size() == 1);
-  CHECK(table.mUnreachable.empty());
-  CHECK(table.Shares() == Work("a", 2));
-  table.mFirsts = {1, 2};
-  CHECK(CodeThrownBy([&table] { table.Shares(); }) == ResultCode::kBadField);
+  CHECK(table.mUnreachableReporters.empty());
+  CHECK(table.ToShares() == Work("a", 2));
+  table.mFirstStageRequests = {1, 2};
+  CHECK(CodeThrownBy([&table] { table.ToShares(); }) == ResultCode::kBadField);
 }
--- a/tests/servers/streams_test.cpp
+++ b/tests/servers/streams_test.cpp
@@ -10,9 +10,9 @@
       "id: 1\ndata: a\n\nid:2\r\ndata: b\r\n\r\n: note\n\nid: 3\ndata: c";
   for (std::size_t step = 1; step <= bytes.size(); step++) {
     EventReader reader;
-    std::vector<RelayedEvent> events;
+    std::vector<ServerSentEvent> events;
     for (std::size_t at = 0; at < bytes.size(); at += step) {
-      for (RelayedEvent& event : reader.Take(bytes.substr(at, step))) {
+      for (ServerSentEvent& event : reader.Append(bytes.substr(at, step))) {
         events.push_back(std::move(event));
       }
     }
@@ -20,17 +20,17 @@
     CHECK(events[0].mId == 1 && events[0].mBytes == "id: 1\ndata: a\n\n");
     CHECK(events[1].mId == 2);
     CHECK(!events[2].mId.has_value());
-    CHECK(reader.Rest() == "id: 3\ndata: c");
+    CHECK(reader.Incomplete() == "id: 3\ndata: c");
   }
 }
 
 Test(streams, an_engine_is_suspected_when_all_its_streams_pause) {
-  ProgressWatch watch;
+  StallDetector watch;
   const auto run = [&watch](Millis aFrom, Millis aTo,
                             std::initializer_list<StreamKey> aKeys) {
     for (Millis at = aFrom; at < aTo; at += 50) {
       for (StreamKey key : aKeys) {
-        watch.Progress(key, at + static_cast<Millis>(key));
+        watch.OnEvent(key, at + static_cast<Millis>(key));
       }
     }
   };
@@ -38,27 +38,27 @@
   watch.Begin(2, {"a", "c"}, 0);
   watch.Begin(3, {"d", "c"}, 0);
   run(50, 1000, {1, 2, 3});
-  CHECK(watch.Suspects(1000).empty());
+  CHECK(watch.SuspectInstances(1000).empty());
   SECTION("b stands still, the others go on") {
     run(1000, 1400, {2, 3});
-    CHECK(watch.Suspects(1390) == std::vector<std::string>{"b"});
-    CHECK(watch.Silent(300, 1390) == std::vector<StreamKey>{1});
+    CHECK(watch.SuspectInstances(1390) == std::vector<std::string>{"b"});
+    CHECK(watch.SilentStreams(300, 1390) == std::vector<StreamKey>{1});
   }
   SECTION("a caller that reads slowly proves nothing") {
     watch.Suspend(1);
-    CHECK(watch.Suspects(1390).empty());
+    CHECK(watch.SuspectInstances(1390).empty());
   }
   SECTION("streams that ended prove nothing") {
     watch.End(1);
     watch.End(2);
     watch.End(3);
-    CHECK(watch.Suspects(9000).empty());
+    CHECK(watch.SuspectInstances(9000).empty());
   }
 }
 
 Test(streams, retries_stay_within_their_share) {
   RetryAllowance allowance(
-      {.mRatio = 0.2, .mWindow = 10000, .mSlack = 80, .mUsed = 1});
+      {.mRatio = 0.2, .mWindow = 10000, .mSlack = 80, .mUsableShare = 1});
   int spent = 0;
   SECTION("the slack is divided by the routers") {
     while (allowance.TrySpend(8, 0)) {
@@ -74,7 +74,7 @@
       spent++;
     }
     CHECK(spent == 30);
-    CHECK(allowance.Left(8, 30000) == 10);
+    CHECK(allowance.Available(8, 30000) == 10);
   }
 }
 
