--- a/bench/choice_play.h
+++ b/bench/choice_play.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "spindleweir/servers/routing/engine_pace.h"
-#include "spindleweir/servers/routing/path_choice.h"
-#include "spindleweir/servers/routing/path_pace.h"
+#include "spindleweir/servers/routing/engine_slowdowns.h"
+#include "spindleweir/servers/routing/path_chooser.h"
+#include "spindleweir/servers/routing/path_timing.h"
 
 namespace spindleweir {
 
--- a/daemons/bad_words.h
+++ b/daemons/bad_words.h
@@ -12,7 +12,7 @@
 #include "spindleweir/core/counters.h"
 #include "spindleweir/servers/membership/upstream_check.h"
 #include "spindleweir/servers/membership/upstream_feed.h"
-#include "spindleweir/servers/routing/load_book.h"
+#include "spindleweir/servers/routing/load_aggregator.h"
 
 namespace spindleweir {
 
--- a/daemons/relay/relay_context.h
+++ b/daemons/relay/relay_context.h
@@ -27,12 +27,12 @@
 #include "spindleweir/servers/routes/route_table.h"
 #include "spindleweir/servers/routes/traffic_change.h"
 #include "spindleweir/servers/routing/arrival_rate.h"
-#include "spindleweir/servers/routing/engine_pace.h"
 #include "spindleweir/servers/routing/engine_sample.h"
+#include "spindleweir/servers/routing/engine_slowdowns.h"
+#include "spindleweir/servers/routing/inter_zone_budget.h"
 #include "spindleweir/servers/routing/layer_path.h"
-#include "spindleweir/servers/routing/load_book.h"
-#include "spindleweir/servers/routing/path_choice.h"
-#include "spindleweir/servers/routing/pipe_allowance.h"
+#include "spindleweir/servers/routing/load_aggregator.h"
+#include "spindleweir/servers/routing/path_chooser.h"
 #include "spindleweir/servers/routing/retry_allowance.h"
 
 namespace spindleweir {
--- a/daemons/relay/relay_request.h
+++ b/daemons/relay/relay_request.h
@@ -12,7 +12,7 @@
 #include "daemons/relay/stream_guard.h"
 #include "spindleweir/drivers/stream_client.h"
 #include "spindleweir/drivers/stream_server.h"
-#include "spindleweir/servers/routing/path_pace.h"
+#include "spindleweir/servers/routing/path_timing.h"
 #include "spindleweir/servers/routing/service_choice.h"
 #include "spindleweir/servers/streams/event_reader.h"
 
--- a/daemons/relay/stream_guard.h
+++ b/daemons/relay/stream_guard.h
@@ -10,7 +10,7 @@
 
 #include "daemons/relay/relay_context.h"
 #include "spindleweir/drivers/stream_client.h"
-#include "spindleweir/servers/streams/progress_watch.h"
+#include "spindleweir/servers/streams/stall_detector.h"
 
 namespace spindleweir {
 
--- a/daemons/relay/sync_link.h
+++ b/daemons/relay/sync_link.h
@@ -7,7 +7,7 @@
 
 #include "daemons/relay/relay_context.h"
 #include "spindleweir/servers/membership/ask_schedule.h"
-#include "spindleweir/servers/routing/told_loads.h"
+#include "spindleweir/servers/routing/reported_loads.h"
 
 namespace spindleweir {
 
--- a/daemons/router/completion.h
+++ b/daemons/router/completion.h
@@ -9,7 +9,7 @@
 
 #include "daemons/router/caller_work.h"
 #include "daemons/router/completion_body.h"
-#include "spindleweir/servers/routing/token_gate.h"
+#include "spindleweir/servers/routing/token_filter.h"
 
 namespace spindleweir {
 
--- a/drivers/frame_reader.h
+++ b/drivers/frame_reader.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "spindleweir/core/json_codec.h"
-#include "spindleweir/servers/routing/token_gate.h"
+#include "spindleweir/servers/routing/token_filter.h"
 
 namespace spindleweir {
 
--- a/include/spindleweir/daemons/sync_messages.h
+++ b/include/spindleweir/daemons/sync_messages.h
@@ -11,7 +11,7 @@
 #include "spindleweir/servers/membership/upstream_feed.h"
 #include "spindleweir/servers/membership/upstream_table.h"
 #include "spindleweir/servers/routes/traffic_change.h"
-#include "spindleweir/servers/routing/load_book.h"
+#include "spindleweir/servers/routing/load_aggregator.h"
 
 namespace spindleweir {
 
--- a/include/spindleweir/drivers/engine_client.h
+++ b/include/spindleweir/drivers/engine_client.h
@@ -14,7 +14,7 @@
 #include "spindleweir/drivers/http_client.h"
 #include "spindleweir/servers/placement/engine_report.h"
 #include "spindleweir/servers/placement/order_planner.h"
-#include "spindleweir/servers/routing/token_gate.h"
+#include "spindleweir/servers/routing/token_filter.h"
 
 namespace spindleweir {
 
--- a/include/spindleweir/servers/limits/named_limits.h
+++ b/include/spindleweir/servers/limits/named_limits.h
@@ -9,7 +9,7 @@
 #include <string>
 
 #include "spindleweir/core/clock.h"
-#include "spindleweir/servers/routing/load_book.h"
+#include "spindleweir/servers/routing/load_aggregator.h"
 
 namespace spindleweir {
 
--- a/include/spindleweir/servers/routing/engine_pace.h
+++ b/include/spindleweir/servers/routing/engine_slowdowns.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "spindleweir/core/clock.h"
-#include "spindleweir/servers/routing/load_book.h"
+#include "spindleweir/servers/routing/load_aggregator.h"
 
 namespace spindleweir {
 
--- a/include/spindleweir/servers/routing/told_loads.h
+++ b/include/spindleweir/servers/routing/reported_loads.h
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <deque>
 
-#include "spindleweir/servers/routing/load_book.h"
+#include "spindleweir/servers/routing/load_aggregator.h"
 
 namespace spindleweir {
 
--- a/servers/routing/engine_pace.cpp
+++ b/servers/routing/engine_slowdowns.cpp
@@ -1,4 +1,4 @@
-#include "spindleweir/servers/routing/engine_pace.h"
+#include "spindleweir/servers/routing/engine_slowdowns.h"
 
 #include <algorithm>
 #include <cmath>
--- a/servers/routing/pipe_allowance.cpp
+++ b/servers/routing/inter_zone_budget.cpp
@@ -1,4 +1,4 @@
-#include "spindleweir/servers/routing/pipe_allowance.h"
+#include "spindleweir/servers/routing/inter_zone_budget.h"
 
 #include <algorithm>
 
--- a/servers/routing/load_book.cpp
+++ b/servers/routing/load_aggregator.cpp
@@ -1,4 +1,4 @@
-#include "spindleweir/servers/routing/load_book.h"
+#include "spindleweir/servers/routing/load_aggregator.h"
 
 #include "servers/routing/load_check.h"
 
--- a/servers/routing/load_check.h
+++ b/servers/routing/load_check.h
@@ -3,7 +3,7 @@
 
 #include <json/value.h>
 
-#include "spindleweir/servers/routing/load_book.h"
+#include "spindleweir/servers/routing/load_aggregator.h"
 
 namespace spindleweir {
 
--- a/servers/routing/path_choice.cpp
+++ b/servers/routing/path_chooser.cpp
@@ -1,4 +1,4 @@
-#include "spindleweir/servers/routing/path_choice.h"
+#include "spindleweir/servers/routing/path_chooser.h"
 
 #include <algorithm>
 #include <functional>
--- a/servers/routing/path_pace.cpp
+++ b/servers/routing/path_timing.cpp
@@ -1,4 +1,4 @@
-#include "spindleweir/servers/routing/path_pace.h"
+#include "spindleweir/servers/routing/path_timing.h"
 
 #include <algorithm>
 
--- a/servers/routing/told_loads.cpp
+++ b/servers/routing/reported_loads.cpp
@@ -1,4 +1,4 @@
-#include "spindleweir/servers/routing/told_loads.h"
+#include "spindleweir/servers/routing/reported_loads.h"
 
 namespace spindleweir {
 
--- a/servers/routing/token_gate.cpp
+++ b/servers/routing/token_filter.cpp
@@ -1,4 +1,4 @@
-#include "spindleweir/servers/routing/token_gate.h"
+#include "spindleweir/servers/routing/token_filter.h"
 
 namespace spindleweir {
 
--- a/servers/streams/progress_watch.cpp
+++ b/servers/streams/stall_detector.cpp
@@ -1,4 +1,4 @@
-#include "spindleweir/servers/streams/progress_watch.h"
+#include "spindleweir/servers/streams/stall_detector.h"
 
 #include <algorithm>
 #include <compare>
--- a/tests/servers/layers_test.cpp
+++ b/tests/servers/layers_test.cpp
@@ -1,8 +1,8 @@
 #include <map>
 
 #include "spindleweir/servers/placement/layer_planner.h"
+#include "spindleweir/servers/routing/inter_zone_budget.h"
 #include "spindleweir/servers/routing/layer_path.h"
-#include "spindleweir/servers/routing/pipe_allowance.h"
 #include "tests/test_tools.h"
 
 using namespace spindleweir;
--- a/tests/servers/registry_test.cpp
+++ b/tests/servers/registry_test.cpp
@@ -5,7 +5,7 @@
 #include "spindleweir/servers/membership/upstream_registry.h"
 #include "spindleweir/servers/membership/upstream_table.h"
 #include "spindleweir/servers/membership/voter_plan.h"
-#include "spindleweir/servers/routing/load_book.h"
+#include "spindleweir/servers/routing/load_aggregator.h"
 #include "tests/test_tools.h"
 
 using namespace spindleweir;
--- a/tests/servers/routing_test.cpp
+++ b/tests/servers/routing_test.cpp
@@ -4,7 +4,7 @@
 
 #include "spindleweir/servers/routing/chain_chooser.h"
 #include "spindleweir/servers/routing/retry_budget.h"
-#include "spindleweir/servers/routing/token_gate.h"
+#include "spindleweir/servers/routing/token_filter.h"
 #include "spindleweir/servers/routing/upstream_view.h"
 #include "tests/test_tools.h"
 
--- a/tests/servers/sample_test.cpp
+++ b/tests/servers/sample_test.cpp
@@ -4,7 +4,7 @@
 
 #include "spindleweir/servers/placement/layer_planner.h"
 #include "spindleweir/servers/routing/engine_sample.h"
-#include "spindleweir/servers/routing/path_choice.h"
+#include "spindleweir/servers/routing/path_chooser.h"
 #include "tests/test_tools.h"
 
 using namespace spindleweir;
--- a/tests/servers/pace_test.cpp
+++ b/tests/servers/slowdown_test.cpp
@@ -1,8 +1,8 @@
 #include <algorithm>
 
 #include "bench/choice_play.h"
-#include "spindleweir/servers/routing/engine_pace.h"
-#include "spindleweir/servers/routing/path_pace.h"
+#include "spindleweir/servers/routing/engine_slowdowns.h"
+#include "spindleweir/servers/routing/path_timing.h"
 #include "tests/test_tools.h"
 
 using namespace spindleweir;
--- a/tests/servers/sources_test.cpp
+++ b/tests/servers/sources_test.cpp
@@ -4,8 +4,8 @@
 #include "spindleweir/servers/membership/source_choice.h"
 #include "spindleweir/servers/routes/configuration_lease.h"
 #include "spindleweir/servers/routes/newest_confirmation.h"
-#include "spindleweir/servers/routing/load_book.h"
-#include "spindleweir/servers/routing/told_loads.h"
+#include "spindleweir/servers/routing/load_aggregator.h"
+#include "spindleweir/servers/routing/reported_loads.h"
 #include "tests/test_tools.h"
 
 using namespace spindleweir;
--- a/tests/servers/streams_test.cpp
+++ b/tests/servers/streams_test.cpp
@@ -1,6 +1,6 @@
 #include "spindleweir/servers/routing/retry_allowance.h"
 #include "spindleweir/servers/streams/event_reader.h"
-#include "spindleweir/servers/streams/progress_watch.h"
+#include "spindleweir/servers/streams/stall_detector.h"
 #include "tests/test_tools.h"
 
 using namespace spindleweir;
