--- a/include/spindleweir/servers/routing/arrival_rate.h
+++ b/include/spindleweir/servers/routing/arrival_rate.h
@@ -1,26 +1,26 @@
-/// How many requests come in a time, from those that came lately.
+/// Estimates a request rate from recent arrivals.
 #pragma once
 
 #include "spindleweir/core/clock.h"
 
 namespace spindleweir {
 
-/// Older arrivals count less and less. Decisions only: the time comes with
-/// each call.
+/// Exponentially decaying average of arrivals. Takes the current time with each
+/// call.
 class ArrivalRate {
  public:
   void Add(Millis aNow);
-  /// Arrivals a millisecond.
+  /// Arrivals per millisecond.
   double PerMilli(Millis aNow) const;
-  /// The same without one that arrived at aArrivedAt, the last or an earlier
-  /// one. Who asks how much others are asked must not count itself: where
-  /// arrivals are rare it would find several times what they are.
+  /// The same without one arrival at aArrivedAt, the last or an earlier one. A
+  /// request that estimates the rate of the other requests must not count
+  /// itself: if arrivals are rare, the result would be several times too high.
   double PerMilliExcluding(Millis aArrivedAt, Millis aNow) const;
 
  private:
   double DecayedCount(Millis aNow) const;
 
-  double mCount = 0;  ///< Arrivals, each by its age, at mCountedAt.
+  double mCount = 0;  ///< Arrivals weighted by age, as of mCountedAt.
   Millis mCountedAt = 0;
 };
 
--- a/include/spindleweir/servers/routing/engine_slowdowns.h
+++ b/include/spindleweir/servers/routing/engine_slowdowns.h
@@ -1,6 +1,6 @@
-/// Which engines are slow: judged by the delays of streams and by the engines'
-/// own reports, which are asked for only where there is suspicion and shared
-/// with all routers in the loads.
+/// Detects slow engines from the delays of streams and from the engines' own
+/// reports. Routers poll only suspected engines for a report, and share the
+/// result with all routers in the load reports.
 #pragma once
 
 #include <compare>
@@ -16,132 +16,137 @@
 
 namespace spindleweir {
 
-/// How suspicion is followed and how long a judgement holds.
+/// Thresholds, poll limits and lifetimes of slowdown detection.
 struct EngineSlowdownOptions {
-  /// An engine that takes so many times as long as its model says is slow: the
-  /// model itself is off by up to a third under load, and paths of eight parts
-  /// bear one part at this pace within the usual pauses.
+  /// An engine is slow from this slowdown factor on. The model itself is off by
+  /// up to a third under load, and a path of eight stages keeps to typical
+  /// pauses with one stage at this factor.
   double mSlowThreshold = 1.5;
-  /// An engine's report, and what others tell of it, holds for so long.
+  /// Lifetime of an engine's report and of the reports of peers about it.
   Millis mReportLifetime = 1500;
-  /// A report that is newer goes before what others tell, which is half a
-  /// second to a second old; from then on an engine that is judged slow is
-  /// asked again.
+  /// A local report younger than this takes precedence over peer reports, which
+  /// are half a second to a second old. After this time a slow engine is polled
+  /// again.
   Millis mRepollDelay = 700;
-  /// What others tell is so old, at most.
+  /// Maximum age of peer reports on arrival.
   Millis mPeerReportAge = 1000;
-  /// An engine's report tells how it was so long ago, at most: streams that
-  /// blame it since are not contradicted by it.
+  /// An engine's report describes a state at most this long ago. It does not
+  /// contradict streams that blame the engine since then.
   Millis mReportLag = 500;
-  /// Without a new report a judgement fades over this time: the engine comes
-  /// back by few requests first, as its cost falls.
+  /// Without a new report the slowdown factor decays to 1 over this time. The
+  /// engine's cost falls gradually, so that it gets few requests at first.
   Millis mFadeDuration = 1000;
-  /// An engine that says it is well isn't asked for so long by the same
-  /// router; doubled each time up to mMaxPollBackoff. Load and slow links make
-  /// streams late for long, and each question is priced like a probe.
+  /// An engine that reports normal speed is not polled by the same router for
+  /// this time, doubled each time up to mMaxPollBackoff: load and slow links
+  /// can delay streams for a long time, and each poll is charged like a probe.
   Millis mPollBackoff = 240;
   Millis mMaxPollBackoff = 8000;
-  /// Questions that a router may ask at once, and gets each second, and gets
-  /// for each slow engine that one finds: where one is slow others may be, and
-  /// one in three that are asked pays for the search. So false alarms alone are
-  /// bounded: 35 routers ask 18 questions a second.
+  /// Poll allowance of a router: its maximum, its gain per second, and its gain
+  /// for each slow engine found. If one engine is slow, others may be slow too,
+  /// and the search continues as long as one in three polls finds one. This
+  /// bounds the polls that false alarms cause: 18 per second for 35 routers.
   double mPollBurst = 12;
   double mPollsPerSecond = 0.5;
   double mPollsPerSlowEngine = 3;
-  /// Late streams that must blame the same engine, all their other parts being
-  /// cleared, before it is judged by streams alone: where it gives no report.
+  /// Number of late streams that must blame the same engine, with all their
+  /// other stages cleared, before it counts as slow without a report of its
+  /// own.
   int mMinBlamingStreams = 3;
   Millis mBlameLifetime = 1000;
-  /// What such a judgement counts as: streams tell who is slow, hardly how.
+  /// Slowdown factor assumed in that case: streams show which engine is slow
+  /// but hardly by how much.
   double mBlamedSlowdown = 4;
 };
 
-/// How an engine came to be judged.
+/// The evidence on which a slowdown is based.
 enum class SlowdownSource {
-  kReport,   ///< It reported so to this router.
-  kPeers,    ///< It said so to other routers.
-  kStreams,  ///< Late streams have it in common.
+  kReport,   ///< The engine's report to this router.
+  kPeers,    ///< Its reports to other routers.
+  kStreams,  ///< Late streams that share the engine.
 };
 
-/// An engine that is judged slow, or well again.
+/// A change of an engine between slow and normal.
 struct SlowdownChange {
   std::string mInstance;
   bool mIsSlow = false;
   double mSlowdown = 1;
   SlowdownSource mSource = SlowdownSource::kReport;
-  Millis mReportAge = -1;  ///< Of its report here; -1: none.
-  int mReporters = 0;      ///< Other routers that say so.
-  int mLateStreams = 0;    ///< Late streams through it that blamed it.
+  Millis mReportAge = -1;  ///< Of its report to this router; -1: none.
+  int mReporters = 0;      ///< Peers that report it as slow.
+  int mLateStreams = 0;    ///< Late streams that blame it.
 };
 
-/// The paces as one router knows them. Decisions only: the time comes with
-/// each call.
+/// The slowdown factors of engines as one router knows them: how many times as
+/// long an engine takes as its model predicts; 1 is normal. Makes decisions
+/// only and takes the current time with each call.
 class EngineSlowdowns {
  public:
   explicit EngineSlowdowns(EngineSlowdownOptions aOptions = {})
       : mOptions(aOptions) {}
 
-  /// An event that was waited for from aFrom on came in time by this path.
+  /// Records that an event expected since aFrom arrived in time on this path.
   void RecordOnTime(std::span<const std::string> aPath, Millis aFrom);
-  /// One that was waited for from aFrom on is late. What was cleared since
-  /// isn't suspected, nor is anything where a part is known to be slow.
+  /// Records that an event expected since aFrom is late. Engines that were
+  /// cleared after aFrom are not suspected; none is if the path has an engine
+  /// that is known to be slow.
   void RecordLate(std::span<const std::string> aPath, Millis aFrom,
                   Millis aNow);
 
-  /// The engines that this router should ask for a report now. They count as
-  /// asked. aRouters: that share the questions to known slow engines.
-  /// aRandom: 0 to 1.
+  /// Returns the engines that this router should poll for a report now and
+  /// records them as polled. aRouters: number of routers that share the polls
+  /// of known slow engines. aRandom: returns 0 to 1.
   std::vector<std::string> EnginesToPoll(
       Millis aNow, int aRouters, const std::function<double()>& aRandom);
-  /// What an engine said of itself, over 1 being slow.
+  /// Applies an engine's report of its own slowdown factor.
   void OnEngineReport(const std::string& aInstance, double aSlowdown,
                       Millis aNow);
-  /// What other routers tell now. An engine of which they tell nothing any more
-  /// keeps what they told last for as long as a report holds.
-  void ApplyPeerReports(const LoadShares& aOthers, Millis aNow);
-  /// Adds what this router tells the others.
+  /// Applies the current reports of other routers. For an engine that they no
+  /// longer mention, their last report stays valid for its lifetime.
+  void ApplyPeerReports(const LoadShares& aPeerLoads, Millis aNow);
+  /// Adds this router's reports for its peers to aLoads.
   void AddReports(LoadShares& aLoads, Millis aNow) const;
 
-  /// Judges anew; returns what changed. To be called every few dozen
-  /// milliseconds, and after reports and news.
+  /// Re-evaluates all engines and returns the changes. To be called every few
+  /// dozen milliseconds and after new reports.
   std::vector<SlowdownChange> Evaluate(Millis aNow);
-  /// Times that an engine takes as long as its model says, as judged; 1: well.
+  /// Current slowdown factor of an engine; 1: normal.
   double SlowdownOf(const std::string& aInstance) const;
-  /// Grows whenever a judgement changes.
+  /// Increases with each significant change of a slowdown factor.
   std::int64_t Revision() const { return mRevision; }
-  /// Engines judged slow, with their paces.
+  /// Slow engines with their slowdown factors.
   const std::map<std::string, double>& SlowEngines() const {
     return mSlowEngines;
   }
-  /// Nothing known of an instance holds any more.
+  /// Drops all that is stored about an instance.
   void Forget(const std::string& aInstance);
-  /// The same of all instances of which aIsGone says so.
+  /// Drops all instances for which aIsGone returns true.
   void ForgetIf(const std::function<bool(const std::string&)>& aIsGone);
-  /// Instances of which something is kept.
+  /// Number of instances with stored state.
   std::size_t TrackedEngines() const { return mEngines.size(); }
 
  private:
-  /// What is known of one engine.
+  /// State of one engine.
   struct Engine {
-    Millis mClearedFrom =
-        -1;  ///< An event waited for from here on was on time.
+    /// Start of the latest wait for an event that arrived in time; -1: none.
+    Millis mClearedFrom = -1;
     Millis mPolledAt = -1;
     Millis mReportedAt = -1;
     double mReportedSlowdown = 1;
     Millis mNoPollUntil = -1;
     Millis mPollBackoff = 0;
-    int mLateStreams = 0;  ///< Late streams since it was asked or cleared.
+    int mLateStreams = 0;  ///< Since it was polled or cleared.
     int mBlames = 0;
     Millis mBlamedFrom = -1;
     Millis mBlamedAt = -1;
-    Millis mRecoveredAt = -1;    ///< Heard to be well again, after it was slow.
-    bool mHasRecovered = false;  ///< When it said that it is well.
+    Millis mRecoveredAt = -1;  ///< Recovery reported here or by a peer.
+    bool mHasRecovered =
+        false;  ///< Its last normal report ended a slow period.
   };
 
-  /// An engine that may be asked; the greatest is asked first.
+  /// A candidate for a poll; the greatest is polled first.
   struct Suspect {
-    bool mIsSecondPoll = false;  ///< It was asked a moment ago.
-    double mLateStreams = 0;     ///< Late streams, and chance.
+    bool mIsSecondPoll = false;  ///< It was polled within kSecondPollWindow.
+    double mLateStreams = 0;     ///< Plus a random tie-breaker.
     std::string mInstance;
 
     // clang-tidy 14 takes the default for a null pointer.
@@ -149,28 +154,28 @@
     auto operator<=>(const Suspect&) const = default;
   };
 
-  /// What other routers say of one engine.
+  /// Combined report of other routers about one engine.
   struct PeerReport {
     double mSlowdown = 1;
     int mReporters = 0;
     Millis mReceivedAt = 0;
   };
 
-  /// Whether it says, or others tell, that it is slow.
+  /// Whether its own valid report or a peer report says that it is slow.
   bool IsKnownSlow(const std::string& aInstance, const Engine& aEngine,
                    Millis aNow) const;
-  /// Whether streams blame it since the time that its report is about.
+  /// Whether enough streams blame it since the time its report describes.
   bool IsBlamed(const Engine& aEngine) const;
   bool HasSlowReport(const Engine& aEngine, Millis aNow) const;
-  /// A pace that fades once it is older than it holds.
-  double FadedSlowdown(double aSlowdown, Millis aAge, Millis aHolds) const;
+  /// The slowdown factor after its decay, which begins at age aLifetime.
+  double FadedSlowdown(double aSlowdown, Millis aAge, Millis aLifetime) const;
   SlowdownChange EvaluateEngine(const std::string& aInstance,
                                 const Engine& aEngine, Millis aNow) const;
   int ReportersOf(const std::string& aInstance) const;
-  /// Whether an engine known to be slow should be asked again now.
+  /// Whether a known slow engine should be polled again now.
   bool IsRepollDue(const Engine& aEngine, Millis aNow, int aRouters,
                    const std::function<double()>& aRandom) const;
-  /// Adds those that the allowance is enough for to aPolled.
+  /// Adds to aPolled the suspects that the allowance suffices for.
   void PollSuspects(std::vector<Suspect> aSuspects, Millis aNow,
                     std::vector<std::string>& aPolled);
   void OnSlowReport(const std::string& aInstance, double aSlowdown,
@@ -188,7 +193,7 @@
   std::int64_t mRevision = 0;
 };
 
-/// The source as log lines name it.
+/// Name of the source in log lines.
 const char* NameOf(SlowdownSource aSource);
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/routing/inter_zone_budget.h
+++ b/include/spindleweir/servers/routing/inter_zone_budget.h
@@ -1,5 +1,5 @@
-/// How much of the pipe between zones a router may use for paths that go over
-/// from one zone to another midway.
+/// Limits how much of the bandwidth between zones a router uses for paths with
+/// stages in more than one zone.
 #pragma once
 
 #include "spindleweir/core/clock.h"
@@ -7,24 +7,28 @@
 
 namespace spindleweir {
 
-/// How the pipe is shared.
+/// How the bandwidth between zones is shared.
 struct InterZoneBudgetOptions {
-  /// The part of the pipe that all routers together may fill: near its limit
-  /// each token of each request waits for the prompts of others.
+  /// Share of the bandwidth that all routers together may use. Near the limit,
+  /// each token of each request waits for the prompts of other requests.
   double mShare = 0.7;
-  Millis mBurst = 1000;  ///< What was left unused so long may be used at once.
+  /// Unused bandwidth of this duration may be used at once.
+  Millis mBurst = 1000;
 };
 
-/// Bits that come in with time and go out with requests. A request larger than
-/// what is there is let through while anything is, and the debt is waited out.
+/// Token bucket of bits. A request that needs more than the balance is admitted
+/// while the balance is positive; the balance may become negative, and further
+/// requests wait until it has recovered.
 class InterZoneBudget {
  public:
   explicit InterZoneBudget(InterZoneBudgetOptions aOptions)
       : mOptions(aOptions) {}
 
-  /// Whether a path may go over now; aRouters share the pipe.
+  /// Whether a path may cross zones now. aRouters: number of routers that share
+  /// the bandwidth.
   bool Allows(const EngineProfile& aProfile, int aRouters, Millis aNow);
-  /// A path goes over aCrossings times with so many tokens in all.
+  /// Subtracts the bits of a path that crosses zones aCrossings times with
+  /// aTokens tokens in total.
   void Spend(const EngineProfile& aProfile, double aTokens, int aCrossings);
 
  private:
--- a/include/spindleweir/servers/routing/load_aggregator.h
+++ b/include/spindleweir/servers/routing/load_aggregator.h
@@ -1,5 +1,5 @@
-/// The work that routers have at upstreams, as they tell a control process,
-/// and what each of them is told of the work of all others.
+/// Aggregates the load that routers put on upstreams. Routers report it to a
+/// control process, which returns the total over all routers to each of them.
 #pragma once
 
 #include <cstdint>
@@ -15,30 +15,33 @@
 
 namespace spindleweir {
 
-/// The work that a router, or several together, have at one upstream.
+/// The load that one router, or several together, put on one upstream.
 struct LoadShare {
   std::string mInstance;
   std::int64_t mRequests = 0;
-  std::int64_t mTokenLayers = 0;  ///< Memory promised to them.
-  std::int64_t mFirstStageRequests =
-      0;  ///< Requests that have it as the first.
-  std::int64_t mPrefillTokenLayers = 0;  ///< Still to be read by it.
-  std::int64_t mUnreachableReporters =
-      0;  ///< Routers that cannot connect to it.
-  /// Routers that it told it is slow, and the sum of what it told them: times
-  /// as long as it should take, in percent.
+  /// Memory reserved for these requests, in tokens times layers.
+  std::int64_t mTokenLayers = 0;
+  /// Requests of which it runs the first stage.
+  std::int64_t mFirstStageRequests = 0;
+  /// Prefill work that it has not done yet, in tokens times layers.
+  std::int64_t mPrefillTokenLayers = 0;
+  /// Routers that cannot connect to it.
+  std::int64_t mUnreachableReporters = 0;
+  /// Routers to which the engine reported that it is slow, and the sum of the
+  /// slowdown factors that it reported, in percent.
   std::int64_t mSlowdownReporters = 0;
   std::int64_t mSlowdownPercent = 0;
-  /// Routers that it told since that it is well again.
+  /// Routers to which the engine reported since then that it runs at normal
+  /// speed again.
   std::int64_t mRecoveryReporters = 0;
-  /// Routers that it named a limit to, and the sum of what it named, in
-  /// thousandths of a request a second.
+  /// Routers to which the upstream advertised a rate limit, and the sum of
+  /// these limits, in thousandths of a request per second.
   std::int64_t mLimitReporters = 0;
   std::int64_t mLimitThousandths = 0;
-  /// Routers that saw its limit end lately.
+  /// Routers that recently saw its limit end.
   std::int64_t mLimitEndReporters = 0;
-  /// Requests a second, in thousandths, that could be sent to it if it had no
-  /// limit.
+  /// Requests that would be sent to it if it had no limit, in thousandths of a
+  /// request per second.
   std::int64_t mDemandThousandths = 0;
 
   void Add(const LoadShare& aOther, int aSign);
@@ -46,11 +49,11 @@
   bool operator==(const LoadShare&) const = default;
 };
 
-/// Loads by instance.
+/// Load shares by instance.
 using LoadShares = std::map<std::string, LoadShare>;
 
-/// Loads as they travel: one column for each field, so that no name is
-/// written once a row. A column in which all is 0 is left out.
+/// Load shares in transfer format: one column per field, so that field names
+/// are not repeated in each row. A column that holds only zeros is omitted.
 struct LoadTable {
   std::vector<std::string> mInstances;
   std::vector<std::int64_t> mRequests;
@@ -67,7 +70,7 @@
   std::vector<std::int64_t> mDemandThousandths;
 
   static LoadTable Of(const LoadShares& aShares);
-  /// Throws kBadField where the columns differ in length.
+  /// Throws kBadField if the columns differ in length.
   LoadShares ToShares() const;
 
   template <class Codec>
@@ -88,98 +91,105 @@
   }
 };
 
-/// A table without the rows that have a bad name, a negative number, or lack a
-/// column that others have.
+/// Returns the table without its invalid rows: those with an invalid instance
+/// name or a negative number, and those beyond the end of a shorter column.
+/// Each of them is passed to aOnBad.
 LoadTable UsableRows(const LoadTable& aTable, const BadRowHook& aOnBad);
 
-/// Loads as one text, for the way between processes; "" stands for none.
+/// Serializes load shares for transfer between processes; "" stands for no
+/// shares.
 std::string PackLoads(const LoadShares& aShares);
-/// Throws kDataCorrupt, kBadJson or kBadField where a text is no such loads.
-/// With a hook, rows that cannot be used are told to it and left out.
+/// Parses the result of PackLoads(). Throws kDataCorrupt, kBadJson or kBadField
+/// if the text is malformed. With a hook, invalid rows are passed to the hook
+/// and left out instead.
 LoadShares UnpackLoads(std::string_view aPacked, const BadRowHook& aOnBad = {});
 
-/// Loads as they are handed out, to any number of askers.
+/// Serialized load shares, as they are returned to any number of pollers.
 struct PackedLoads {
   std::string mText;
-  std::int64_t mSequence = 0;  ///< Greater each time they are made anew.
+  std::int64_t mSequence = 0;  ///< Increases with each rebuild.
   Millis mBuiltAt = -1;
 };
 
-/// Gives the zone of an instance; empty: not known.
+/// Returns the zone of an instance; empty if it is unknown.
 using ZoneHook = std::function<std::string(const std::string& aInstance)>;
 
-/// How a book ages.
+/// Retention and rebuild intervals of a LoadAggregator.
 struct LoadAggregatorOptions {
-  /// A router, or another control, that said nothing for so long counts for
-  /// nothing any more.
+  /// The last report of a router, or of another control, is dropped after this
+  /// time without contact.
   Millis mReportRetention = 2500;
-  /// The number of another control's routers is kept for longer: where control
-  /// is cut in two they go on sending to the same upstreams, and must not be
-  /// taken for gone. Too many for a while leave room unused; too few let all
-  /// routers together take more than there is.
+  /// The number of another control's routers is stored for longer. In a
+  /// network partition between controls, the routers on the other side still
+  /// send to the same upstreams and must be counted. A count that is too high
+  /// for a while leaves capacity unused; one that is too low lets all routers
+  /// together exceed the capacity.
   Millis mRouterCountRetention = 60000;
-  /// The sum of all is made anew, and packed, at most this often: writing 195
-  /// rows for each of 68 askers a second took a control 0.027 of a core.
+  /// Minimum time between two rebuilds of the serialized sum. Serializing 195
+  /// rows for each of 68 polls per second took 0.027 of a control's core.
   Millis mSumInterval = 100;
-  /// And in as many milliseconds as there are so many rows: 3,000 rows take 7
-  /// ms to sum and pack, which ten times a second is half of a small
-  /// processor; made each 750 ms they take 6 %.
+  /// Also limits rebuilds to this many rows per millisecond of interval: 3,000
+  /// rows take 7 ms to sum and serialize, which at ten times a second is half
+  /// of a small processor, and 6 % at one rebuild each 750 ms.
   int mRowsPerMilli = 8;
-  /// The same for what other controls are told: each of them reads it, 3 ms for
-  /// 1,000 rows, from each of the others.
+  /// The same for the local sum that is reported to other controls: each of
+  /// them parses it, in 3 ms per 1,000 rows, from each of the others.
   int mLocalRowsPerMilli = 1;
-  /// With more rows than this a router is told those of its zone only.
+  /// If the sum has more rows, a router gets only the rows of its zone.
   std::size_t mMaxUnfilteredRows = 400;
 };
 
-/// The book of one control process. The time comes with each call.
+/// Sums the load reports that one control process receives from routers and
+/// from other controls. Takes the current time with each call.
 class LoadAggregator {
  public:
   explicit LoadAggregator(LoadAggregatorOptions aOptions)
       : mOptions(aOptions) {}
 
-  /// A router tells all of its work; this replaces what it told before, and
-  /// what the process before it on its VM did: where all routers start again
-  /// each would count twice. aProcess: "ROUTER/START". aSequence: of what it
-  /// told, from 1.
+  /// Stores the complete load of a router. It replaces the previous report of
+  /// the router, also that of an earlier process on the same VM: otherwise each
+  /// router would count twice after a restart of all routers. aProcess:
+  /// "ROUTER/START". aSequence: sequence number of the report, from 1.
   void OnRouterReport(const std::string& aProcess, std::int64_t aSequence,
                       LoadShares aShares, Millis aNow);
-  /// Another control tells the work of the routers that tell it, and how many
-  /// they are.
+  /// Stores the summed load of the routers that report to another control, and
+  /// their number.
   void OnControlReport(const std::string& aControl, LoadShares aShares,
                        int aRouters, Millis aNow);
 
-  /// Another control was heard; what it told last still holds.
+  /// Extends the validity of the last report of another control, which has
+  /// answered that its loads are unchanged.
   void OnControlUnchanged(const std::string& aControl, int aRouters,
                           Millis aNow);
 
-  /// The work of all routers, told here or to other controls, for a router of
-  /// aZone.
+  /// The load of all routers, whether reported here or to other controls, for a
+  /// router in aZone.
   const PackedLoads& PackedSum(const std::string& aZone,
                                const ZoneHook& aZoneOf, Millis aNow);
-  /// The number of what a router told that stands in the sum, so that it can
-  /// take its own work out of it; 0: nothing of it does.
+  /// The sequence number of the router's report that is included in the sum, so
+  /// that the router can subtract its own load; 0 if none is included.
   std::int64_t IncludedSequence(const std::string& aProcess) const;
-  /// The work of the routers that tell this control.
+  /// The load of the routers that report to this control.
   const PackedLoads& PackedLocal(Millis aNow);
-  /// Routers that tell this control.
+  /// Number of routers that report to this control.
   int LocalRouters(Millis aNow);
-  /// Routers that tell any control, also one that fell silent lately.
+  /// Number of routers that report to any control, including controls that
+  /// became silent within the retention time.
   int AllRouters(Millis aNow);
-  /// Upstreams that at least so many routers cannot connect to.
-  std::set<std::string> UnreachableUpstreams(std::int64_t aWitnesses,
+  /// Upstreams that at least aMinReporters routers cannot connect to.
+  std::set<std::string> UnreachableUpstreams(std::int64_t aMinReporters,
                                              Millis aNow);
 
  private:
-  /// What one router, or one control, told.
+  /// The last report of one router or one control.
   struct Report {
-    std::string mProcess;  ///< Of a router.
+    std::string mProcess;  ///< Only for routers.
     LoadShares mShares;
     std::int64_t mSequence = 0;  ///< Of mShares.
-    std::int64_t mIncluded = 0;  ///< Of what stands in the sum.
+    std::int64_t mIncluded = 0;  ///< Sequence that the sum includes.
     Millis mReceivedAt = 0;
   };
-  /// How many routers tell another control.
+  /// The number of routers that report to another control.
   struct ControlRouters {
     int mRouters = 0;
     Millis mReceivedAt = 0;
@@ -187,20 +197,20 @@
 
   void DropExpired(Millis aNow);
   void UpdateSum(Millis aNow);
-  /// Whether what was made at aMadeAt, of so many rows, is to be made anew.
-  bool IsStale(Millis aMadeAt, std::size_t aRows, int aRowsPerMilli,
+  /// Whether a sum of aRows rows that was built at aBuiltAt must be rebuilt.
+  bool IsStale(Millis aBuiltAt, std::size_t aRows, int aRowsPerMilli,
                Millis aNow) const;
 
   LoadAggregatorOptions mOptions;
   std::map<std::string, Report> mRouters;               ///< By router.
   std::map<std::string, Report> mControls;              ///< By address.
-  std::map<std::string, ControlRouters> mRouterCounts;  ///< The same.
+  std::map<std::string, ControlRouters> mRouterCounts;  ///< By address.
   LoadShares mSum;
-  /// Of mSum, by zone, "" being all; made when they are asked for.
+  /// Serialized forms of mSum by zone, "" for all zones; built on demand.
   std::map<std::string, PackedLoads> mPackedSums;
-  std::int64_t mPackedSequence = 0;  ///< Of the newest of these.
+  std::int64_t mPackedSequence = 0;  ///< The newest of mPackedSums.
   PackedLoads mPackedLocal;
-  std::size_t mLocalRows = 0;  ///< Of mPackedLocal.
+  std::size_t mLocalRows = 0;  ///< Rows of mPackedLocal.
   Millis mSummedAt = -1;
 };
 
--- a/include/spindleweir/servers/routing/relative_costs.h
+++ b/include/spindleweir/servers/routing/relative_costs.h
@@ -1,12 +1,12 @@
-/// What things cost an installation beside each other: settings, so that a
-/// decision that trades one for the other fits any of them.
+/// Relative prices of resources in an installation. They are settings, so that
+/// decisions that trade one resource for another fit each installation.
 #pragma once
 
 namespace spindleweir {
 
-/// 1 is an installation where the price counts as a rule; 0: it costs nothing.
+/// 1: the price of a typical installation; 0: the resource is free.
 struct RelativeCosts {
-  /// Of a byte between availability zones.
+  /// Of one byte transferred between availability zones.
   double mInterZoneByte = 1;
 };
 
--- a/include/spindleweir/servers/routing/reported_loads.h
+++ b/include/spindleweir/servers/routing/reported_loads.h
@@ -1,5 +1,5 @@
-/// What a router told of its work lately, so that it can take it out of the
-/// sum of all that comes back.
+/// Stores the load reports that a router sent recently, so that it can subtract
+/// its own load from the sum that control returns.
 #pragma once
 
 #include <cstdint>
@@ -9,13 +9,13 @@
 
 namespace spindleweir {
 
-/// Kept by the router; each thing told has a number, from 1.
+/// Recent reports of one router. Each has a sequence number, from 1.
 class ReportedLoads {
  public:
-  /// Notes what is told now; returns its number.
+  /// Stores a report that is about to be sent; returns its sequence number.
   std::int64_t Record(LoadShares aShares);
-  /// A sum without what was told under a number; 0, or one that is not
-  /// remembered any more: nothing is taken out.
+  /// Returns aSum without the report with this sequence number. Subtracts
+  /// nothing if the number is 0 or the report is no longer stored.
   LoadShares SubtractReported(LoadShares aSum, std::int64_t aSequence) const;
 
  private:
--- a/servers/routing/arrival_rate.cpp
+++ b/servers/routing/arrival_rate.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-/// An arrival counts for 1/e of a new one after this time: a router of a large
-/// fleet gets two or three requests a second, so that fewer seconds would be
-/// mostly chance, and more would miss a burst that lasts three.
+/// The weight of an arrival falls to 1/e after this time. A router of a large
+/// fleet gets two or three requests per second: over a shorter time the estimate
+/// would be mostly noise, and a longer one would miss a burst of three seconds.
 constexpr double kTimeConstantMillis = 2000;
 
 }  // namespace
--- a/servers/routing/engine_slowdowns.cpp
+++ b/servers/routing/engine_slowdowns.cpp
@@ -10,27 +10,28 @@
 
 constexpr double kNormal = 1;
 constexpr double kPercent = 100;
-/// A pace that is told is not above this: what an engine says of itself is
-/// read from outside.
+/// Upper bound of received slowdown factors, which come from other processes.
 constexpr double kMaxSlowdown = 100;
 constexpr double kMillisPerSecond = 1000;
-/// Questions in one look, so that what the first find spares others.
+/// Polls per call of EnginesToPoll(): the first results may make others
+/// needless.
 constexpr int kMaxPollsPerRound = 3;
-/// An engine is not asked twice in this time by one router. Its report tells
-/// how it was at the last question that is 200 ms old: the first question after
-/// a while finds hardly any (411 reports within 150 ms, 13 of 98 engines slow
-/// for 0.7 s: 3), the next one, 240 ms later, does.
+/// Minimum time between two polls of an engine by one router. An engine's
+/// report describes its state at the last poll that is at least 200 ms old. The
+/// first poll after a while therefore detects hardly any slow engine (3 of 98
+/// when 13 were slow for 0.7 s, with 411 reports within 150 ms); the next poll,
+/// 240 ms later, does.
 constexpr Millis kMinPollInterval = 240;
-/// For so long a question counts as a first one.
+/// A poll within this time after the previous one counts as a second poll.
 constexpr Millis kSecondPollWindow = 1000;
-/// The part of the questions that is kept for second ones.
+/// Share of the poll burst that is reserved for second polls.
 constexpr double kSecondPollReserve = 0.5;
-/// Chance that an engine known to be slow is asked again in one look, by any
-/// of the routers: looks are 20 ms apart, so that 2.5 questions a second go to
-/// each whatever the number of routers, and it is used again about a second
-/// after it is well.
+/// Probability that any of the routers polls a known slow engine in one round.
+/// Rounds are 20 ms apart, so that each such engine gets 2.5 polls per second
+/// for any number of routers, and is used again about a second after it
+/// recovered.
 constexpr double kRepollChance = 0.05;
-/// A change of a pace below this part isn't news to those who divide paths.
+/// Relative change of a slowdown factor from which on paths are divided again.
 constexpr double kMinSlowdownChange = 0.25;
 
 }  // namespace
@@ -76,10 +77,10 @@
     return;
   }
   Engine& blamed = *suspects.front();
-  const bool fresh =
+  const bool isFresh =
       blamed.mBlames > 0 && aNow - blamed.mBlamedAt < mOptions.mBlameLifetime;
-  blamed.mBlames = fresh ? blamed.mBlames + 1 : 1;
-  blamed.mBlamedFrom = fresh ? blamed.mBlamedFrom : aFrom;
+  blamed.mBlames = isFresh ? blamed.mBlames + 1 : 1;
+  blamed.mBlamedFrom = isFresh ? blamed.mBlamedFrom : aFrom;
   blamed.mBlamedAt = aNow;
 }
 
@@ -116,15 +117,15 @@
 bool EngineSlowdowns::IsRepollDue(
     const Engine& aEngine, Millis aNow, int aRouters,
     const std::function<double()>& aRandom) const {
-  const bool isNew = aEngine.mReportedAt >= 0 &&
-                     aNow - aEngine.mReportedAt < mOptions.mRepollDelay;
-  return !isNew && aRandom() * std::max(1, aRouters) < kRepollChance;
+  const bool isRecent = aEngine.mReportedAt >= 0 &&
+                        aNow - aEngine.mReportedAt < mOptions.mRepollDelay;
+  return !isRecent && aRandom() * std::max(1, aRouters) < kRepollChance;
 }
 
 std::vector<std::string> EngineSlowdowns::EnginesToPoll(
     Millis aNow, int aRouters, const std::function<double()>& aRandom) {
   RefillAllowance(aNow);
-  std::vector<std::string> asked;
+  std::vector<std::string> polled;
   std::vector<Suspect> suspects;
   for (auto& [instance, engine] : mEngines) {
     const bool justPolled =
@@ -136,21 +137,23 @@
         IsKnownSlow(instance, engine, aNow)) {
       if (IsRepollDue(engine, aNow, aRouters, aRandom)) {
         engine.mPolledAt = aNow;
-        asked.push_back(instance);
+        polled.push_back(instance);
       }
       continue;
     }
     const bool suspected = (engine.mLateStreams > 0 || IsBlamed(engine)) &&
                            aNow >= engine.mNoPollUntil;
     if (suspected) {
-      // Routers that suspect the same engines begin with different ones.
-      const bool second =
+      // Random order: routers that suspect the same engines begin with
+      // different ones.
+      const bool isSecondPoll =
           engine.mPolledAt >= 0 && aNow - engine.mPolledAt <= kSecondPollWindow;
-      suspects.push_back({second, engine.mLateStreams + aRandom(), instance});
+      suspects.push_back(
+          {isSecondPoll, engine.mLateStreams + aRandom(), instance});
     }
   }
-  PollSuspects(std::move(suspects), aNow, asked);
-  return asked;
+  PollSuspects(std::move(suspects), aNow, polled);
+  return polled;
 }
 
 void EngineSlowdowns::PollSuspects(std::vector<Suspect> aSuspects, Millis aNow,
@@ -158,9 +161,9 @@
   std::sort(aSuspects.rbegin(), aSuspects.rend());
   int left = kMaxPollsPerRound;
   for (const Suspect& suspect : aSuspects) {
-    const double kept =
+    const double reserved =
         suspect.mIsSecondPoll ? 0 : mOptions.mPollBurst * kSecondPollReserve;
-    if (mPollAllowance < 1 + kept || left-- <= 0) {
+    if (mPollAllowance < 1 + reserved || left-- <= 0) {
       break;
     }
     mPollAllowance -= 1;
@@ -185,12 +188,13 @@
                                    double aSlowdown, Millis aNow) {
   Engine& engine = mEngines[aInstance];
   const bool wasKnown = IsKnownSlow(aInstance, engine, aNow);
-  const bool second =
+  const bool isSecondPoll =
       engine.mReportedAt >= 0 && aNow - engine.mReportedAt <= kSecondPollWindow;
   engine.mReportedAt = aNow;
-  if (!wasKnown && !second) {
-    // It may tell of the time of a question long ago: engines that had been
-    // slow were judged so again 7 to 17 s after they were well.
+  if (!wasKnown && !isSecondPoll) {
+    // Ignored and polled again: the first report may describe the time of a
+    // much earlier poll, and engines would count as slow again 7 to 17 s after
+    // their recovery.
     engine.mReportedSlowdown = kNormal;
     engine.mLateStreams++;
     engine.mNoPollUntil = aNow;
@@ -208,11 +212,11 @@
   Engine& engine = mEngines[aInstance];
   const bool wasSlow =
       mSlowEngines.contains(aInstance) && IsKnownSlow(aInstance, engine, aNow);
-  const bool reportedWell =
+  const bool reportedNormal =
       engine.mHasRecovered &&
       engine.mReportedSlowdown < mOptions.mSlowThreshold &&
       aNow - engine.mReportedAt < mOptions.mReportLifetime;
-  engine.mHasRecovered = wasSlow || reportedWell;
+  engine.mHasRecovered = wasSlow || reportedNormal;
   engine.mRecoveredAt = engine.mHasRecovered ? aNow : engine.mRecoveredAt;
   engine.mReportedSlowdown = aSlowdown;
   engine.mReportedAt = aNow;
@@ -222,20 +226,21 @@
   engine.mNoPollUntil = aNow + engine.mPollBackoff;
 }
 
-void EngineSlowdowns::ApplyPeerReports(const LoadShares& aOthers, Millis aNow) {
-  for (const auto& [instance, share] : aOthers) {
+void EngineSlowdowns::ApplyPeerReports(const LoadShares& aPeerLoads,
+                                       Millis aNow) {
+  for (const auto& [instance, share] : aPeerLoads) {
     if (share.mRecoveryReporters > 0) {
       mPeerReports.erase(instance);
       Engine& engine = mEngines[instance];
       engine.mRecoveredAt = aNow;
-      const bool isNew = aNow - engine.mReportedAt < mOptions.mRepollDelay;
-      if (HasSlowReport(engine, aNow) && !isNew) {
+      const bool isRecent = aNow - engine.mReportedAt < mOptions.mRepollDelay;
+      if (HasSlowReport(engine, aNow) && !isRecent) {
         engine.mReportedSlowdown = kNormal;
       }
       continue;
     }
     const auto known = mEngines.find(instance);
-    // Reports of before travel on for a while after one hears that it is well.
+    // Peer reports from before a recovery arrive for a while after it.
     const bool isOld = known != mEngines.end() &&
                        known->second.mRecoveredAt >= 0 &&
                        aNow - known->second.mRecoveredAt <
@@ -258,10 +263,10 @@
 
 void EngineSlowdowns::AddReports(LoadShares& aLoads, Millis aNow) const {
   for (const auto& [instance, engine] : mEngines) {
-    const bool holds = engine.mReportedAt >= 0 &&
-                       aNow - engine.mReportedAt < mOptions.mReportLifetime;
+    const bool isValid = engine.mReportedAt >= 0 &&
+                         aNow - engine.mReportedAt < mOptions.mReportLifetime;
     const bool slow = engine.mReportedSlowdown >= mOptions.mSlowThreshold;
-    if (!holds || (!slow && !engine.mHasRecovered)) {
+    if (!isValid || (!slow && !engine.mHasRecovered)) {
       continue;
     }
     LoadShare& share = aLoads[instance];
@@ -276,11 +281,11 @@
 }
 
 double EngineSlowdowns::FadedSlowdown(double aSlowdown, Millis aAge,
-                                      Millis aHolds) const {
-  if (aAge <= aHolds) {
+                                      Millis aLifetime) const {
+  if (aAge <= aLifetime) {
     return aSlowdown;
   }
-  const double left = 1 - static_cast<double>(aAge - aHolds) /
+  const double left = 1 - static_cast<double>(aAge - aLifetime) /
                               static_cast<double>(mOptions.mFadeDuration);
   return kNormal + (aSlowdown - kNormal) * std::max(0.0, left);
 }
@@ -288,62 +293,62 @@
 SlowdownChange EngineSlowdowns::EvaluateEngine(const std::string& aInstance,
                                                const Engine& aEngine,
                                                Millis aNow) const {
-  SlowdownChange judged{.mInstance = aInstance,
+  SlowdownChange change{.mInstance = aInstance,
                         .mLateStreams = aEngine.mBlames};
   const Millis reportAge =
       aEngine.mReportedAt < 0 ? -1 : aNow - aEngine.mReportedAt;
-  judged.mReportAge = reportAge;
-  const auto news = mPeerReports.find(aInstance);
-  judged.mReporters = ReportersOf(aInstance);
+  change.mReportAge = reportAge;
+  const auto peers = mPeerReports.find(aInstance);
+  change.mReporters = ReportersOf(aInstance);
   if (reportAge >= 0) {
-    judged.mSlowdown = aEngine.mReportedSlowdown >= mOptions.mSlowThreshold
+    change.mSlowdown = aEngine.mReportedSlowdown >= mOptions.mSlowThreshold
                            ? FadedSlowdown(aEngine.mReportedSlowdown, reportAge,
                                            mOptions.mReportLifetime)
                            : kNormal;
   }
-  // A report newer than what others tell goes before it.
-  const bool isNew = reportAge >= 0 && reportAge < mOptions.mRepollDelay;
-  if (!isNew && news != mPeerReports.end()) {
-    const double told =
-        FadedSlowdown(news->second.mSlowdown, aNow - news->second.mReceivedAt,
+  // A recent local report takes precedence over peer reports.
+  const bool isRecent = reportAge >= 0 && reportAge < mOptions.mRepollDelay;
+  if (!isRecent && peers != mPeerReports.end()) {
+    const double reported =
+        FadedSlowdown(peers->second.mSlowdown, aNow - peers->second.mReceivedAt,
                       mOptions.mReportLifetime);
-    judged.mSource =
-        told > judged.mSlowdown ? SlowdownSource::kPeers : judged.mSource;
-    judged.mSlowdown = std::max(told, judged.mSlowdown);
+    change.mSource =
+        reported > change.mSlowdown ? SlowdownSource::kPeers : change.mSource;
+    change.mSlowdown = std::max(reported, change.mSlowdown);
   }
-  if (judged.mSlowdown < mOptions.mSlowThreshold && IsBlamed(aEngine)) {
-    judged.mSlowdown =
+  if (change.mSlowdown < mOptions.mSlowThreshold && IsBlamed(aEngine)) {
+    change.mSlowdown =
         FadedSlowdown(mOptions.mBlamedSlowdown, aNow - aEngine.mBlamedAt,
                       mOptions.mBlameLifetime);
-    judged.mSource = SlowdownSource::kStreams;
+    change.mSource = SlowdownSource::kStreams;
   }
-  judged.mIsSlow = judged.mSlowdown >= mOptions.mSlowThreshold;
-  return judged;
+  change.mIsSlow = change.mSlowdown >= mOptions.mSlowThreshold;
+  return change;
 }
 
 std::vector<SlowdownChange> EngineSlowdowns::Evaluate(Millis aNow) {
-  for (const auto& [instance, news] : mPeerReports) {
+  for (const auto& [instance, peers] : mPeerReports) {
     mEngines.try_emplace(instance);
   }
   std::vector<SlowdownChange> changes;
   for (auto& [instance, engine] : mEngines) {
-    const bool quiet = engine.mReportedAt < 0 && engine.mBlames == 0 &&
-                       !mSlowEngines.contains(instance) &&
-                       !mPeerReports.contains(instance);
-    if (quiet) {
+    const bool isUnremarkable = engine.mReportedAt < 0 && engine.mBlames == 0 &&
+                                !mSlowEngines.contains(instance) &&
+                                !mPeerReports.contains(instance);
+    if (isUnremarkable) {
       continue;
     }
-    const SlowdownChange judged = EvaluateEngine(instance, engine, aNow);
+    const SlowdownChange change = EvaluateEngine(instance, engine, aNow);
     const auto it = mSlowEngines.find(instance);
     const bool wasSlow = it != mSlowEngines.end();
-    if (wasSlow != judged.mIsSlow) {
-      changes.push_back(judged);
+    if (wasSlow != change.mIsSlow) {
+      changes.push_back(change);
     }
     const double before = wasSlow ? it->second : kNormal;
-    const double after = judged.mIsSlow ? judged.mSlowdown : kNormal;
+    const double after = change.mIsSlow ? change.mSlowdown : kNormal;
     mRevision += std::abs(after - before) > before * kMinSlowdownChange ? 1 : 0;
-    if (judged.mIsSlow) {
-      mSlowEngines[instance] = judged.mSlowdown;
+    if (change.mIsSlow) {
+      mSlowEngines[instance] = change.mSlowdown;
       continue;
     }
     if (wasSlow) {
--- a/servers/routing/inter_zone_budget.cpp
+++ b/servers/routing/inter_zone_budget.cpp
@@ -7,19 +7,19 @@
 namespace {
 
 constexpr double kBitsPerByte = 8;
-/// A Mbit/s is so many bits a millisecond.
-constexpr double kBitsPerMilli = 1000;
+/// Bits per millisecond in 1 Mbit/s.
+constexpr double kBitsPerMilliPerMbps = 1000;
 
 }  // namespace
 
 bool InterZoneBudget::Allows(const EngineProfile& aProfile, int aRouters,
                              Millis aNow) {
-  const double rate = aProfile.mPipeMbps * kBitsPerMilli * mOptions.mShare /
-                      std::max(1, aRouters);
-  const double most = rate * static_cast<double>(mOptions.mBurst);
+  const double rate = aProfile.mPipeMbps * kBitsPerMilliPerMbps *
+                      mOptions.mShare / std::max(1, aRouters);
+  const double max = rate * static_cast<double>(mOptions.mBurst);
   const double gained =
-      mRefilledAt < 0 ? most : rate * static_cast<double>(aNow - mRefilledAt);
-  mBits = std::min(most, mBits + gained);
+      mRefilledAt < 0 ? max : rate * static_cast<double>(aNow - mRefilledAt);
+  mBits = std::min(max, mBits + gained);
   mRefilledAt = aNow;
   return mBits > 0;
 }
--- a/servers/routing/load_aggregator.cpp
+++ b/servers/routing/load_aggregator.cpp
@@ -14,8 +14,8 @@
 
 using Column = std::vector<std::int64_t>;
 
-/// A column in which all is 0 need not travel.
-void DropZeros(Column& aColumn) {
+/// Clears a column that holds only zeros, so that it is omitted in transfer.
+void ClearIfZero(Column& aColumn) {
   const bool zeros =
       std::all_of(aColumn.begin(), aColumn.end(),
                   [](std::int64_t aValue) { return aValue == 0; });
@@ -28,7 +28,7 @@
   return aColumn.empty() ? 0 : aColumn[aRow];
 }
 
-void AddAll(LoadShares& aSum, const LoadShares& aShares) {
+void AddShares(LoadShares& aSum, const LoadShares& aShares) {
   for (const auto& [instance, share] : aShares) {
     LoadShare& sum = aSum[instance];
     sum.mInstance = instance;
@@ -36,7 +36,7 @@
   }
 }
 
-/// The router that a process is of.
+/// Returns the router of a process that is given as "ROUTER/START".
 std::string RouterOf(const std::string& aProcess) {
   return aProcess.substr(0, aProcess.find('/'));
 }
@@ -93,7 +93,7 @@
         &table.mRecoveryReporters, &table.mLimitReporters,
         &table.mLimitThousandths, &table.mLimitEndReporters,
         &table.mDemandThousandths}) {
-    DropZeros(*column);
+    ClearIfZero(*column);
   }
   return table;
 }
@@ -106,7 +106,8 @@
         &mRecoveryReporters, &mLimitReporters, &mLimitThousandths,
         &mLimitEndReporters, &mDemandThousandths}) {
     if (!column->empty() && column->size() != n) {
-      throw Error(ResultCode::kBadField, "columns of loads differ in length");
+      throw Error(ResultCode::kBadField,
+                  "columns of the load table differ in length");
     }
   }
   LoadShares shares;
@@ -148,19 +149,19 @@
 void LoadAggregator::OnRouterReport(const std::string& aProcess,
                                     std::int64_t aSequence, LoadShares aShares,
                                     Millis aNow) {
-  Report& teller = mRouters[RouterOf(aProcess)];
-  teller.mProcess = aProcess;
-  teller.mSequence = aSequence;
-  teller.mShares = std::move(aShares);
-  teller.mReceivedAt = aNow;
+  Report& report = mRouters[RouterOf(aProcess)];
+  report.mProcess = aProcess;
+  report.mSequence = aSequence;
+  report.mShares = std::move(aShares);
+  report.mReceivedAt = aNow;
 }
 
 void LoadAggregator::OnControlReport(const std::string& aControl,
                                      LoadShares aShares, int aRouters,
                                      Millis aNow) {
-  Report& teller = mControls[aControl];
-  teller.mShares = std::move(aShares);
-  teller.mReceivedAt = aNow;
+  Report& report = mControls[aControl];
+  report.mShares = std::move(aShares);
+  report.mReceivedAt = aNow;
   mRouterCounts[aControl] = {.mRouters = aRouters, .mReceivedAt = aNow};
 }
 
@@ -170,19 +171,19 @@
   mRouterCounts[aControl] = {.mRouters = aRouters, .mReceivedAt = aNow};
 }
 
-bool LoadAggregator::IsStale(Millis aMadeAt, std::size_t aRows,
+bool LoadAggregator::IsStale(Millis aBuiltAt, std::size_t aRows,
                              int aRowsPerMilli, Millis aNow) const {
   const Millis byRows = static_cast<Millis>(aRows) / aRowsPerMilli;
-  return aMadeAt < 0 ||
-         aNow - aMadeAt >= std::max(mOptions.mSumInterval, byRows);
+  return aBuiltAt < 0 ||
+         aNow - aBuiltAt >= std::max(mOptions.mSumInterval, byRows);
 }
 
 void LoadAggregator::DropExpired(Millis aNow) {
   std::erase_if(mRouterCounts, [&](const auto& aItem) {
     return aNow - aItem.second.mReceivedAt > mOptions.mRouterCountRetention;
   });
-  for (auto* tellers : {&mRouters, &mControls}) {
-    const std::size_t gone = std::erase_if(*tellers, [&](const auto& aItem) {
+  for (auto* reports : {&mRouters, &mControls}) {
+    const std::size_t gone = std::erase_if(*reports, [&](const auto& aItem) {
       return aNow - aItem.second.mReceivedAt > mOptions.mReportRetention;
     });
     if (gone > 0) {
@@ -199,10 +200,10 @@
   }
   mSummedAt = aNow;
   mSum.clear();
-  for (auto* tellers : {&mRouters, &mControls}) {
-    for (auto& [name, teller] : *tellers) {
-      AddAll(mSum, teller.mShares);
-      teller.mIncluded = teller.mSequence;
+  for (auto* reports : {&mRouters, &mControls}) {
+    for (auto& [name, report] : *reports) {
+      AddShares(mSum, report.mShares);
+      report.mIncluded = report.mSequence;
     }
   }
 }
@@ -211,44 +212,45 @@
                                              const ZoneHook& aZoneOf,
                                              Millis aNow) {
   UpdateSum(aNow);
-  const bool whole = mSum.size() <= mOptions.mMaxUnfilteredRows;
-  PackedLoads& packed = mPackedSums[whole ? "" : aZone];
+  const bool unfiltered = mSum.size() <= mOptions.mMaxUnfilteredRows;
+  PackedLoads& packed = mPackedSums[unfiltered ? "" : aZone];
   if (packed.mBuiltAt == mSummedAt) {
     return packed;
   }
   packed.mBuiltAt = mSummedAt;
   packed.mSequence = ++mPackedSequence;
-  if (whole) {
+  if (unfiltered) {
     packed.mText = PackLoads(mSum);
     return packed;
   }
-  LoadShares ofZone;
+  LoadShares zoneShares;
   for (const auto& [instance, share] : mSum) {
     if (aZoneOf(instance) == aZone) {
-      ofZone[instance] = share;
+      zoneShares[instance] = share;
     }
   }
-  packed.mText = PackLoads(ofZone);
+  packed.mText = PackLoads(zoneShares);
   return packed;
 }
 
 std::int64_t LoadAggregator::IncludedSequence(
     const std::string& aProcess) const {
   const auto it = mRouters.find(RouterOf(aProcess));
-  const bool told = it != mRouters.end() && it->second.mProcess == aProcess;
-  return told ? it->second.mIncluded : 0;
+  const bool isCurrent =
+      it != mRouters.end() && it->second.mProcess == aProcess;
+  return isCurrent ? it->second.mIncluded : 0;
 }
 
 const PackedLoads& LoadAggregator::PackedLocal(Millis aNow) {
   DropExpired(aNow);
   if (IsStale(mPackedLocal.mBuiltAt, mLocalRows, mOptions.mLocalRowsPerMilli,
               aNow)) {
-    LoadShares own;
-    for (const auto& [process, teller] : mRouters) {
-      AddAll(own, teller.mShares);
+    LoadShares local;
+    for (const auto& [process, report] : mRouters) {
+      AddShares(local, report.mShares);
     }
-    mLocalRows = own.size();
-    mPackedLocal = {PackLoads(own), mPackedLocal.mSequence + 1, aNow};
+    mLocalRows = local.size();
+    mPackedLocal = {PackLoads(local), mPackedLocal.mSequence + 1, aNow};
   }
   return mPackedLocal;
 }
@@ -267,15 +269,15 @@
 }
 
 std::set<std::string> LoadAggregator::UnreachableUpstreams(
-    std::int64_t aWitnesses, Millis aNow) {
+    std::int64_t aMinReporters, Millis aNow) {
   UpdateSum(aNow);
-  std::set<std::string> lost;
+  std::set<std::string> unreachable;
   for (const auto& [instance, sum] : mSum) {
-    if (sum.mUnreachableReporters >= aWitnesses) {
-      lost.insert(instance);
+    if (sum.mUnreachableReporters >= aMinReporters) {
+      unreachable.insert(instance);
     }
   }
-  return lost;
+  return unreachable;
 }
 
 }  // namespace spindleweir
--- a/servers/routing/load_check.cpp
+++ b/servers/routing/load_check.cpp
@@ -8,32 +8,33 @@
 
 namespace {
 
-/// Goes over the columns of a table, whichever it has. A column that is empty
-/// stands for zeros.
+/// Codec that visits the columns of a table and checks each row. An empty
+/// column stands for zeros.
 class RowCheck {
  public:
   void Sparse(const char*, std::vector<std::string>& aNames) {
     mNames = &aNames;
-    mRows = aNames.size();
-    mAny = mRows;
+    mMinRows = aNames.size();
+    mMaxRows = mMinRows;
   }
   template <class T>
   void Sparse(const char*, std::vector<T>& aNumbers) {
     if (aNumbers.empty()) {
       return;
     }
-    mRows = std::min(mRows, aNumbers.size());
-    mAny = std::max(mAny, aNumbers.size());
-    mIsBad.push_back(
+    mMinRows = std::min(mMinRows, aNumbers.size());
+    mMaxRows = std::max(mMaxRows, aNumbers.size());
+    mIsNegative.push_back(
         [&aNumbers](std::size_t aRow) { return aNumbers[aRow] < 0; });
   }
 
-  /// Whether each row can be used.
+  /// Returns for each row whether it is valid; passes the invalid ones to
+  /// aOnBad.
   std::vector<bool> Usable(const BadRowHook& aOnBad) const {
-    std::vector<bool> usable(mAny, false);
-    for (std::size_t i = 0; i < mAny; i++) {
+    std::vector<bool> usable(mMaxRows, false);
+    for (std::size_t i = 0; i < mMaxRows; i++) {
       try {
-        Require(i);
+        RequireValid(i);
         usable[i] = true;
       } catch (const Error& error) {
         aOnBad(i < mNames->size() ? (*mNames)[i] : "", error);
@@ -43,35 +44,37 @@
   }
 
  private:
-  void Require(std::size_t aRow) const {
-    if (aRow >= mRows) {
-      throw Error(ResultCode::kBadField, "a column has no such row");
+  void RequireValid(std::size_t aRow) const {
+    if (aRow >= mMinRows) {
+      throw Error(ResultCode::kBadField,
+                  "a column of the load table has no value for this row");
     }
     RequireInstance((*mNames)[aRow]);
-    const bool bad =
-        std::any_of(mIsBad.begin(), mIsBad.end(),
-                    [aRow](const auto& aIsBad) { return aIsBad(aRow); });
-    if (bad) {
-      throw Error(ResultCode::kBadField, "a load must not be negative");
+    const bool negative = std::any_of(
+        mIsNegative.begin(), mIsNegative.end(),
+        [aRow](const auto& aIsNegative) { return aIsNegative(aRow); });
+    if (negative) {
+      throw Error(ResultCode::kBadField,
+                  "a load value is negative; it must be 0 or more");
     }
   }
 
   const std::vector<std::string>* mNames = nullptr;
-  std::size_t mRows = 0;
-  std::size_t mAny = 0;
-  std::vector<std::function<bool(std::size_t)>> mIsBad;
+  std::size_t mMinRows = 0;
+  std::size_t mMaxRows = 0;
+  std::vector<std::function<bool(std::size_t)>> mIsNegative;
 };
 
-/// Keeps some rows of each column.
-class RowCut {
+/// Codec that removes the rows of each column that are not to be kept.
+class RowFilter {
  public:
-  explicit RowCut(const std::vector<bool>& aKept) : mReportRetention(aKept) {}
+  explicit RowFilter(const std::vector<bool>& aKeepRow) : mKeepRow(aKeepRow) {}
 
   template <class T>
   void Sparse(const char*, std::vector<T>& aColumn) {
     std::vector<T> kept;
     for (std::size_t i = 0; i < aColumn.size(); i++) {
-      if (mReportRetention[i]) {
+      if (mKeepRow[i]) {
         kept.push_back(std::move(aColumn[i]));
       }
     }
@@ -79,7 +82,7 @@
   }
 
  private:
-  const std::vector<bool>& mReportRetention;
+  const std::vector<bool>& mKeepRow;
 };
 
 }  // namespace
@@ -89,8 +92,8 @@
   RowCheck check;
   table.Fields(check);
   const std::vector<bool> usable = check.Usable(aOnBad);
-  RowCut cut(usable);
-  table.Fields(cut);
+  RowFilter filter(usable);
+  table.Fields(filter);
   return table;
 }
 
--- a/servers/routing/load_check.h
+++ b/servers/routing/load_check.h
@@ -1,4 +1,4 @@
-/// Loads of other processes row by row: one that cannot be used is left out.
+/// Parses load tables of other processes and leaves out invalid rows.
 #pragma once
 
 #include <json/value.h>
@@ -7,7 +7,8 @@
 
 namespace spindleweir {
 
-/// The rows of a table that can be used. Throws kBadField where it is no table.
+/// Returns the valid rows of a table and passes the others to aOnBad. Throws
+/// kBadField if aTable is not a table.
 LoadTable ReadLoadTable(const Json::Value& aTable, const BadRowHook& aOnBad);
 
 }  // namespace spindleweir
--- a/servers/routing/reported_loads.cpp
+++ b/servers/routing/reported_loads.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// What comes back has at most what was told a few answers ago.
+/// A returned sum lags behind by a few answers at most.
 constexpr std::size_t kMaxStoredReports = 4;
 
 }  // namespace
@@ -20,11 +20,11 @@
 
 LoadShares ReportedLoads::SubtractReported(LoadShares aSum,
                                            std::int64_t aSequence) const {
-  for (const Entry& told : mEntries) {
-    if (told.mSequence != aSequence) {
+  for (const Entry& entry : mEntries) {
+    if (entry.mSequence != aSequence) {
       continue;
     }
-    for (const auto& [instance, share] : told.mShares) {
+    for (const auto& [instance, share] : entry.mShares) {
       const auto it = aSum.find(instance);
       if (it != aSum.end()) {
         it->second.Add(share, -1);
