--- a/include/spindleweir/servers/routing/layer_path.h
+++ b/include/spindleweir/servers/routing/layer_path.h
@@ -1,5 +1,5 @@
-/// Chooses the engines that a request passes: a cheapest path over the
-/// layers, within what each engine has room for.
+/// Chooses the engines for a request: the cheapest path over the layers, within
+/// the capacity of each engine.
 #pragma once
 
 #include <functional>
@@ -13,7 +13,7 @@
 
 namespace spindleweir {
 
-/// One part of a path.
+/// One stage of a path: an engine and the layers that it runs.
 struct PathStage {
   std::string mInstance;
   std::string mAddress;
@@ -24,56 +24,57 @@
 
 using LayerPath = std::vector<PathStage>;
 
-/// What is known of the work at one engine.
+/// The known load of one engine.
 struct EngineLoad {
   double mRequests = 0;
-  double mTokenLayers = 0;         ///< Memory promised to them.
-  double mFirstStageRequests = 0;  ///< Requests that have it as the first.
-  double mPrefillTokenLayers = 0;  ///< Still to be read by it.
-  double mSlowdown = 1;            ///< Times as long as its model says.
+  double mTokenLayers = 0;         ///< Memory reserved for them.
+  double mFirstStageRequests = 0;  ///< Requests that begin at it.
+  double mPrefillTokenLayers = 0;  ///< Prefill work not done yet.
+  double mSlowdown = 1;            ///< Time relative to its model.
 };
 
-/// What a path is chosen by.
+/// Input of the path search.
 struct PathQuery {
   const EngineProfile* mProfile = nullptr;
-  std::string mZone;  ///< Where the router, or the engine before, is.
-  bool mStartsAtEngine = false;  ///< The path goes on from an engine.
-  bool mMayCrossZones = true;    ///< From zone to zone between two engines.
+  std::string mZone;             ///< Of the router or the preceding engine.
+  bool mStartsAtEngine = false;  ///< It continues from an engine.
+  bool mMayCrossZones = true;    ///< Between two engines.
   double mTokens = 0;            ///< Prompt and expected answer.
-  double mPrefillTokens = 0;     ///< To be read at first.
+  double mPrefillTokens = 0;     ///< Of the first prefill.
   double mAnswerTokens = 0;      ///< Expected.
   std::vector<const UpstreamRecord*> mEngines;
-  /// The part of its zone's engines that these are; see EngineSample.
+  /// Share of the zone's engines that mEngines has; see EngineSample.
   double mSampleShare = 1;
   std::function<EngineLoad(const std::string&)> mLoadOf;
-  /// Engines that are not to be used, by instance.
+  /// Engines that must not be used, by instance.
   std::set<std::string> mExcludedEngines;
-  /// Engines that no path may begin at, by instance.
+  /// Engines at which no path may begin, by instance.
   std::set<std::string> mExcludedFirstStages;
-  /// Spreads requests that choose at the same moment; may be empty.
+  /// Random source for cost jitter, 0 to 1; may be empty.
   std::function<double()> mRandom;
-  /// By how much of its cost an engine may look dearer to one choice than to
-  /// another: routers do not see each other's newest choices.
+  /// Maximum random addition to an engine's cost, as a share of it. It spreads
+  /// simultaneous choices, since routers do not see each other's latest ones.
   double mCostJitter = 0.2;
-  /// The layers to be passed; both 0: all.
+  /// The layers that the path must cover; both 0: all.
   LayerRange mLayers;
-  /// The share of an engine's room that may be promised.
+  /// Share of an engine's memory that may be reserved.
   double mMaxFill = 0.95;
 };
 
-/// A path with what it is expected to take.
+/// The chosen path with its estimated cost.
 struct PathResult {
-  LayerPath mPath;              ///< Empty: there is none.
-  double mCost = 0;             ///< Milliseconds in all, by the model.
-  int mZoneCrossings = 0;       ///< Times that it goes from zone to zone.
-  bool mLacksRoom = false;      ///< There would be one but for room.
-  bool mDrawnByWeight = false;  ///< By shares, not for its cost.
+  LayerPath mPath;              ///< Empty: no path was found.
+  double mCost = 0;             ///< Total milliseconds by the model.
+  int mZoneCrossings = 0;       ///< Transitions between zones.
+  bool mLacksRoom = false;      ///< Paths exist, but all are full.
+  bool mDrawnByWeight = false;  ///< Instead of by least cost.
 };
 
 PathResult ChoosePath(const PathQuery& aQuery);
 
-/// Requests of the question's size that a path has room for, by the loads that
-/// are known: the least of the memory of its parts and the places of its first.
+/// Number of requests of the query's size that fit on a path at the known
+/// loads: the minimum over the memory of its stages and the slots of its first
+/// engine.
 double RequestCapacityLeft(const PathQuery& aQuery, const LayerPath& aPath);
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/routing/path_chooser.h
+++ b/include/spindleweir/servers/routing/path_chooser.h
@@ -1,4 +1,4 @@
-/// Chooses paths where many routers choose at the same moment and hear of each
+/// Chooses paths when many routers choose at the same time and learn of each
 /// other's choices late.
 #pragma once
 
@@ -11,30 +11,30 @@
 
 namespace spindleweir {
 
-/// What is known of the news that a choice is made by.
+/// State of the information on which a choice is based.
 struct ChoiceContext {
-  /// Requests that other routers of all zones may have begun since the loads
-  /// that are known were true.
+  /// Estimated requests that the routers of all zones began since the time of
+  /// the known loads.
   double mUnreportedRequests = 0;
-  std::int64_t mRevision = 0;  ///< Of the engines and their paces.
+  std::int64_t mRevision = 0;  ///< Of the engines and their slowdowns.
   Millis mNow = 0;
 };
 
-/// The choice of one router for one service. The cheapest path is right as long
-/// as few others can have taken it unseen. Where more may have come than it has
-/// places, all would go the same way until they hear of it: then most requests
-/// are dealt over all paths of the zone that are not full, by what each can
-/// carry.
+/// Chooses the paths of one router for one service. The cheapest path is best
+/// as long as few unreported requests can have taken it. If they may exceed its
+/// capacity, all routers would choose the same path until they learn of its
+/// load. Then most requests are drawn at random from all paths of the zone that
+/// are not full, weighted by the rate that each path sustains.
 ///
-/// 195 routers with news that is 1 s old, 490 requests a second: the cheapest
-/// for all gets 0.52 of the requests refused, this one none
+/// With 195 routers, load reports 1 s old and 490 requests per second, the
+/// cheapest path alone gets 0.52 of the requests refused, this choice none
 /// (spindleweir-bench choice).
 class PathChooser {
  public:
   PathResult Choose(const PathQuery& aQuery, const ChoiceContext& aContext);
 
  private:
-  /// The paths of one zone, and what they were made from.
+  /// The paths of one zone, with the revision and time of their division.
   struct ZonePaths {
     std::vector<PathShare> mPaths;
     std::int64_t mRevision = -1;
--- a/include/spindleweir/servers/routing/path_shares.h
+++ b/include/spindleweir/servers/routing/path_shares.h
@@ -23,10 +23,10 @@
   }
 };
 
-/// The fastest path first, up to what the engines of it can carry, then the
-/// fastest of what is left. aEngines: those of one zone that may be used.
-/// aSlowdownOf: times as long as its model says that an engine takes; may be
-/// empty.
+/// Repeatedly takes the fastest path, up to the capacity of its engines, from
+/// the capacity that the previous paths left. aEngines: the usable engines of
+/// one zone. aSlowdownOf: returns the slowdown factor of an engine; may be
+/// empty (all normal).
 std::vector<PathShare> DividePaths(
     const EngineProfile& aProfile,
     const std::vector<const UpstreamRecord*>& aEngines,
--- a/include/spindleweir/servers/routing/path_timing.h
+++ b/include/spindleweir/servers/routing/path_timing.h
@@ -1,40 +1,43 @@
-/// How fast a stream should come by a path, by the engine model, the loads and
-/// the paces that are known: what its events are judged against.
+/// Estimates how fast the tokens of a stream arrive on a path, from the engine
+/// model, the known loads and the slowdown factors. The stall timeouts of the
+/// stream's events derive from it.
 #pragma once
 
 #include "spindleweir/servers/routing/layer_path.h"
 
 namespace spindleweir {
 
-/// Milliseconds by the model.
+/// Estimated times in milliseconds.
 struct PathTiming {
   double mFirstTokenMillis = 0;  ///< To the first token.
   double mTokenMillis = 0;       ///< From one token to the next.
 };
 
-/// Parts whose engine the question doesn't list are left out.
+/// Estimates the timing of aPath. Stages whose engine is not in the query's
+/// list are left out.
 PathTiming EstimateTiming(const PathQuery& aQuery, const LayerPath& aPath);
 
-/// What a route wants of a stream.
+/// Latency targets that a route sets for a stream.
 struct StreamTargets {
   Millis mFirstEvent = 0;  ///< To the first event; 0: any.
   Millis mPause = 0;       ///< Between events; 0: any.
 };
 
-/// How long an event may be waited for before the path is suspected.
+/// Time without an event after which the path is suspected.
 struct StreamStallTimeouts {
   Millis mFirstEvent = 0;
   Millis mGap = 0;
 };
 
-/// aTokens: of one event.
+/// aTokens: tokens per event.
 StreamStallTimeouts StallTimeoutsOf(const PathTiming& aTiming, double aTokens,
                                     const StreamTargets& aTargets);
 
-/// Whether a stream should leave a path for one that comes at another pace.
+/// Whether aOther is enough faster than the current path to move a stream to
+/// it.
 bool IsMoveWorthwhile(const PathTiming& aCurrent, const PathTiming& aOther);
 
-/// Whether events of a path come too late, or nearly so.
+/// Whether the expected time between events exceeds the targets, or nearly so.
 bool IsTooSlow(const PathTiming& aTiming, double aTokens,
                const StreamTargets& aTargets);
 
--- a/servers/routing/layer_path.cpp
+++ b/servers/routing/layer_path.cpp
@@ -8,55 +8,57 @@
 namespace {
 
 constexpr double kNone = std::numeric_limits<double>::infinity();
-/// What a step from one engine to another zone costs beside its time: the
-/// prompt and each token pass a pipe that all share.
+/// Cost of a transition between engines in different zones beside its time, in
+/// milliseconds: the prompt and each token use bandwidth that all requests
+/// share.
 constexpr double kZoneCrossingCost = 500;
-/// What it costs to begin in another zone: only the request's text and its
-/// events pass between the zones, but the zone has work of its own.
+/// Cost of a first stage in another zone than the router's, in milliseconds:
+/// only the request's text and its events pass between the zones, but that zone
+/// also has its own requests.
 constexpr double kRemoteZoneCost = 120;
-/// A token waits at each engine for the pass that is under way.
+/// Step cost factor for the wait of a token until the running pass has ended.
 constexpr double kPassWaitFactor = 2;
-/// Of the requests that an engine has, this part is in one pass with another;
-/// the rest is at other engines of their paths.
+/// Share of an engine's requests that run in the same pass; the others are at
+/// other engines of their paths at that time.
 constexpr double kSharedPassShare = 0.15;
-/// What the last free memory of an engine is worth, in milliseconds for each
-/// share of its room that a request takes.
+/// Cost of using the last free memory of an engine, in milliseconds per share
+/// of its memory that a request takes.
 constexpr double kMemoryScarcityCost = 4000;
-/// The share of a first engine's places that may be promised: what others
-/// began since their loads were told needs the rest.
+/// Share of a first engine's slots that may be used: the rest is for requests
+/// that other routers began since their last load reports.
 constexpr double kFirstStageFill = 0.95;
 
-/// Tokens x layers that may be promised at an engine.
+/// Tokens times layers that may be reserved at an engine.
 double RoomOf(const PathQuery& aQuery, const UpstreamRecord& aEngine,
               const AcceleratorKind& aKind) {
   return EngineModel(*aQuery.mProfile, aKind).Room(aEngine.mLayers.Count()) *
          aQuery.mMaxFill;
 }
 
-/// Requests that an engine may have as the first of their paths.
+/// Number of requests that may begin at an engine.
 double FirstStageSlots(const UpstreamRecord& aEngine) {
   return aEngine.mSlots <= 0 ? kNone : aEngine.mSlots * kFirstStageFill;
 }
 
-/// One engine with what a part of it costs.
+/// A usable engine with the inputs of its stage cost.
 struct Candidate {
   const UpstreamRecord* mRecord;
   std::size_t mZone;  ///< Index of its zone.
   EngineModel mModel;
   EngineLoad mLoad;
-  double mRoom;        ///< Tokens x layers that may be promised in all.
-  double mCostJitter;  ///< A factor near 1 that differs with each choice.
+  double mRoom;        ///< Reservable tokens times layers.
+  double mCostJitter;  ///< Random factor near 1.
 };
 
-/// A boundary between layers, come to by an engine of a zone. The cheapest way
-/// to a boundary may be one that must go over to another zone after it, so
-/// that the best way is kept for each zone.
+/// A node of the search: a boundary between layers, reached by an engine in a
+/// zone. The cheapest path to a boundary may have to cross into another zone
+/// after it, so that the best path is stored for each zone.
 struct Node {
   std::size_t mBoundary = 0;
   std::size_t mZone = 0;
 };
 
-/// The best way found to a place.
+/// The cheapest path found to a node, as a link to the previous node.
 struct BestPath {
   double mCost = kNone;
   Node mFrom;
@@ -120,7 +122,7 @@
                          : LayerPath();
   }
 
-  /// Of the path found last.
+  /// Zone crossings of the path that Find() returned last.
   int Crossings() const { return mZoneCrossings; }
 
  private:
@@ -164,7 +166,7 @@
     }
   }
 
-  /// Whether the way to a boundary passes an engine already.
+  /// Whether the best path to a node already uses the engine.
   bool PassesEngine(const BestPaths& aReached, Node aAt, int aCandidate) const {
     while (aAt.mBoundary > 0) {
       const BestPath& step = aReached[aAt.mBoundary][aAt.mZone];
@@ -176,7 +178,7 @@
     return false;
   }
 
-  /// Whether one request more may have it as its first.
+  /// Whether a further request may begin at the engine.
   bool CanBeFirstStage(const Candidate& aCandidate) const {
     if (mQuery.mExcludedFirstStages.contains(aCandidate.mRecord->mInstance)) {
       return false;
@@ -193,38 +195,40 @@
             ? mQuery.mZone
             : mCandidates[static_cast<std::size_t>(aHere.mCandidateIndex)]
                   .mRecord->mZone;
-    const bool other = zone != aNext.mRecord->mZone;
+    const bool crossesZones = zone != aNext.mRecord->mZone;
     if (fromRouter) {
-      return other ? kRemoteZoneCost : 0;
+      return crossesZones ? kRemoteZoneCost : 0;
     }
-    if (other && !mQuery.mMayCrossZones) {
+    if (crossesZones && !mQuery.mMayCrossZones) {
       return kNone;
     }
-    const double each = HopMillis(*mQuery.mProfile, other);
-    return each * (1 + mQuery.mAnswerTokens) + (other ? kZoneCrossingCost : 0);
+    const double each = HopMillis(*mQuery.mProfile, crossesZones);
+    return each * (1 + mQuery.mAnswerTokens) +
+           (crossesZones ? kZoneCrossingCost : 0);
   }
 
   double StageCost(const Candidate& aCandidate, int aLayers) const {
-    const double need = mQuery.mTokens * aLayers;
+    const double needed = mQuery.mTokens * aLayers;
     const double used = aCandidate.mLoad.mTokenLayers;
-    if (mWithinCapacity && used + need > aCandidate.mRoom) {
+    if (mWithinCapacity && used + needed > aCandidate.mRoom) {
       return kNone;
     }
-    const double together = 1 + aCandidate.mLoad.mRequests * kSharedPassShare;
-    const StageLoad load{.mWriters = together,
-                         .mContextTokens = together * mQuery.mTokens};
+    const double requestsPerPass =
+        1 + aCandidate.mLoad.mRequests * kSharedPassShare;
+    const StageLoad load{.mWriters = requestsPerPass,
+                         .mContextTokens = requestsPerPass * mQuery.mTokens};
     const double step =
         aCandidate.mModel.StepMillis(aLayers, load) * kPassWaitFactor;
-    const double read =
+    const double prefill =
         aCandidate.mModel.ReadMillis(aLayers, mQuery.mPrefillTokens);
     const double room = std::max(1.0, aCandidate.mRoom);
-    const double fill = std::min(1.0, (used + need) / room);
-    const double scarcity = need / room * fill * fill * kMemoryScarcityCost;
+    const double fill = std::min(1.0, (used + needed) / room);
+    const double scarcity = needed / room * fill * fill * kMemoryScarcityCost;
     const double queue = aCandidate.mModel.ReadMillis(1, 1) *
                          aCandidate.mLoad.mPrefillTokenLayers;
-    // A slow engine isn't left out: where the others are full it is still
-    // better than none, and the room of the others is worth only so much.
-    return (step * mQuery.mAnswerTokens + read + queue) *
+    // A slow engine is not excluded: it is still better than none if the others
+    // are full, and the scarcity cost of the others is bounded.
+    return (step * mQuery.mAnswerTokens + prefill + queue) *
                aCandidate.mLoad.mSlowdown * aCandidate.mCostJitter +
            scarcity;
   }
@@ -245,8 +249,8 @@
            {mBoundaries[step.mFrom.mBoundary], mBoundaries[aAt.mBoundary]}});
       aAt = step.mFrom;
     }
-    const bool goesOver = mQuery.mStartsAtEngine && next != mQuery.mZone;
-    mZoneCrossings += goesOver ? 1 : 0;
+    const bool crossesAtStart = mQuery.mStartsAtEngine && next != mQuery.mZone;
+    mZoneCrossings += crossesAtStart ? 1 : 0;
     std::reverse(path.begin(), path.end());
     return path;
   }
@@ -271,28 +275,29 @@
 }  // namespace
 
 double RequestCapacityLeft(const PathQuery& aQuery, const LayerPath& aPath) {
-  double least = kNone;
-  for (const PathStage& part : aPath) {
-    const UpstreamRecord* engine = FindEngine(aQuery, part.mInstance);
+  double capacity = kNone;
+  for (const PathStage& stage : aPath) {
+    const UpstreamRecord* engine = FindEngine(aQuery, stage.mInstance);
     const AcceleratorKind* kind =
         engine == nullptr ? nullptr : aQuery.mProfile->FindKind(engine->mKind);
-    const bool holds =
+    const bool holdsLayers =
         kind != nullptr &&
-        engine->mLayers.Holds(part.mLayers.mFrom, part.mLayers.mTo);
-    if (!holds) {
+        engine->mLayers.Holds(stage.mLayers.mFrom, stage.mLayers.mTo);
+    if (!holdsLayers) {
       return 0;
     }
-    const EngineLoad load = aQuery.mLoadOf(part.mInstance);
+    const EngineLoad load = aQuery.mLoadOf(stage.mInstance);
     const double room = RoomOf(aQuery, *engine, *kind);
-    const double need = aQuery.mTokens * part.mLayers.Count();
-    const double left = need <= 0 ? kNone : (room - load.mTokenLayers) / need;
-    least = std::min(least, left);
-    if (&part == &aPath.front()) {
-      least =
-          std::min(least, FirstStageSlots(*engine) - load.mFirstStageRequests);
+    const double needed = aQuery.mTokens * stage.mLayers.Count();
+    const double left =
+        needed <= 0 ? kNone : (room - load.mTokenLayers) / needed;
+    capacity = std::min(capacity, left);
+    if (&stage == &aPath.front()) {
+      capacity = std::min(capacity,
+                          FirstStageSlots(*engine) - load.mFirstStageRequests);
     }
   }
-  return std::max(0.0, least);
+  return std::max(0.0, capacity);
 }
 
 PathResult ChoosePath(const PathQuery& aQuery) {
--- a/servers/routing/path_chooser.cpp
+++ b/servers/routing/path_chooser.cpp
@@ -8,99 +8,102 @@
 
 namespace {
 
-/// The part of the places left on the cheapest path that may be taken before
-/// the others hear of it: the rest is for what the loads do not show.
+/// Share of the remaining capacity of the cheapest path that unreported
+/// requests may use: the rest is for load that the reports do not show.
 constexpr double kUnreportedFill = 0.5;
-/// Paths are divided anew at most this often: in a release each engine's
-/// change would do it.
+/// Minimum time between two divisions of a zone into paths: during a rollout
+/// each engine's change would cause one.
 constexpr Millis kDivideInterval = 300;
 
-/// A path that takes so many times as long as with sound engines is not dealt
-/// where others are: its requests are late, or near it.
+/// A path with at least this slowdown factor is not drawn if there are others:
+/// its requests are late or nearly so.
 constexpr double kSlowPathFactor = 1.5;
 
-/// A path with what it has left for this request.
+/// A path with its remaining capacity for requests like this one.
 struct Candidate {
   const PathShare* mShare = nullptr;
-  double mMaxRequests = 0;  ///< Requests that may still come.
-  double mWeight = 0;       ///< Requests a millisecond.
+  double mMaxRequests = 0;  ///< Requests that still fit on it.
+  double mWeight = 0;       ///< Requests per millisecond.
 };
 
-/// What a path offers by the loads that are known; nothing where it is full.
+/// Returns the capacity and weight of a path at the known loads; both 0 if it
+/// is full or excluded.
 Candidate CandidateOf(const PathQuery& aQuery, const PathShare& aShare) {
-  const bool avoided =
+  const bool excluded =
       aQuery.mExcludedFirstStages.contains(aShare.mPath.front().mInstance) ||
       std::any_of(aShare.mPath.begin(), aShare.mPath.end(),
-                  [&aQuery](const PathStage& aPart) {
-                    return aQuery.mExcludedEngines.contains(aPart.mInstance);
+                  [&aQuery](const PathStage& aStage) {
+                    return aQuery.mExcludedEngines.contains(aStage.mInstance);
                   });
-  Candidate offer{.mShare = &aShare};
-  if (avoided) {
-    return offer;
+  Candidate candidate{.mShare = &aShare};
+  if (excluded) {
+    return candidate;
   }
   const double left = RequestCapacityLeft(aQuery, aShare.mPath);
   if (left < 1) {
-    return offer;
+    return candidate;
   }
-  offer.mMaxRequests = left;
-  // By what the path can carry, not by what it has left at the moment: with
-  // news 1.5 s old and 700 requests a second that refused 0.052 of them, since
-  // all go where there was room; this refuses 0.001.
-  offer.mWeight = aShare.Rate();
-  return offer;
+  candidate.mMaxRequests = left;
+  // Weighted by the rate that the path sustains, not by its current remaining
+  // capacity: with load reports 1.5 s old and 700 requests per second the
+  // latter gets 0.052 of the requests refused, since all choose the paths that
+  // had capacity then; the former gets 0.001 refused.
+  candidate.mWeight = aShare.Rate();
+  return candidate;
 }
 
 bool IsSlow(const Candidate& aCandidate) {
   return aCandidate.mShare->mSlowdown >= kSlowPathFactor;
 }
 
-/// What slowed paths would carry if they were sound goes to the paths that
-/// aReplacements gives, beside the sound ones that are there. Unless there are
-/// none: then slow ones are better than nothing.
+/// Removes slow paths and adds the paths that aReplacements returns, with the
+/// rate that the slow paths would sustain at normal speed. Keeps the slow paths
+/// if there are no others.
 void ReplaceSlowPaths(
     std::vector<Candidate>& aCandidates,
     const std::function<std::vector<Candidate>()>& aReplacements) {
-  double lost = 0;
-  for (const Candidate& offer : aCandidates) {
-    lost += IsSlow(offer) ? offer.mWeight * offer.mShare->mSlowdown : 0;
+  double normalRate = 0;
+  for (const Candidate& candidate : aCandidates) {
+    normalRate +=
+        IsSlow(candidate) ? candidate.mWeight * candidate.mShare->mSlowdown : 0;
   }
-  if (lost <= 0) {
+  if (normalRate <= 0) {
     return;
   }
-  std::vector<Candidate> others = aReplacements();
-  std::erase_if(others, IsSlow);
+  std::vector<Candidate> replacements = aReplacements();
+  std::erase_if(replacements, IsSlow);
   double weight = 0;
-  for (const Candidate& offer : others) {
-    weight += offer.mWeight;
+  for (const Candidate& candidate : replacements) {
+    weight += candidate.mWeight;
   }
-  const bool soundLeft = std::any_of(
+  const bool hasNormalPath = std::any_of(
       aCandidates.begin(), aCandidates.end(), [](const Candidate& aCandidate) {
         return !IsSlow(aCandidate) && aCandidate.mWeight > 0;
       });
-  if (weight <= 0 && !soundLeft) {
+  if (weight <= 0 && !hasNormalPath) {
     return;
   }
   std::erase_if(aCandidates, IsSlow);
-  for (Candidate& offer : others) {
-    offer.mWeight *= std::min(1.0, lost / weight);
-    aCandidates.push_back(offer);
+  for (Candidate& candidate : replacements) {
+    candidate.mWeight *= std::min(1.0, normalRate / weight);
+    aCandidates.push_back(candidate);
   }
 }
 
 const Candidate* DrawCandidate(const std::vector<Candidate>& aCandidates,
                                double aRandom) {
   double total = 0;
-  for (const Candidate& offer : aCandidates) {
-    total += offer.mWeight;
+  for (const Candidate& candidate : aCandidates) {
+    total += candidate.mWeight;
   }
   double left = aRandom * total;
   const Candidate* drawn = nullptr;
-  for (const Candidate& offer : aCandidates) {
-    if (offer.mWeight <= 0) {
+  for (const Candidate& candidate : aCandidates) {
+    if (candidate.mWeight <= 0) {
       continue;
     }
-    drawn = &offer;
-    left -= offer.mWeight;
+    drawn = &candidate;
+    left -= candidate.mWeight;
     if (left <= 0) {
       break;
     }
@@ -114,11 +117,11 @@
     const PathQuery& aQuery, const std::string& aZone,
     const ChoiceContext& aContext) {
   ZonePaths& zone = mZones[aZone];
-  const bool fresh = aQuery.mSampleShare >= 1 &&
-                     (zone.mRevision == aContext.mRevision ||
-                      (zone.mRevision >= 0 &&
-                       aContext.mNow - zone.mDividedAt < kDivideInterval));
-  if (fresh) {
+  const bool isFresh = aQuery.mSampleShare >= 1 &&
+                       (zone.mRevision == aContext.mRevision ||
+                        (zone.mRevision >= 0 &&
+                         aContext.mNow - zone.mDividedAt < kDivideInterval));
+  if (isFresh) {
     return zone.mPaths;
   }
   std::vector<const UpstreamRecord*> engines;
@@ -138,12 +141,12 @@
 
 PathResult PathChooser::DrawByWeight(const PathQuery& aQuery,
                                      const ChoiceContext& aContext) {
-  std::vector<Candidate> offers;
-  double places = 0;
+  std::vector<Candidate> candidates;
+  double capacity = 0;
   const auto add = [&](const std::string& aZone) {
     for (const PathShare& share : PathsOfZone(aQuery, aZone, aContext)) {
-      offers.push_back(CandidateOf(aQuery, share));
-      places += offers.back().mMaxRequests;
+      candidates.push_back(CandidateOf(aQuery, share));
+      capacity += candidates.back().mMaxRequests;
     }
   };
   std::set<std::string> zones;
@@ -151,26 +154,27 @@
     zones.insert(engine->mZone);
   }
   add(aQuery.mZone);
-  if (places * static_cast<double>(zones.size()) <
+  if (capacity * static_cast<double>(zones.size()) <
       aContext.mUnreportedRequests) {
-    // Its own zone may not carry what comes before the next news.
+    // The local zone may lack capacity for the requests until the next load
+    // reports.
     zones.erase(aQuery.mZone);
     for (const std::string& zone : zones) {
       add(zone);
     }
     zones.clear();
   }
-  ReplaceSlowPaths(offers, [&] {
-    std::vector<Candidate> others;
+  ReplaceSlowPaths(candidates, [&] {
+    std::vector<Candidate> replacements;
     zones.erase(aQuery.mZone);
     for (const std::string& zone : zones) {
       for (const PathShare& share : PathsOfZone(aQuery, zone, aContext)) {
-        others.push_back(CandidateOf(aQuery, share));
+        replacements.push_back(CandidateOf(aQuery, share));
       }
     }
-    return others;
+    return replacements;
   });
-  const Candidate* drawn = DrawCandidate(offers, aQuery.mRandom());
+  const Candidate* drawn = DrawCandidate(candidates, aQuery.mRandom());
   return drawn == nullptr ? PathResult()
                           : PathResult{.mPath = drawn->mShare->mPath,
                                        .mDrawnByWeight = true};
@@ -183,13 +187,13 @@
     return cheapest;
   }
   const double left = RequestCapacityLeft(aQuery, cheapest.mPath);
-  // Who else chooses looks at another sample: so much less comes this way.
-  const double unseen = aContext.mUnreportedRequests * aQuery.mSampleShare;
-  if (aQuery.mRandom() * unseen <= left * kUnreportedFill) {
+  // Other choices use other samples, so that fewer of them choose this path.
+  const double unreported = aContext.mUnreportedRequests * aQuery.mSampleShare;
+  if (aQuery.mRandom() * unreported <= left * kUnreportedFill) {
     return cheapest;
   }
-  PathResult dealt = DrawByWeight(aQuery, aContext);
-  return dealt.mPath.empty() ? cheapest : dealt;
+  PathResult drawn = DrawByWeight(aQuery, aContext);
+  return drawn.mPath.empty() ? cheapest : drawn;
 }
 
 }  // namespace spindleweir
--- a/servers/routing/path_shares.cpp
+++ b/servers/routing/path_shares.cpp
@@ -6,33 +6,34 @@
 
 namespace {
 
-/// A request of a service that does not say what is usual, in tokens.
+/// Request size assumed if a service configures no typical one, in tokens.
 constexpr double kDefaultPromptTokens = 800;
 constexpr double kDefaultAnswerTokens = 200;
-/// A token waits at each engine for half of the pass that is under way.
+/// A token waits at perWriterMillis engine for half of the pass that is under
+/// way.
 constexpr double kPassWaitFactor = 1.5;
-/// A pass takes twice as long as with one writer when so much of it is for
-/// writers: beyond that pauses grow faster than what is written.
+/// Maximum duration of a pass, relative to a pass without decoding requests:
+/// beyond it the pauses between tokens grow faster than the token rate.
 constexpr double kMaxPassGrowth = 2;
-/// The share of its time that an engine may be at work.
+/// Maximum share of time that an engine may be busy.
 constexpr double kMaxBusyShare = 0.8;
-/// The share of an engine's memory that may be promised, as for paths.
+/// Share of an engine's memory that may be reserved, as in the path search.
 constexpr double kMaxFill = 0.95;
-/// Less than so many requests at a time are no path.
+/// A path needs capacity for at least this many concurrent requests.
 constexpr double kMinRequests = 1;
 
-/// What is left of one engine.
+/// Remaining capacity of one engine.
 struct Capacity {
-  double mRequestsPerMilli = 0;  ///< A millisecond, by its speed.
+  double mRequestsPerMilli = 0;  ///< By its speed.
   double mTokenLayers = 0;
   double mFirstStageRequests = 0;
 };
 
-/// The work of one request at a part of a path.
+/// The work of one request at one stage of a path.
 struct StageWork {
   double mPrefillMillis = 0;
-  double mStepMillis = 0;  ///< A token, in a pass with others.
-  double mBusyMillis = 0;  ///< Of the engine, in all.
+  double mStepMillis = 0;  ///< Per token, in a shared pass.
+  double mBusyMillis = 0;  ///< Total time that the engine is busy.
 };
 
 class PathDivision {
@@ -77,7 +78,7 @@
 
   std::vector<PathShare> Divide() {
     std::vector<PathShare> shares;
-    // Each path uses up an engine at least, so that this ends.
+    // Each path exhausts at least one engine, so that the loop ends.
     for (std::size_t i = 0; i < mQuery.mEngines.size(); i++) {
       LayerPath path = ChoosePath(mQuery).mPath;
       if (path.empty()) {
@@ -96,71 +97,77 @@
   StageWork Work(const UpstreamRecord& aEngine, int aLayers) const {
     const EngineModel model(mProfile, *mProfile.FindKind(aEngine.mKind));
     const double context = mPromptTokens + mAnswerTokens / 2;
-    const double alone = model.StepMillis(aLayers, {});
-    const double each =
+    const double baseMillis = model.StepMillis(aLayers, {});
+    const double perWriterMillis =
         model.StepMillis(aLayers, {.mWriters = 1, .mContextTokens = context}) -
-        alone;
-    const double read = model.ReadMillis(aLayers, mPromptTokens);
-    const double pace = mSlowdowns.at(aEngine.mInstance);
-    return {
-        .mPrefillMillis = read * pace,
-        .mStepMillis = alone * kMaxPassGrowth * pace,
-        .mBusyMillis = (read + mAnswerTokens * each * kMaxPassGrowth) * pace};
+        baseMillis;
+    const double prefill = model.ReadMillis(aLayers, mPromptTokens);
+    const double slowdown = mSlowdowns.at(aEngine.mInstance);
+    return {.mPrefillMillis = prefill * slowdown,
+            .mStepMillis = baseMillis * kMaxPassGrowth * slowdown,
+            .mBusyMillis =
+                (prefill + mAnswerTokens * perWriterMillis * kMaxPassGrowth) *
+                slowdown};
   }
 
-  /// What a path can carry by what is left of its engines.
+  /// Computes the capacity of a path from the remaining capacity of its
+  /// engines.
   PathShare Measure(LayerPath aPath) const {
     PathShare share;
     double rate = 0;
-    double places = 0;
-    double well = 0;
+    double maxRequests = 0;
+    double normalMillis = 0;
     bool first = true;
-    for (const PathStage& part : aPath) {
-      const int layers = part.mLayers.Count();
-      const Capacity& left = mCapacities.at(part.mInstance);
-      const StageWork work = Work(*mEngines.at(part.mInstance), layers);
-      const double hops = mAnswerTokens * HopMillis(mProfile, false);
-      const double engine = work.mPrefillMillis +
-                            mAnswerTokens * work.mStepMillis * kPassWaitFactor;
-      share.mRequestMillis += engine + hops;
-      well += engine / mSlowdowns.at(part.mInstance) + hops;
-      const double room = left.mTokenLayers / (mQuery.mTokens * layers);
-      places = first ? room : std::min(places, room);
+    for (const PathStage& stage : aPath) {
+      const int layers = stage.mLayers.Count();
+      const Capacity& left = mCapacities.at(stage.mInstance);
+      const StageWork work = Work(*mEngines.at(stage.mInstance), layers);
+      const double hopMillis = mAnswerTokens * HopMillis(mProfile, false);
+      const double engineMillis = work.mPrefillMillis + mAnswerTokens *
+                                                            work.mStepMillis *
+                                                            kPassWaitFactor;
+      share.mRequestMillis += engineMillis + hopMillis;
+      normalMillis += engineMillis / mSlowdowns.at(stage.mInstance) + hopMillis;
+      const double memoryRequests =
+          left.mTokenLayers / (mQuery.mTokens * layers);
+      maxRequests =
+          first ? memoryRequests : std::min(maxRequests, memoryRequests);
       rate = first ? left.mRequestsPerMilli
                    : std::min(rate, left.mRequestsPerMilli);
       if (first && left.mFirstStageRequests > 0) {
-        places = std::min(places, left.mFirstStageRequests);
+        maxRequests = std::min(maxRequests, left.mFirstStageRequests);
       }
       first = false;
     }
-    share.mSlowdown = well <= 0 ? 1 : share.mRequestMillis / well;
-    share.mMaxRequests = std::min(places, rate * share.mRequestMillis);
+    share.mSlowdown =
+        normalMillis <= 0 ? 1 : share.mRequestMillis / normalMillis;
+    share.mMaxRequests = std::min(maxRequests, rate * share.mRequestMillis);
     share.mPath = std::move(aPath);
     return share;
   }
 
   void Reserve(const PathShare& aShare) {
-    constexpr double kNothing = 1e-9;
+    constexpr double kMinRate = 1e-9;
     bool first = true;
-    for (const PathStage& part : aShare.mPath) {
-      Capacity& left = mCapacities[part.mInstance];
-      const double need = mQuery.mTokens * part.mLayers.Count();
-      left.mTokenLayers -= aShare.mMaxRequests * need;
+    for (const PathStage& stage : aShare.mPath) {
+      Capacity& left = mCapacities[stage.mInstance];
+      const double needed = mQuery.mTokens * stage.mLayers.Count();
+      left.mTokenLayers -= aShare.mMaxRequests * needed;
       left.mRequestsPerMilli -= aShare.Rate();
       left.mFirstStageRequests -= first ? aShare.mMaxRequests : 0;
-      const bool hadPlaces = mEngines[part.mInstance]->mSlots > 0;
-      const bool used =
-          left.mTokenLayers < need || left.mRequestsPerMilli < kNothing ||
-          (first && hadPlaces && left.mFirstStageRequests < kMinRequests);
-      if (used || aShare.mMaxRequests < kMinRequests) {
-        mQuery.mExcludedEngines.insert(part.mInstance);
+      const bool hasSlots = mEngines[stage.mInstance]->mSlots > 0;
+      const bool isExhausted =
+          left.mTokenLayers < needed || left.mRequestsPerMilli < kMinRate ||
+          (first && hasSlots && left.mFirstStageRequests < kMinRequests);
+      if (isExhausted || aShare.mMaxRequests < kMinRequests) {
+        mQuery.mExcludedEngines.insert(stage.mInstance);
       }
       first = false;
     }
   }
 
   const EngineProfile& mProfile;
-  double mPromptTokens;  ///< Tokens of a usual request.
+  double mPromptTokens;  ///< Of a typical request.
   double mAnswerTokens;
   PathQuery mQuery;
   std::map<std::string, Capacity> mCapacities;  ///< By instance.
--- a/servers/routing/path_timing.cpp
+++ b/servers/routing/path_timing.cpp
@@ -6,46 +6,47 @@
 
 namespace {
 
-/// A token waits at each engine for half of the pass that is under way.
+/// On average a token waits at each engine for half of the running pass before
+/// its own pass begins.
 constexpr double kPassWaitFactor = 1.5;
-/// Of the requests that an engine has, this part is in one pass with another.
+/// Share of an engine's requests that run in the same pass.
 constexpr double kSharedPassShare = 0.15;
-/// An event is late for its path when it takes so many times what the model
-/// says: under load and with prompts being read in between, events of sound
-/// paths take up to this.
+/// An event is late if it takes this many times as long as estimated. Events of
+/// healthy paths take up to this under load and during the prefill of other
+/// requests.
 constexpr double kLateFactor = 1.8;
-/// And in no less time than this, milliseconds: what a router's own turns and
-/// a link's delays may add.
+/// Lower bounds of the timeouts, in milliseconds: event loop turns of the
+/// router and network delays can add this much.
 constexpr Millis kMinGapTimeout = 100;
 constexpr Millis kMinFirstTimeout = 150;
-/// Suspicion comes at this part of what a caller bears at the latest, so that
-/// time is left for a question, 10 ms, and a move, 50 to 100 ms.
+/// A path is suspected at this share of the target at the latest, which leaves
+/// time for a poll (10 ms) and a move (50 to 100 ms).
 constexpr double kSuspectShare = 0.6;
-/// What a caller bears where its route says nothing.
+/// Targets if the route sets none.
 constexpr Millis kDefaultFirstTarget = 1000;
 constexpr Millis kDefaultPauseTarget = 500;
-/// A move has all tokens so far read again: for less it isn't worth it.
+/// Maximum ratio of new to current token time for a move, since a move repeats
+/// the prefill of all tokens so far.
 constexpr double kMaxMoveRatio = 0.7;
 
-Millis StallTimeoutOf(double aExpected, Millis aMin, Millis aTargets,
+Millis StallTimeoutOf(double aExpected, Millis aMin, Millis aTarget,
                       Millis aDefaultTarget) {
-  const double most =
+  const double max =
       kSuspectShare *
-      static_cast<double>(aTargets > 0 ? aTargets : aDefaultTarget);
-  const auto late =
-      static_cast<Millis>(std::min(most, aExpected * kLateFactor));
+      static_cast<double>(aTarget > 0 ? aTarget : aDefaultTarget);
+  const auto late = static_cast<Millis>(std::min(max, aExpected * kLateFactor));
   return std::max(aMin, late);
 }
 
 }  // namespace
 
 PathTiming EstimateTiming(const PathQuery& aQuery, const LayerPath& aPath) {
-  PathTiming pace;
+  PathTiming timing;
   const std::string* zone = nullptr;
-  for (const PathStage& part : aPath) {
+  for (const PathStage& stage : aPath) {
     const auto it = std::find_if(aQuery.mEngines.begin(), aQuery.mEngines.end(),
-                                 [&part](const UpstreamRecord* aRecord) {
-                                   return aRecord->mInstance == part.mInstance;
+                                 [&stage](const UpstreamRecord* aRecord) {
+                                   return aRecord->mInstance == stage.mInstance;
                                  });
     const AcceleratorKind* kind = it == aQuery.mEngines.end()
                                       ? nullptr
@@ -54,22 +55,22 @@
       continue;
     }
     const EngineModel model(*aQuery.mProfile, *kind);
-    const EngineLoad load = aQuery.mLoadOf(part.mInstance);
-    const int layers = part.mLayers.Count();
-    const double together = 1 + load.mRequests * kSharedPassShare;
+    const EngineLoad load = aQuery.mLoadOf(stage.mInstance);
+    const int layers = stage.mLayers.Count();
+    const double requestsPerPass = 1 + load.mRequests * kSharedPassShare;
     const double step = model.StepMillis(
-        layers,
-        {.mWriters = together, .mContextTokens = together * aQuery.mTokens});
-    const double read = model.ReadMillis(layers, aQuery.mPrefillTokens) +
-                        model.ReadMillis(1, 1) * load.mPrefillTokenLayers;
-    const bool other = zone != nullptr && *zone != (*it)->mZone;
+        layers, {.mWriters = requestsPerPass,
+                 .mContextTokens = requestsPerPass * aQuery.mTokens});
+    const double prefill = model.ReadMillis(layers, aQuery.mPrefillTokens) +
+                           model.ReadMillis(1, 1) * load.mPrefillTokenLayers;
+    const bool crossesZones = zone != nullptr && *zone != (*it)->mZone;
     zone = &(*it)->mZone;
-    pace.mTokenMillis += step * kPassWaitFactor * load.mSlowdown +
-                         HopMillis(*aQuery.mProfile, other);
-    pace.mFirstTokenMillis += read * load.mSlowdown;
+    timing.mTokenMillis += step * kPassWaitFactor * load.mSlowdown +
+                           HopMillis(*aQuery.mProfile, crossesZones);
+    timing.mFirstTokenMillis += prefill * load.mSlowdown;
   }
-  pace.mFirstTokenMillis += pace.mTokenMillis;
-  return pace;
+  timing.mFirstTokenMillis += timing.mTokenMillis;
+  return timing;
 }
 
 StreamStallTimeouts StallTimeoutsOf(const PathTiming& aTiming, double aTokens,
