--- a/include/spindleweir/servers/routing/chain_chooser.h
+++ b/include/spindleweir/servers/routing/chain_chooser.h
@@ -14,7 +14,7 @@
 
 namespace spindleweir {
 
-/// An engine as the chooser sees it.
+/// An engine that a chain may use.
 struct ChainCandidate {
   std::string mEngine;
   std::string mZone;
@@ -23,31 +23,31 @@
   std::string mVersion;
   int mFirst = 0;
   int mLast = 0;
-  double mWaitMillis = 0;   ///< Expected wait for a place in the batch.
+  double mWaitMillis = 0;   ///< Expected wait for a batch slot.
   double mStepMillis = 0;   ///< Time of one step.
   double mSavedMillis = 0;  ///< Prefill saved by a cached prefix.
   bool mUsable = true;      ///< Neither leaving, nor ejected, nor loading.
 };
 
-/// What a request needs.
+/// Requirements of a request.
 struct ChainQuery {
   std::string mModel;
   std::string mVersion;
   int mLayers = 0;
-  std::string mHomeZone;  ///< The router's, to which the tokens come.
+  std::string mHomeZone;  ///< Of the router, which gets the tokens.
   std::span<const std::string> mZones;               ///< Allowed; empty: all.
   std::span<const std::string> mHardware;            ///< Allowed; empty: all.
   const std::set<std::string>* mExcluded = nullptr;  ///< Engines; optional.
-  /// Milliseconds that one token takes from a zone to another.
+  /// Milliseconds that one token takes from one zone to another.
   std::function<double(const std::string&, const std::string&)> mLinkMillis;
-  /// A random number in [0, 1), against herding.
+  /// Returns a random number in [0, 1) for cost jitter.
   std::function<double()> mRandom;
-  /// Costs are blurred by up to this share, so that routers that see the same
-  /// do not all choose the same.
+  /// Costs vary randomly by up to this share, so that routers with the same
+  /// information do not all choose the same chain.
   double mCostJitter = 0.05;
 };
 
-/// Why candidates were left out: for the decision line.
+/// Number of rejected candidates by reason, for the decision log line.
 struct ChainRejections {
   int mOtherModel = 0;
   int mUnusable = 0;
@@ -56,7 +56,7 @@
   int mExcluded = 0;
 };
 
-/// A decision.
+/// The chosen chain.
 struct ChainChoice {
   std::vector<std::size_t> mStages;  ///< Indices into the candidates, in order.
   double mCostMillis = 0;
--- a/include/spindleweir/servers/routing/engine_sample.h
+++ b/include/spindleweir/servers/routing/engine_sample.h
@@ -1,4 +1,4 @@
-/// Which engines one choice looks at where there are very many.
+/// Limits the engines that one path choice considers in large zones.
 #pragma once
 
 #include <functional>
@@ -9,26 +9,26 @@
 
 namespace spindleweir {
 
-/// The engines of one choice.
+/// The engines that one choice considers.
 struct EngineSample {
   std::vector<const UpstreamRecord*> mEngines;
-  /// The part of its own zone's engines that it has; 1: all.
+  /// Share of the local zone's engines that the sample has; 1: all.
   double mShare = 1;
 };
 
-/// How far a choice looks.
+/// The zones that a choice considers.
 enum class SampleScope {
-  kLocalZone,  ///< Enough where the own zone has many engines.
-  kAllZones,   ///< Where no path was found there.
+  kLocalZone,  ///< Sufficient if the local zone has many engines.
+  kAllZones,   ///< If the local zone has no path.
 };
 
-/// All engines where they are few. Where the own zone has more than 128, about
-/// 90 of them drawn anew for each choice, by layers: at 1,000 a zone a search
-/// through all took a router with 0.12 cores 34 % of them, and all routers
-/// found the same fast path, while a sample has each engine in every tenth
-/// choice only.
+/// Returns all engines if they are few. If the local zone has more than 128,
+/// draws about 90 of them by layer, anew for each choice. With 1,000 engines in
+/// a zone, a search through all of them took 34 % of a router's 0.12 cores, and
+/// all routers found the same fast path; a sample has each engine in every
+/// tenth choice only.
 EngineSample SampleEngines(const std::vector<const UpstreamRecord*>& aEngines,
-                           const std::string& aZone, SampleScope aReach,
+                           const std::string& aZone, SampleScope aScope,
                            const std::function<double()>& aRandom);
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/routing/retry_allowance.h
+++ b/include/spindleweir/servers/routing/retry_allowance.h
@@ -1,6 +1,7 @@
-/// How many requests may be sent once more: a share of the requests of a
-/// sliding window, this router's part of what all routers may add, and what
-/// control hands out of the rest (see retry_pool.h).
+/// Limits how many requests may be retried: a share of the requests of a
+/// sliding window, plus this router's part of a slack that all routers share,
+/// plus the credits that control grants from the pooled rest (see
+/// retry_pool.h).
 #pragma once
 
 #include <deque>
@@ -9,40 +10,42 @@
 
 namespace spindleweir {
 
-/// Half of the slack where it is pooled: with less in the pool a loss of one
-/// engine exhausts it, with less divided a router that hears no control has
-/// none.
+/// Default share of the slack that is pooled. With less in the pool, the loss
+/// of one engine exhausts it; with less divided among the routers, a router
+/// without contact to a control has none.
 inline constexpr double kDefaultPooledRetries = 0.5;
 
-/// Bounds that hold for all routers together.
+/// Limits that hold for all routers together.
 struct RetryAllowanceOptions {
-  double mRatio = 0.2;  ///< Of the requests of a window.
+  double mRatio = 0.2;  ///< Of the requests in a window.
   Millis mWindow = 10000;
-  double mSlack = 200;  ///< Beside the ratio, over all routers.
-  /// What is kept back, since windows and routers do not match exactly.
+  double mSlack = 200;  ///< In addition to the ratio, over all routers.
+  /// Share of the limits that is used; the rest is a margin, since the windows
+  /// of the routers are not aligned.
   double mUsableShare = 0.7;
-  /// The part of the slack that is not divided: control hands it out to the
-  /// routers that need it. A single router has it all.
+  /// Share of the slack that is not divided: control grants it to the routers
+  /// that need it. A single router has the whole slack.
   double mPooledShare = 0;
-  /// When this process started, steady; -1: longer ago than a window. What the
-  /// one before it on this VM spent is not known: until a window has passed, of
-  /// the slack only that part is taken which no process takes later.
+  /// Steady time of the process start; -1: more than a window ago. The retries
+  /// of the previous process on this VM are unknown: in the first window, only
+  /// that part of the slack is available which processes do not use after it.
   Millis mStartedAt = -1;
 };
 
-/// The allowance of one service on one router.
+/// The retry allowance of one service on one router.
 class RetryAllowance {
  public:
   explicit RetryAllowance(RetryAllowanceOptions aOptions)
       : mOptions(aOptions) {}
 
   void RequestStarted(Millis aNow);
-  /// Takes one where it is allowed; aRouters, at least 1, share the slack.
+  /// Takes one retry; returns false if none is available. aRouters: number of
+  /// routers that share the slack, at least 1.
   bool TrySpend(double aRouters, Millis aNow);
-  /// What could be taken now.
+  /// Retries that are available now.
   double Available(double aRouters, Millis aNow);
-  /// Control handed out some more. They were counted there at this moment, so
-  /// that those not taken within moments are void.
+  /// Adds retries that control granted. Control counts them as spent at this
+  /// time, so that they expire soon if they are not used.
   void AddCredits(int aRetries, Millis aNow);
 
  private:
@@ -54,10 +57,10 @@
   };
 
   Slice& CurrentSlice(Millis aNow);
-  /// The part of the slack that may be taken.
+  /// Share of the slack that is available.
   double UsableSlackShare(Millis aNow) const;
 
-  /// What is left of what control handed out.
+  /// Granted retries that are neither used nor expired.
   int ValidCredits(Millis aNow) const;
 
   RetryAllowanceOptions mOptions;
--- a/include/spindleweir/servers/routing/retry_budget.h
+++ b/include/spindleweir/servers/routing/retry_budget.h
@@ -1,5 +1,5 @@
-/// Bounds retries to a share of live traffic, so that they cannot make an
-/// overload worse.
+/// Limits retries to a share of live traffic, so that they cannot worsen an
+/// overload.
 #pragma once
 
 #include <functional>
@@ -8,20 +8,20 @@
 
 namespace spindleweir {
 
-/// How the budget is set up.
+/// Parameters of a RetryBudget.
 struct RetryBudgetOptions {
-  double mEarnedPerRequest = 0.1;  ///< Retries earned by each request.
-  double mMaxBalance = 100;        ///< Retries that can be saved up.
+  double mEarnedPerRequest = 0.1;  ///< Retries that each request earns.
+  double mMaxBalance = 100;        ///< Maximum number of saved retries.
   double mInitialBalance = 10;     ///< Retries at the start.
 };
 
-/// Requests earn, retries spend.
+/// Balance of retries: requests add to it, retries subtract from it.
 class RetryBudget {
  public:
   explicit RetryBudget(RetryBudgetOptions aOptions);
 
   void RequestStarted();
-  /// Takes one retry from the budget; false where there is none.
+  /// Takes one retry from the budget; returns false if there is none.
   bool TrySpend();
 
  private:
@@ -29,8 +29,8 @@
   double mBalance;
 };
 
-/// How long to wait before attempt aAttempt (from 1): doubled each time from
-/// aFirst to aMax, times a random share between one half and one.
+/// Returns the delay before attempt aAttempt (from 1): aFirst, doubled with
+/// each attempt up to aMax, times a random factor between one half and one.
 Millis BackoffDelay(int aAttempt, Millis aFirst, Millis aMax,
                     const std::function<double()>& aRandom);
 
--- a/include/spindleweir/servers/routing/retry_pool.h
+++ b/include/spindleweir/servers/routing/retry_pool.h
@@ -1,6 +1,7 @@
-/// The part of all routers' retries that is not divided among them. One
-/// upstream that is lost takes a dozen streams of one router and none of
-/// others: equal parts run out at the first while the others' lie idle.
+/// The share of the retry slack that is not divided among the routers. The loss
+/// of one upstream breaks a dozen streams of one router and none of others: the
+/// first one would exhaust its equal part while the parts of others stay
+/// unused.
 #pragma once
 
 #include "spindleweir/core/clock.h"
@@ -8,22 +9,23 @@
 
 namespace spindleweir {
 
-/// The routers that a control process speaks for, of all.
+/// Number of routers that report to one control process, and of all routers.
 struct RouterShare {
   int mLocal = 0;
   int mTotal = 1;
 };
 
-/// What one control process hands out for one service: its part of the pool, by
-/// the routers that tell it their work, so that all controls together keep to
-/// the bound without asking each other.
+/// Grants retries of one service from one control process's part of the pool.
+/// The part is proportional to the routers that report to it, so that all
+/// controls together keep to the limit without coordination.
 class RetryPool {
  public:
-  /// aOptions: those of the routers. mStartedAt: of the control process.
+  /// aOptions: those of the routers, with mStartedAt of the control process.
   explicit RetryPool(const RetryAllowanceOptions& aOptions);
 
-  /// How many of aWanted a router may send once more now.
+  /// Grants up to aWanted retries to a router; returns how many.
   int Grant(int aWanted, RouterShare aRouters, Millis aNow);
+  /// Retries that could be granted now.
   double Available(RouterShare aRouters, Millis aNow);
 
  private:
--- a/include/spindleweir/servers/routing/service_choice.h
+++ b/include/spindleweir/servers/routing/service_choice.h
@@ -1,4 +1,4 @@
-/// Chooses the upstream of a plain service.
+/// Chooses an upstream of a plain service.
 #pragma once
 
 #include <functional>
@@ -10,19 +10,20 @@
 
 namespace spindleweir {
 
-/// What an upstream is chosen by.
+/// Input of ChooseUpstream().
 struct ServiceQuery {
-  std::string mZone;  ///< Where the router is.
+  std::string mZone;  ///< Of the router.
   std::vector<const UpstreamRecord*> mUpstreams;
-  std::set<std::string> mAvoid;  ///< By instance; used where nothing else is.
-  /// Requests under way at an upstream, of all routers as far as is known.
+  std::set<std::string> mAvoid;  ///< By instance; used only as a last resort.
+  /// Returns the known requests in progress at an upstream, of all routers.
   std::function<double(const std::string&)> mRequestsOf;
-  /// How often it failed lately, 0 to 1.
+  /// Returns its recent failure rate, 0 to 1.
   std::function<double(const std::string&)> mFailuresOf;
   std::function<double()> mRandom;
 };
 
-/// The instance of the upstream that should take the request; empty: none.
-std::string ChooseUpstream(const ServiceQuery& aQuestion);
+/// Returns the instance of the upstream for the request; empty if there is
+/// none.
+std::string ChooseUpstream(const ServiceQuery& aQuery);
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/routing/token_filter.h
+++ b/include/spindleweir/servers/routing/token_filter.h
@@ -1,4 +1,4 @@
-/// Lets through to a caller only the tokens that are its own and next.
+/// Delivers to a caller only the next token of its own request and attempt.
 #pragma once
 
 #include <cstdint>
@@ -11,11 +11,11 @@
   std::string mRequest;
   int mAttempt = 0;
   int mIndex = 0;   ///< From 0, over all attempts.
-  int mLayers = 0;  ///< Layers that were run for it.
+  int mLayers = 0;  ///< Number of layers that were run for it.
   std::string mText;
   bool mLast = false;
-  std::string mError;   ///< Set where the chain broke; then no token.
-  std::string mFailed;  ///< The engine that broke, where known.
+  std::string mError;   ///< Set if the chain broke; then there is no token.
+  std::string mFailed;  ///< The engine that failed, if known.
 
   template <class Codec>
   void Fields(Codec& aCodec) {
@@ -30,32 +30,33 @@
   }
 };
 
-/// What the gate says of a frame.
+/// Result of checking a frame.
 enum class TokenVerdict {
-  kDeliver,       ///< Give it to the caller.
-  kOtherRequest,  ///< Of another request: the upstream is at fault.
-  kStaleAttempt,  ///< Of an attempt that was given up.
-  kDuplicate,     ///< An index already delivered.
-  kGap,           ///< An index is missing before it.
-  kWrongLayers,   ///< Not every layer was run.
-  kAfterEnd,      ///< After the last token.
+  kDeliver,       ///< Pass it to the caller.
+  kOtherRequest,  ///< Of another request: an upstream error.
+  kStaleAttempt,  ///< Of an abandoned attempt.
+  kDuplicate,     ///< Its index is already delivered.
+  kGap,           ///< A previous index is missing.
+  kWrongLayers,   ///< Not all layers were run.
+  kAfterEnd,      ///< It follows the last token.
 };
 
-/// The name of a verdict, for counters and logs.
+/// Name of a verdict in counters and logs.
 const char* NameOf(TokenVerdict aVerdict);
 
-/// The gate of one request.
+/// Checks the token frames of one request.
 class TokenFilter {
  public:
   TokenFilter(std::string aRequest, int aLayers)
       : mRequest(std::move(aRequest)), mLayers(aLayers) {}
 
-  /// Begins a further attempt; frames of earlier ones are refused from now.
+  /// Begins a further attempt and returns its number; frames of earlier
+  /// attempts are rejected from now on.
   int BeginAttempt() { return ++mAttempt; }
   TokenVerdict Check(const TokenFrame& aFrame);
 
   int Attempt() const { return mAttempt; }
-  /// Tokens delivered: the index that comes next.
+  /// Number of delivered tokens, which is the next expected index.
   int Delivered() const { return mNextIndex; }
   bool Ended() const { return mEnded; }
 
--- a/include/spindleweir/servers/routing/upstream_view.h
+++ b/include/spindleweir/servers/routing/upstream_view.h
@@ -1,5 +1,5 @@
-/// What a router knows of the upstreams: their aged reports, its own work in
-/// flight, failures, and who is leaving.
+/// A router's view of the upstreams: their reports with age, the local requests
+/// in flight, failures, and upstreams that are leaving.
 #pragma once
 
 #include <deque>
@@ -24,69 +24,69 @@
   EngineReport mReport;  ///< Engines only.
   Millis mKnownSince = 0;
   Millis mReportedAt = -1;         ///< -1: never.
-  int mInFlight = 0;               ///< Dispatched here and not ended.
+  int mInFlight = 0;               ///< Dispatched by this router and not ended.
   std::deque<Millis> mDispatches;  ///< Since the last report.
-  int mFailures = 0;               ///< In a row.
+  int mFailures = 0;               ///< Consecutive.
   Millis mEjectedUntil = 0;
-  bool mListedLeaving = false;  ///< By the platform's list.
-  bool mListed = true;          ///< Whether the last list named it.
+  bool mListedLeaving = false;  ///< According to the platform's list.
+  bool mListed = true;          ///< Whether the last list includes it.
 };
 
-/// How the view judges.
+/// Timeouts and ejection limits of an UpstreamView.
 struct UpstreamViewOptions {
-  Millis mReportLifetime = 3000;  ///< An older report is no report.
+  Millis mReportLifetime = 3000;  ///< Older reports are ignored.
   int mFailuresToEject = 2;
-  Millis mEjection = 2000;  ///< Doubled with each ejection in a row.
+  Millis mEjection = 2000;  ///< Doubled with each further failure.
   Millis mMaxEjection = 15000;
-  double mMaxEjectedShare = 0.5;  ///< Of a zone's upstreams of one kind.
+  double mMaxEjectedShare = 0.5;  ///< Of the upstreams of one kind in a zone.
 };
 
-/// The upstreams as one router sees them.
+/// Tracks the upstreams that one router may use.
 class UpstreamView {
  public:
   explicit UpstreamView(UpstreamViewOptions aOptions) : mOptions(aOptions) {}
 
-  /// The platform named this VM.
+  /// Adds or updates a VM of the platform's list.
   void Listed(const std::string& aVm, const std::string& aZone,
               const std::string& aService, const Endpoint& aAddress,
-              bool aLeaving,
-              Millis aNow);  /// Ends a reading of the platform's list: VMs not
-                             /// named in it since the
-  /// last call are kept while they report, and dropped else.
+              bool aLeaving, Millis aNow);
+  /// Ends a pass over the platform's list. VMs that were not listed since the
+  /// last call are dropped unless they report or have requests in flight.
   void ListEnded(Millis aNow);
-  /// An engine reported.
+  /// Applies an engine's report.
   void Reported(const EngineReport& aReport, Millis aNow);
-  /// The VMs that are leaving by any other word: drain, peers.
+  /// Sets the VMs that are leaving according to other sources: drain, peers.
   void SetLeaving(const std::set<std::string>& aVms) { mLeaving = aVms; }
 
   void Dispatched(const std::string& aVm, Millis aNow);
   void Ended(const std::string& aVm);
   void Succeeded(const std::string& aVm);
-  /// Counts a failure and ejects where it is one too many. Failures of a VM
-  /// known to be leaving are not counted.
+  /// Counts a failure and ejects the VM if the limit is reached. Failures of a
+  /// VM that is leaving are not counted.
   void Failed(const std::string& aVm, Millis aNow);
 
   bool IsLeaving(const std::string& aVm) const;
-  /// Engines that the platform's list calls leaving since the last call. The
-  /// word is about the incarnation of that moment: a list that lags goes on
-  /// saying it after the VM has started again.
+  /// Returns the engines that the platform's list marks as leaving since the
+  /// last call. The mark applies to the incarnation at that time: a lagging
+  /// list still has it after the VM has restarted.
   std::vector<std::string> TakeNewlyLeaving();
-  /// Every VM that leaves by the platform's or its own word.
+  /// All VMs that are leaving according to the platform's list or their own
+  /// report.
   std::set<std::string> KnownLeaving() const;
   const Upstream* Find(const std::string& aVm) const;
   std::set<std::string> Names() const;
   const std::map<std::string, Upstream>& All() const { return mUpstreams; }
 
-  /// Whether each engine of a zone (of all, where it is empty) has reported,
-  /// or was silent long enough to count as gone: a plan made before that would
-  /// be made for a part of them.
+  /// Whether each engine of a zone (of all zones if aZone is empty) has
+  /// reported, or was silent long enough to count as gone. A plan made earlier
+  /// would cover only a part of the engines.
   bool Complete(const std::string& aZone, Millis aNow) const;
-  /// The reports of engines that are alive: heard within aWithin.
+  /// Returns the reports of engines that reported within aWithin.
   std::vector<EngineReport> LiveEngines(const std::string& aZone,
                                         Millis aWithin, Millis aNow) const;
-  /// The engines as candidates for a chain.
+  /// Returns the engines as candidates for a chain.
   std::vector<ChainCandidate> Candidates(Millis aNow) const;
-  /// The instances of a service that can take a call, least loaded first.
+  /// Returns the usable instances of a service, least loaded first.
   std::vector<const Upstream*> ServiceInstances(const std::string& aService,
                                                 Millis aNow) const;
 
--- a/servers/routing/arrival_rate.cpp
+++ b/servers/routing/arrival_rate.cpp
@@ -8,8 +8,9 @@
 namespace {
 
 /// The weight of an arrival falls to 1/e after this time. A router of a large
-/// fleet gets two or three requests per second: over a shorter time the estimate
-/// would be mostly noise, and a longer one would miss a burst of three seconds.
+/// fleet gets two or three requests per second: over a shorter time the
+/// estimate would be mostly noise, and a longer one would miss a burst of three
+/// seconds.
 constexpr double kTimeConstantMillis = 2000;
 
 }  // namespace
--- a/servers/routing/chain_chooser.cpp
+++ b/servers/routing/chain_chooser.cpp
@@ -15,7 +15,7 @@
          std::find(aList.begin(), aList.end(), aName) != aList.end();
 }
 
-/// Counts why a candidate is left out; true where it is not.
+/// Returns whether the query admits a candidate; counts the reason if not.
 bool Admit(const ChainCandidate& aCandidate, const ChainQuery& aQuery,
            ChainRejections& aRejected) {
   if (aCandidate.mModel != aQuery.mModel ||
@@ -45,17 +45,17 @@
   return true;
 }
 
-/// The cheapest way found to have done all layers before a boundary, ending
-/// in one zone.
+/// The cheapest chain found that runs all layers before a boundary and ends in
+/// one zone.
 struct Node {
   int mLayer = 0;
   std::size_t mZone = 0;
   double mCost = kInfinity;
-  std::size_t mEngine = kNone;    ///< The last engine of the way.
-  std::size_t mPrevious = kNone;  ///< The arrival that it set out from.
+  std::size_t mEngine = kNone;    ///< The last engine of the chain.
+  std::size_t mPrevious = kNone;  ///< Index of the previous node.
 };
 
-/// The search: candidates by ascending first layer, arrivals by boundary.
+/// The search: extends nodes by candidates in order of their first layer.
 class ChainSearch {
  public:
   ChainSearch(std::span<const ChainCandidate> aCandidates,
@@ -98,7 +98,7 @@
     return mZones.size() - 1;
   }
 
-  /// The hook is asked once a pair of zones, not once a pair of engines.
+  /// Calls the hook once per pair of zones, not once per pair of engines.
   void ComputeLinks() {
     for (const std::string& from : mZones) {
       for (const std::string& to : mZones) {
@@ -117,29 +117,29 @@
   void AppendCandidate(std::size_t aIndex) {
     const ChainCandidate& candidate = mCandidates[mAdmitted[aIndex]];
     const std::size_t zone = mAdmittedZones[aIndex];
-    Node arrival{.mLayer = candidate.mLast, .mZone = zone};
+    Node node{.mLayer = candidate.mLast, .mZone = zone};
     if (candidate.mFirst == 0) {
-      arrival.mCost = mHomeLinkMillis[zone];
+      node.mCost = mHomeLinkMillis[zone];
     }
-    for (std::size_t before :
+    for (std::size_t previous :
          mNodesAt[static_cast<std::size_t>(candidate.mFirst)]) {
       const double cost =
-          mNodes[before].mCost +
-          mLinkMillis[mNodes[before].mZone * mZones.size() + zone];
-      if (cost < arrival.mCost) {
-        arrival.mCost = cost;
-        arrival.mPrevious = before;
+          mNodes[previous].mCost +
+          mLinkMillis[mNodes[previous].mZone * mZones.size() + zone];
+      if (cost < node.mCost) {
+        node.mCost = cost;
+        node.mPrevious = previous;
       }
     }
-    if (arrival.mCost == kInfinity) {
+    if (node.mCost == kInfinity) {
       return;
     }
-    arrival.mCost += CostOf(candidate);
-    arrival.mEngine = mAdmitted[aIndex];
-    AddNode(arrival);
+    node.mCost += CostOf(candidate);
+    node.mEngine = mAdmitted[aIndex];
+    AddNode(node);
   }
 
-  /// Of two ways to the same boundary and zone only the cheaper is kept.
+  /// Stores only the cheaper of two nodes with the same boundary and zone.
   void AddNode(const Node& aNode) {
     std::vector<std::size_t>& list =
         mNodesAt[static_cast<std::size_t>(aNode.mLayer)];
@@ -157,19 +157,19 @@
 
   void CollectStages() {
     std::size_t best = kNone;
-    double least = kInfinity;
+    double minCost = kInfinity;
     for (std::size_t index : mNodesAt.back()) {
       const double cost =
           mNodes[index].mCost + mHomeLinkMillis[mNodes[index].mZone];
-      if (cost < least) {
-        least = cost;
+      if (cost < minCost) {
+        minCost = cost;
         best = index;
       }
     }
     if (best == kNone) {
       return;
     }
-    mChoice.mCostMillis = least;
+    mChoice.mCostMillis = minCost;
     for (std::size_t at = best; at != kNone; at = mNodes[at].mPrevious) {
       mChoice.mStages.push_back(mNodes[at].mEngine);
     }
@@ -186,7 +186,8 @@
   std::vector<double> mLinkMillis;
   std::vector<double> mHomeLinkMillis;
   std::vector<Node> mNodes;
-  std::vector<std::vector<std::size_t>> mNodesAt;  ///< Arrivals by boundary.
+  std::vector<std::vector<std::size_t>>
+      mNodesAt;  ///< Node indices by boundary.
 };
 
 }  // namespace
--- a/servers/routing/engine_sample.cpp
+++ b/servers/routing/engine_sample.cpp
@@ -7,19 +7,21 @@
 
 namespace {
 
-/// A zone with more engines is looked at by samples.
+/// Zones with more engines are sampled.
 constexpr std::size_t kMaxUnsampled = 128;
-/// Engines of a sample that hold each layer, where so many do. With 8 a path
-/// of ten parts has a choice at each of them, and some 90 engines are drawn.
+/// Number of engines per layer in a sample, if that many hold it. With
+/// 8, a path of ten stages has a choice at each stage, and about 90 engines are
+/// drawn.
 constexpr std::size_t kEnginesPerLayer = 8;
-/// The same of all other zones together, where they are needed.
+/// The same for all other zones together, if they are needed.
 constexpr std::size_t kRemoteEnginesPerLayer = 4;
 
 using Engines = std::vector<const UpstreamRecord*>;
 using RandomHook = std::function<double()>;
 
-/// Draws engines layer by layer, so that no layer is missed that is held: of
-/// 96 engines drawn from 600 at large, every third sample had no whole path.
+/// Draws engines layer by layer, so that the sample covers each layer that any
+/// engine holds: with 96 engines drawn from 600 regardless of layers, every
+/// third sample had no complete path.
 class LayerSampler {
  public:
   LayerSampler(const Engines& aEngines, const RandomHook& aRandom)
@@ -37,32 +39,33 @@
     }
   }
 
-  Engines Draw(std::size_t aEngines) {
-    for (Engines& holders : mEnginesByLayer) {
-      DrawLayer(holders, aEngines);
+  Engines Draw(std::size_t aPerLayer) {
+    for (Engines& engines : mEnginesByLayer) {
+      DrawLayer(engines, aPerLayer);
     }
     return std::move(mDrawn);
   }
 
  private:
   void DrawLayer(Engines& aEngines, std::size_t aCount) {
-    auto have = static_cast<std::size_t>(std::count_if(
-        aEngines.begin(), aEngines.end(), [this](const UpstreamRecord* aOne) {
-          return mDrawnSet.contains(aOne);
-        }));
-    for (std::size_t i = 0; i < aEngines.size() && have < aCount; i++) {
-      const double rest = static_cast<double>(aEngines.size() - i);
-      const auto step = static_cast<std::size_t>(mRandom() * rest);
+    auto drawn = static_cast<std::size_t>(
+        std::count_if(aEngines.begin(), aEngines.end(),
+                      [this](const UpstreamRecord* aEngine) {
+                        return mDrawnSet.contains(aEngine);
+                      }));
+    for (std::size_t i = 0; i < aEngines.size() && drawn < aCount; i++) {
+      const double remaining = static_cast<double>(aEngines.size() - i);
+      const auto step = static_cast<std::size_t>(mRandom() * remaining);
       std::swap(aEngines[i], aEngines[std::min(i + step, aEngines.size() - 1)]);
       if (mDrawnSet.insert(aEngines[i]).second) {
         mDrawn.push_back(aEngines[i]);
-        have++;
+        drawn++;
       }
     }
   }
 
   const RandomHook& mRandom;
-  std::vector<Engines> mEnginesByLayer;  ///< By layer.
+  std::vector<Engines> mEnginesByLayer;
   Engines mDrawn;
   std::unordered_set<const UpstreamRecord*> mDrawnSet;
 };
@@ -70,34 +73,34 @@
 }  // namespace
 
 EngineSample SampleEngines(const Engines& aEngines, const std::string& aZone,
-                           SampleScope aReach, const RandomHook& aRandom) {
+                           SampleScope aScope, const RandomHook& aRandom) {
   if (aEngines.size() <= kMaxUnsampled) {
     return {.mEngines = aEngines};
   }
-  Engines own;
-  Engines others;
+  Engines local;
+  Engines remote;
   for (const UpstreamRecord* engine : aEngines) {
-    (engine->mZone == aZone ? own : others).push_back(engine);
+    (engine->mZone == aZone ? local : remote).push_back(engine);
   }
-  const bool many = own.size() > kMaxUnsampled;
-  const bool manyOthers = others.size() > 2 * kMaxUnsampled;
-  if (!many && !manyOthers) {
+  const bool sampleLocal = local.size() > kMaxUnsampled;
+  const bool sampleRemote = remote.size() > 2 * kMaxUnsampled;
+  if (!sampleLocal && !sampleRemote) {
     return {.mEngines = aEngines};
   }
   EngineSample sample;
-  if (many) {
-    const auto all = static_cast<double>(own.size());
-    own = LayerSampler(own, aRandom).Draw(kEnginesPerLayer);
-    sample.mShare = static_cast<double>(own.size()) / all;
+  if (sampleLocal) {
+    const auto all = static_cast<double>(local.size());
+    local = LayerSampler(local, aRandom).Draw(kEnginesPerLayer);
+    sample.mShare = static_cast<double>(local.size()) / all;
   }
-  sample.mEngines = std::move(own);
-  if (many && aReach == SampleScope::kLocalZone) {
+  sample.mEngines = std::move(local);
+  if (sampleLocal && aScope == SampleScope::kLocalZone) {
     return sample;
   }
-  if (manyOthers) {
-    others = LayerSampler(others, aRandom).Draw(kRemoteEnginesPerLayer);
+  if (sampleRemote) {
+    remote = LayerSampler(remote, aRandom).Draw(kRemoteEnginesPerLayer);
   }
-  sample.mEngines.insert(sample.mEngines.end(), others.begin(), others.end());
+  sample.mEngines.insert(sample.mEngines.end(), remote.begin(), remote.end());
   return sample;
 }
 
--- a/servers/routing/path_shares.cpp
+++ b/servers/routing/path_shares.cpp
@@ -9,8 +9,8 @@
 /// Request size assumed if a service configures no typical one, in tokens.
 constexpr double kDefaultPromptTokens = 800;
 constexpr double kDefaultAnswerTokens = 200;
-/// A token waits at perWriterMillis engine for half of the pass that is under
-/// way.
+/// On average a token waits at each engine for half of the running pass before
+/// its own pass begins.
 constexpr double kPassWaitFactor = 1.5;
 /// Maximum duration of a pass, relative to a pass without decoding requests:
 /// beyond it the pauses between tokens grow faster than the token rate.
--- a/servers/routing/retry_allowance.cpp
+++ b/servers/routing/retry_allowance.cpp
@@ -7,8 +7,9 @@
 namespace {
 
 constexpr int kSlicesPerWindow = 10;
-/// A window that is counted at control must cover the moment of use: a
-/// hundredth of the usual one, and more than a few steps of who waits.
+/// Lifetime of granted retries. The window in which control counted them must
+/// cover their use: this is a hundredth of a typical window, and longer than a
+/// few wait steps of a request.
 constexpr Millis kCreditLifetime = 100;
 
 }  // namespace
@@ -30,11 +31,11 @@
 }
 
 double RetryAllowance::UsableSlackShare(Millis aNow) const {
-  // Eight routers that were all ended and started again spent their slack twice
-  // in one window: 272 retries where 200 are allowed beside the ratio.
-  const bool fresh =
+  // Without this, eight routers that all restarted would spend their slack
+  // twice in one window: 272 retries where the slack is 200.
+  const bool justStarted =
       mOptions.mStartedAt >= 0 && aNow - mOptions.mStartedAt < mOptions.mWindow;
-  return fresh ? 1 - mOptions.mUsableShare : mOptions.mUsableShare;
+  return justStarted ? 1 - mOptions.mUsableShare : mOptions.mUsableShare;
 }
 
 void RetryAllowance::AddCredits(int aRetries, Millis aNow) {
@@ -54,10 +55,10 @@
     requests += slice.mRequests;
     retries += slice.mRetries;
   }
-  const double divided = aRouters > 1 ? 1 - mOptions.mPooledShare : 1;
-  const double part = mOptions.mSlack * divided / std::max(1.0, aRouters);
+  const double dividedShare = aRouters > 1 ? 1 - mOptions.mPooledShare : 1;
+  const double slack = mOptions.mSlack * dividedShare / std::max(1.0, aRouters);
   return mOptions.mRatio * requests * mOptions.mUsableShare +
-         part * UsableSlackShare(aNow) - retries + ValidCredits(aNow);
+         slack * UsableSlackShare(aNow) - retries + ValidCredits(aNow);
 }
 
 bool RetryAllowance::TrySpend(double aRouters, Millis aNow) {
--- a/servers/routing/retry_pool.cpp
+++ b/servers/routing/retry_pool.cpp
@@ -6,11 +6,12 @@
 
 namespace {
 
-/// A single router has the whole slack: nothing is left to hand out.
+/// A single router has the whole slack, so that there is no pool.
 bool HasPool(RouterShare aRouters) {
   return aRouters.mLocal > 0 && aRouters.mTotal > 1;
 }
 
+/// Divides the pool by this number to get the part of this control.
 double ShareDivisor(RouterShare aRouters) {
   return std::max(1.0, static_cast<double>(aRouters.mTotal) / aRouters.mLocal);
 }
--- a/servers/routing/service_choice.cpp
+++ b/servers/routing/service_choice.cpp
@@ -7,35 +7,35 @@
 
 namespace {
 
-/// Another zone is worth as much as this part of an upstream's places.
-constexpr double kOtherZone = 0.5;
-/// Failures weigh more than a full upstream.
-constexpr double kFailures = 4;
-constexpr double kAvoided = 100;
+/// Score penalty of another zone, as a share of an upstream's slots.
+constexpr double kRemoteZonePenalty = 0.5;
+/// Score weight of the failure rate: more than that of a full upstream.
+constexpr double kFailureWeight = 4;
+constexpr double kAvoidedPenalty = 100;
 constexpr double kTieBreak = 0.05;
 
-double Score(const ServiceQuery& aQuestion, const UpstreamRecord& aRecord) {
-  const double places = std::max(1, aRecord.mSlots);
-  double score = aQuestion.mRequestsOf(aRecord.mInstance) / places;
-  score += aRecord.mZone == aQuestion.mZone ? 0 : kOtherZone;
-  score += kFailures * aQuestion.mFailuresOf(aRecord.mInstance);
-  score += aQuestion.mAvoid.contains(aRecord.mInstance) ? kAvoided : 0;
-  return score + kTieBreak * aQuestion.mRandom();
+double Score(const ServiceQuery& aQuery, const UpstreamRecord& aRecord) {
+  const double slots = std::max(1, aRecord.mSlots);
+  double score = aQuery.mRequestsOf(aRecord.mInstance) / slots;
+  score += aRecord.mZone == aQuery.mZone ? 0 : kRemoteZonePenalty;
+  score += kFailureWeight * aQuery.mFailuresOf(aRecord.mInstance);
+  score += aQuery.mAvoid.contains(aRecord.mInstance) ? kAvoidedPenalty : 0;
+  return score + kTieBreak * aQuery.mRandom();
 }
 
 }  // namespace
 
-std::string ChooseUpstream(const ServiceQuery& aQuestion) {
+std::string ChooseUpstream(const ServiceQuery& aQuery) {
   std::string best;
-  double least = std::numeric_limits<double>::infinity();
+  double minScore = std::numeric_limits<double>::infinity();
   for (UpstreamState state : {UpstreamState::kReady, UpstreamState::kSilent}) {
-    for (const UpstreamRecord* record : aQuestion.mUpstreams) {
+    for (const UpstreamRecord* record : aQuery.mUpstreams) {
       if (record->mState != state) {
         continue;
       }
-      const double score = Score(aQuestion, *record);
-      if (score < least) {
-        least = score;
+      const double score = Score(aQuery, *record);
+      if (score < minScore) {
+        minScore = score;
         best = record->mInstance;
       }
     }
--- a/servers/routing/upstream_view.cpp
+++ b/servers/routing/upstream_view.cpp
@@ -11,7 +11,8 @@
 constexpr double kMillisPerMicro = 1e-3;
 constexpr std::size_t kMaxRememberedDispatches = 4096;
 
-/// A step's time: measured where there is a measurement, else nominal.
+/// Time of a step: the measured value if there is one, otherwise the nominal
+/// one.
 double StepMillis(const EngineReport& aReport) {
   if (aReport.mStepMillis > 0) {
     return aReport.mStepMillis;
@@ -33,20 +34,20 @@
   upstream.mZone = aZone;
   upstream.mService = aService;
   if (!(upstream.mAddress == aAddress)) {
-    // Another process under the same name: nothing known of the old one holds.
+    // A different process with the same name: the state of the old one is void.
     upstream.mAddress = aAddress;
     upstream.mFailures = 0;
     upstream.mEjectedUntil = 0;
     upstream.mReportedAt = -1;
     upstream.mListedLeaving = false;
   }
-  // A service tells no incarnation: at the same address it is the same one,
-  // and goes on leaving whatever a lagging list says.
-  const bool sticky = !aService.empty() && upstream.mListedLeaving;
+  // A service reports no incarnation: at the same address it is the same
+  // process, and stays leaving regardless of a lagging list.
+  const bool staysLeaving = !aService.empty() && upstream.mListedLeaving;
   if (aLeaving && !upstream.mListedLeaving && aService.empty()) {
     mNewlyLeaving.push_back(aVm);
   }
-  upstream.mListedLeaving = aLeaving || sticky;
+  upstream.mListedLeaving = aLeaving || staysLeaving;
   upstream.mListed = true;
   mListedSinceEnd.insert(aVm);
 }
@@ -124,20 +125,21 @@
 }
 
 bool UpstreamView::MayEject(const Upstream& aUpstream, Millis aNow) const {
-  // One that leaves is no reserve: beside it the last of its kind would be
-  // ejected, and callers refused until it is let in again.
-  int alike = 0;
+  // Leaving upstreams do not count: otherwise the last remaining upstream of
+  // its kind could be ejected, and callers would be refused until the ejection
+  // ends.
+  int sameKind = 0;
   int ejected = 0;
   for (const auto& [vm, other] : mUpstreams) {
     if (!IsLeaving(vm) && other.mZone == aUpstream.mZone &&
         other.mService == aUpstream.mService &&
         other.mReport.mModel == aUpstream.mReport.mModel &&
         other.mReport.mFirst == aUpstream.mReport.mFirst) {
-      alike++;
+      sameKind++;
       ejected += (vm != aUpstream.mVm && other.mEjectedUntil > aNow) ? 1 : 0;
     }
   }
-  return ejected + 1 <= alike * mOptions.mMaxEjectedShare;
+  return ejected + 1 <= sameKind * mOptions.mMaxEjectedShare;
 }
 
 bool UpstreamView::IsLeaving(const std::string& aVm) const {
@@ -181,9 +183,9 @@
 }
 
 double UpstreamView::WaitMillis(const Upstream& aUpstream) const {
-  // The report's queue holds what this router had dispatched when it was
-  // made; what it dispatched since is added. Its own work in flight is a
-  // lower bound that no lag can hide.
+  // The queue in the report includes the requests that this router dispatched
+  // before the report; later ones are added. The local requests in flight are a
+  // lower bound that holds even if the report lags.
   const auto since = static_cast<int>(aUpstream.mDispatches.size());
   const int queue =
       std::max(aUpstream.mReport.mQueue + since, aUpstream.mInFlight);
@@ -195,11 +197,12 @@
 bool UpstreamView::Complete(const std::string& aZone, Millis aNow) const {
   bool complete = !mUpstreams.empty();
   for (const auto& [vm, upstream] : mUpstreams) {
-    const bool counts =
+    const bool isMatch =
         upstream.mService.empty() && (aZone.empty() || upstream.mZone == aZone);
-    const bool waits = upstream.mReportedAt < 0 &&
-                       aNow - upstream.mKnownSince < mOptions.mReportLifetime;
-    complete = complete && !(counts && waits);
+    const bool isPending =
+        upstream.mReportedAt < 0 &&
+        aNow - upstream.mKnownSince < mOptions.mReportLifetime;
+    complete = complete && !(isMatch && isPending);
   }
   return complete;
 }
@@ -209,9 +212,9 @@
                                                     Millis aNow) const {
   std::vector<EngineReport> engines;
   for (const auto& [vm, upstream] : mUpstreams) {
-    const bool counts =
+    const bool isMatch =
         upstream.mService.empty() && (aZone.empty() || upstream.mZone == aZone);
-    if (counts && upstream.mReportedAt >= 0 &&
+    if (isMatch && upstream.mReportedAt >= 0 &&
         aNow - upstream.mReportedAt < aWithin) {
       engines.push_back(upstream.mReport);
       engines.back().mLeaving = engines.back().mLeaving || IsLeaving(vm);
