--- a/include/spindleweir/servers/streams/event_reader.h
+++ b/include/spindleweir/servers/streams/event_reader.h
@@ -1,5 +1,6 @@
-/// Reads a stream of events (text/event-stream) only as far as it must: where
-/// each event ends, and its id. Whole events are passed on as they came.
+/// Splits a stream of server-sent events (text/event-stream) into events.
+/// Parses only the end and the id of each event; the bytes are forwarded
+/// unchanged.
 #pragma once
 
 #include <cstdint>
@@ -10,18 +11,18 @@
 
 namespace spindleweir {
 
-/// One whole event with the empty line that ends it.
+/// One complete event with the empty line that ends it.
 struct ServerSentEvent {
   std::string mBytes;
   std::optional<std::int64_t> mId;
 };
 
-/// Collects bytes into events.
+/// Assembles received bytes into events.
 class EventReader {
  public:
-  /// Takes bytes; returns the events that are complete now.
+  /// Appends received bytes; returns the events that are complete now.
   std::vector<ServerSentEvent> Append(std::string_view aBytes);
-  /// Bytes of an event that is not complete.
+  /// Bytes of the event that is not complete yet.
   const std::string& Incomplete() const { return mIncomplete; }
   void Clear() { mIncomplete.clear(); }
 
--- a/include/spindleweir/servers/streams/stall_detector.h
+++ b/include/spindleweir/servers/streams/stall_detector.h
@@ -1,5 +1,6 @@
-/// Sees from the pauses of streams which upstreams may be dead: one through
-/// which nothing has come for longer than its streams are used to.
+/// Detects upstreams that may be dead from the pauses of streams: an upstream
+/// is suspected if none of its streams had an event for longer than is typical
+/// for them.
 #pragma once
 
 #include <cstdint>
@@ -12,43 +13,45 @@
 
 namespace spindleweir {
 
-/// Streams under way, by a key of the caller's choice.
+/// Identifies a running stream; chosen by the caller.
 using StreamKey = std::uint64_t;
 
-/// A wait for an event of a stream.
+/// A wait for the next event of a stream.
 struct EventWait {
   StreamKey mKey = 0;
   std::vector<std::string> mInstances;  ///< Of its path.
   Millis mFrom = 0;
 };
 
-/// How long events of a stream may be waited for before they are late, in
-/// milliseconds; 0: any time.
+/// Time without an event after which a stream is late, in milliseconds; 0: no
+/// limit.
 struct StallTimeouts {
   Millis mFirstEvent = 0;
   Millis mGap = 0;
 };
 
-/// Decisions only: the time comes with each call.
+/// Makes decisions only; takes the current time with each call.
 class StallDetector {
  public:
-  /// A stream was sent, or moved, through these instances.
+  /// Records that a stream was sent, or moved, through these instances.
   void Begin(StreamKey aKey, std::vector<std::string> aInstances, Millis aNow,
-             const StallTimeouts& aPatience = {});
-  /// An event of the stream came. Returns the wait for it where that shows
-  /// that the path is in time; two events that come together show nothing.
+             const StallTimeouts& aStallTimeouts = {});
+  /// Records an event of the stream. Returns the wait for it if the wait shows
+  /// that the path is on time; events that arrive together do not show this.
   std::optional<EventWait> OnEvent(StreamKey aKey, Millis aNow);
-  /// The stream's caller reads slowly: its pauses say nothing for now.
+  /// Ignores the stream's pauses until its next event, since its caller reads
+  /// slowly.
   void Suspend(StreamKey aKey);
   void End(StreamKey aKey);
 
-  /// The instances through which nothing comes any more.
+  /// Returns the instances from which no events arrive any more.
   std::vector<std::string> SuspectInstances(Millis aNow) const;
-  /// The streams that have been silent for longer than aSilence.
+  /// Returns the streams without an event for longer than aSilence.
   std::vector<StreamKey> SilentStreams(Millis aSilence, Millis aNow) const;
-  /// The waits that have become late; each is given once.
+  /// Returns the waits that have become late, each of them once.
   std::vector<EventWait> TakeLateWaits(Millis aNow);
-  /// The streams that pass any of these, the longest silent first.
+  /// Returns the streams that use any of these instances, the longest silent
+  /// first.
   std::vector<StreamKey> StreamsThrough(
       const std::map<std::string, double>& aInstances) const;
 
@@ -56,10 +59,10 @@
   struct Stream {
     std::vector<std::string> mInstances;
     Millis mLastEventAt = 0;
-    double mGap = 0;  ///< Usual milliseconds between events.
+    double mGap = 0;  ///< Typical milliseconds between events.
     bool mHasEvent = false;
     bool mSuspended = false;
-    bool mLate = false;  ///< The event that is waited for.
+    bool mLate = false;  ///< The awaited event is late.
     StallTimeouts mStallTimeouts;
   };
 
--- a/servers/streams/event_reader.cpp
+++ b/servers/streams/event_reader.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-/// The end of the first empty line at or after aFrom, or npos.
+/// Returns the end of the first empty line at or after aFrom, or npos.
 std::size_t EndOfEvent(std::string_view aBytes, std::size_t aFrom) {
-  const std::size_t plain = aBytes.find("\n\n", aFrom);
-  const std::size_t wide = aBytes.find("\n\r\n", aFrom);
-  if (plain == std::string_view::npos && wide == std::string_view::npos) {
+  const std::size_t lf = aBytes.find("\n\n", aFrom);
+  const std::size_t crlf = aBytes.find("\n\r\n", aFrom);
+  if (lf == std::string_view::npos && crlf == std::string_view::npos) {
     return std::string_view::npos;
   }
-  return plain < wide ? plain + 2 : wide + 3;
+  return lf < crlf ? lf + 2 : crlf + 3;
 }
 
 std::optional<std::int64_t> IdOf(std::string_view aEvent) {
@@ -60,7 +60,7 @@
     from = end;
   }
   mIncomplete.erase(0, begin);
-  // The empty line may have begun in the last two bytes.
+  // The last two bytes may be the start of an empty line.
   mSearchFrom = mIncomplete.size() < 2 ? 0 : mIncomplete.size() - 2;
   return events;
 }
--- a/servers/streams/stall_detector.cpp
+++ b/servers/streams/stall_detector.cpp
@@ -7,18 +7,18 @@
 
 namespace {
 
-/// What the time to a first event counts as, before any is known.
+/// Assumed time to the first event.
 constexpr double kInitialGapMillis = 150;
 constexpr double kMinGapMillis = 20;
 constexpr double kMaxGapMillis = 250;
 constexpr double kGapWeight = 0.2;
-/// The fewer streams pass an instance, the longer must be waited.
+/// The fewer streams use an instance, the longer its stall timeout.
 constexpr double kLoneStreamFactor = 2;
 constexpr double kMarginMillis = 10;
-/// Events closer to each other than this waited together on their way here.
+/// Events closer together than this were delayed together on the network.
 constexpr Millis kMinEventSpacing = 20;
 
-/// A stream with the time of its last event, the earliest first.
+/// A stream with the time of its last event, ordered by that time.
 struct LastEvent {
   Millis mLastEventAt = 0;
   StreamKey mKey = 0;
@@ -28,7 +28,7 @@
   auto operator<=>(const LastEvent&) const = default;
 };
 
-/// What is known of one instance.
+/// Combined pauses of the streams of one instance.
 struct Evidence {
   int mStreams = 0;
   double mGaps = 0;
@@ -38,7 +38,7 @@
 }  // namespace
 
 void StallDetector::Begin(StreamKey aKey, std::vector<std::string> aInstances,
-                          Millis aNow, const StallTimeouts& aPatience) {
+                          Millis aNow, const StallTimeouts& aStallTimeouts) {
   Stream& stream = mStreams[aKey];
   stream.mInstances = std::move(aInstances);
   stream.mLastEventAt = aNow;
@@ -46,7 +46,7 @@
   stream.mHasEvent = false;
   stream.mGap = kInitialGapMillis;
   stream.mLate = false;
-  stream.mStallTimeouts = aPatience;
+  stream.mStallTimeouts = aStallTimeouts;
 }
 
 std::optional<EventWait> StallDetector::OnEvent(StreamKey aKey, Millis aNow) {
@@ -55,10 +55,10 @@
     return std::nullopt;
   }
   Stream& stream = it->second;
-  std::optional<EventWait> inTime;
+  std::optional<EventWait> onTime;
   if (!stream.mLate && !stream.mSuspended &&
       aNow - stream.mLastEventAt >= kMinEventSpacing) {
-    inTime = {aKey, stream.mInstances, stream.mLastEventAt};
+    onTime = {aKey, stream.mInstances, stream.mLastEventAt};
   }
   const auto gap = static_cast<double>(aNow - stream.mLastEventAt);
   if (stream.mHasEvent) {
@@ -72,7 +72,7 @@
   stream.mSuspended = false;
   stream.mLate = false;
   stream.mLastEventAt = aNow;
-  return inTime;
+  return onTime;
 }
 
 void StallDetector::Suspend(StreamKey aKey) {
@@ -103,9 +103,9 @@
   std::vector<std::string> suspects;
   for (const auto& [instance, evidence] : instances) {
     const double n = evidence.mStreams;
-    const double patience =
+    const double timeout =
         evidence.mGaps / n * (1 + kLoneStreamFactor / n) + kMarginMillis;
-    if (static_cast<double>(aNow - evidence.mLastEventAt) > patience) {
+    if (static_cast<double>(aNow - evidence.mLastEventAt) > timeout) {
       suspects.push_back(instance);
     }
   }
@@ -126,11 +126,10 @@
 std::vector<EventWait> StallDetector::TakeLateWaits(Millis aNow) {
   std::vector<EventWait> late;
   for (auto& [key, stream] : mStreams) {
-    const Millis patience = stream.mHasEvent
-                                ? stream.mStallTimeouts.mGap
-                                : stream.mStallTimeouts.mFirstEvent;
-    const bool inTime = patience <= 0 || aNow - stream.mLastEventAt <= patience;
-    if (inTime || stream.mLate || stream.mSuspended) {
+    const Millis timeout = stream.mHasEvent ? stream.mStallTimeouts.mGap
+                                            : stream.mStallTimeouts.mFirstEvent;
+    const bool onTime = timeout <= 0 || aNow - stream.mLastEventAt <= timeout;
+    if (onTime || stream.mLate || stream.mSuspended) {
       continue;
     }
     stream.mLate = true;
@@ -143,12 +142,12 @@
     const std::map<std::string, double>& aInstances) const {
   std::vector<LastEvent> found;
   for (const auto& [key, stream] : mStreams) {
-    const bool passes =
+    const bool usesInstance =
         std::any_of(stream.mInstances.begin(), stream.mInstances.end(),
                     [&aInstances](const std::string& aInstance) {
                       return aInstances.contains(aInstance);
                     });
-    if (passes) {
+    if (usesInstance) {
       found.push_back({stream.mLastEventAt, key});
     }
   }
