--- a/tests/servers/choice_test.cpp
+++ b/tests/servers/choice_test.cpp
@@ -10,6 +10,7 @@
 
 namespace {
 
+/// Returns pointers to the records of one zone.
 std::vector<const UpstreamRecord*> Views(
     const std::vector<UpstreamRecord>& aRecords, const std::string& aZone) {
   std::vector<const UpstreamRecord*> views;
@@ -21,39 +22,38 @@
   return views;
 }
 
-PathQuery QuestionOf(const ChoicePlayOptions& aFleet,
-                     const std::vector<UpstreamRecord>& aRecords) {
-  PathQuery question;
-  question.mProfile = &aFleet.mProfile;
-  question.mZone = "zone-1";
-  question.mTokens =
-      aFleet.mProfile.mUsualPrompt + aFleet.mProfile.mUsualAnswer;
-  question.mPrefillTokens = aFleet.mProfile.mUsualPrompt;
-  question.mAnswerTokens = aFleet.mProfile.mUsualAnswer;
-  question.mEngines = Views(aRecords, "zone-1");
-  question.mLoadOf = [](const std::string&) { return EngineLoad(); };
-  question.mRandom = [] { return 0.5; };
-  return question;
+PathQuery QueryOf(const ChoicePlayOptions& aFleet,
+                  const std::vector<UpstreamRecord>& aRecords) {
+  PathQuery query;
+  query.mProfile = &aFleet.mProfile;
+  query.mZone = "zone-1";
+  query.mTokens = aFleet.mProfile.mUsualPrompt + aFleet.mProfile.mUsualAnswer;
+  query.mPrefillTokens = aFleet.mProfile.mUsualPrompt;
+  query.mAnswerTokens = aFleet.mProfile.mUsualAnswer;
+  query.mEngines = Views(aRecords, "zone-1");
+  query.mLoadOf = [](const std::string&) { return EngineLoad(); };
+  query.mRandom = [] { return 0.5; };
+  return query;
 }
 
 }  // namespace
 
-Test(choice, many_routers_with_late_news_do_not_all_go_one_way) {
-  // What a caller may wait for the first token, and between events of six
-  // tokens, in milliseconds.
+Test(choice, routers_with_delayed_load_reports_do_not_all_choose_one_path) {
+  // Limits for the time to the first token and between events of six tokens, in
+  // milliseconds.
   constexpr double kFirst = 600;
   constexpr double kPause = 300;
   constexpr double kTokensPerEvent = 6;
   ChoicePlayOptions play = LargeFleet();
   play.mRouters = 100;
   play.mLength = 6000;
-  SECTION("by the cheapest path alone a third and more are refused") {
+  SECTION("with the cheapest path alone more than a third are refused") {
     play.mRule = ChoiceRule::kCheapest;
     const ChoicePlayResult result = PlayChoices(play);
     CHECK(result.RefusedShare() > 0.33);
     CHECK(result.mBusiest > 8);
   }
-  SECTION("dealt by what paths have left nobody is") {
+  SECTION("with paths drawn by weight hardly any are refused") {
     play.mRule = ChoiceRule::kPathChoice;
     const ChoicePlayResult result = PlayChoices(play);
     CHECK(result.RefusedShare() < 0.005);
@@ -61,8 +61,9 @@
     CHECK(result.mTokenP95 * kTokensPerEvent < kPause);
     CHECK(result.mBusiest < 3);
   }
-  SECTION("nor, but for a few, in a rush: no path is overrun for its room") {
-    // Dealt by what is left 0.030 are refused, by what can be carried 0.002.
+  SECTION("few are refused under overload with recent load reports") {
+    // Weighted by remaining capacity 0.030 are refused, by sustained rate
+    // 0.002.
     play.mRequestsPerSecond = 850;
     play.mNewsAge = 500;
     play.mLength = 9000;
@@ -70,35 +71,37 @@
   }
 }
 
-Test(choice, who_sees_all_takes_the_cheapest) {
+Test(choice, the_cheapest_path_is_chosen_without_unreported_requests) {
   const ChoicePlayOptions fleet = LargeFleet();
   const std::vector<UpstreamRecord> records =
       PlacedEngines(fleet.mProfile, fleet.mGroups);
-  const PathQuery question = QuestionOf(fleet, records);
+  const PathQuery query = QueryOf(fleet, records);
   PathChooser choice;
-  SECTION("with nothing unseen") {
-    const PathResult answer = choice.Choose(question, {.mRevision = 1});
+  SECTION("no unreported requests") {
+    const PathResult answer = choice.Choose(query, {.mRevision = 1});
     CHECK(!answer.mDrawnByWeight);
-    CHECK(answer.mPath == ChoosePath(question).mPath);
+    CHECK(answer.mPath == ChoosePath(query).mPath);
   }
-  SECTION("with more unseen than it has places it is dealt") {
+  SECTION(
+      "with more unreported requests than capacity the path is drawn by "
+      "weight") {
     const PathResult answer =
-        choice.Choose(question, {.mUnreportedRequests = 500, .mRevision = 1});
+        choice.Choose(query, {.mUnreportedRequests = 500, .mRevision = 1});
     CHECK(answer.mDrawnByWeight);
     CHECK(!answer.mPath.empty());
   }
-  SECTION("dealt paths leave out what is to be avoided") {
-    PathQuery avoiding = question;
-    for (const UpstreamRecord* engine : question.mEngines) {
+  SECTION("drawn paths have no excluded engines") {
+    PathQuery excluding = query;
+    for (const UpstreamRecord* engine : query.mEngines) {
       if (engine->mKind != "middle") {
-        avoiding.mExcludedEngines.insert(engine->mInstance);
+        excluding.mExcludedEngines.insert(engine->mInstance);
       }
     }
     const PathResult answer =
-        choice.Choose(avoiding, {.mUnreportedRequests = 5000, .mRevision = 1});
+        choice.Choose(excluding, {.mUnreportedRequests = 5000, .mRevision = 1});
     CHECK(answer.mDrawnByWeight);
-    for (const PathStage& part : answer.mPath) {
-      CHECK(part.mInstance.find("middle") != std::string::npos);
+    for (const PathStage& stage : answer.mPath) {
+      CHECK(stage.mInstance.find("middle") != std::string::npos);
     }
   }
 }
@@ -111,68 +114,70 @@
   const std::vector<PathShare> paths = DividePaths(fleet.mProfile, engines);
   const double tokens =
       fleet.mProfile.mUsualPrompt + fleet.mProfile.mUsualAnswer;
-  std::map<std::string, double> promised;
+  std::map<std::string, double> reserved;
   double rate = 0;
   for (const PathShare& path : paths) {
     rate += path.Rate();
     int next = 0;
-    for (const PathStage& part : path.mPath) {
-      CHECK(part.mLayers.mFrom == next);
-      next = part.mLayers.mTo;
-      promised[part.mInstance] +=
-          path.mMaxRequests * tokens * part.mLayers.Count();
+    for (const PathStage& stage : path.mPath) {
+      CHECK(stage.mLayers.mFrom == next);
+      next = stage.mLayers.mTo;
+      reserved[stage.mInstance] +=
+          path.mMaxRequests * tokens * stage.mLayers.Count();
     }
     CHECK(next == fleet.mProfile.mLayers);
   }
-  SECTION("no engine is promised more than it holds") {
+  SECTION("no engine has more memory reserved than it has") {
     for (const UpstreamRecord* engine : engines) {
       const EngineModel model(fleet.mProfile,
                               *fleet.mProfile.FindKind(engine->mKind));
-      CHECK(promised[engine->mInstance] <= model.Room(engine->mLayers.Count()));
+      CHECK(reserved[engine->mInstance] <= model.Room(engine->mLayers.Count()));
     }
   }
-  SECTION("most engines have a part, and the paths carry the zone's demand") {
-    CHECK(promised.size() * 10 > engines.size() * 7);
+  SECTION(
+      "most engines are used, and the paths sustain the demand of the zone") {
+    CHECK(reserved.size() * 10 > engines.size() * 7);
     CHECK(rate * 1000 > fleet.mRequestsPerSecond / 5);
   }
 }
 
-Test(choice, a_first_engine_has_so_many_places) {
+Test(choice, a_first_engine_has_a_limited_number_of_slots) {
   const ChoicePlayOptions fleet = LargeFleet();
   const std::vector<UpstreamRecord> records =
       PlacedEngines(fleet.mProfile, fleet.mGroups);
-  PathQuery question = QuestionOf(fleet, records);
-  const std::string first = ChoosePath(question).mPath.front().mInstance;
-  const double free = RequestCapacityLeft(question, ChoosePath(question).mPath);
+  PathQuery query = QueryOf(fleet, records);
+  const std::string first = ChoosePath(query).mPath.front().mInstance;
+  const double free = RequestCapacityLeft(query, ChoosePath(query).mPath);
   CHECK(free > 1);
-  question.mLoadOf = [&first, &fleet](const std::string& aInstance) {
+  query.mLoadOf = [&first, &fleet](const std::string& aInstance) {
     return EngineLoad{.mFirstStageRequests =
                           aInstance == first
                               ? static_cast<double>(fleet.mProfile.mSlots)
                               : 0};
   };
-  SECTION("one whose places are taken is not the first of a path") {
-    CHECK(ChoosePath(question).mPath.front().mInstance != first);
+  SECTION("an engine without free slots is not the first of a path") {
+    CHECK(ChoosePath(query).mPath.front().mInstance != first);
   }
-  SECTION("where all are taken there is no room") {
-    question.mLoadOf = [&fleet](const std::string&) {
+  SECTION(
+      "without free slots at any engine no path is found for lack of room") {
+    query.mLoadOf = [&fleet](const std::string&) {
       return EngineLoad{.mFirstStageRequests =
                             static_cast<double>(fleet.mProfile.mSlots)};
     };
-    CHECK(ChoosePath(question).mPath.empty());
-    CHECK(ChoosePath(question).mLacksRoom);
+    CHECK(ChoosePath(query).mPath.empty());
+    CHECK(ChoosePath(query).mLacksRoom);
   }
 }
 
-Test(arrivals, who_asks_how_much_others_are_asked_does_not_count_itself) {
+Test(arrivals, the_estimate_of_other_requests_excludes_the_current_one) {
   ArrivalRate rate;
   rate.Add(10000);
-  SECTION("one call in a long time is no rate of one each two seconds") {
+  SECTION("a single request does not count as a rate of one per two seconds") {
     CHECK(rate.PerMilliExcluding(10000, 10000) == 0);
     CHECK(rate.PerMilliExcluding(10000, 10300) == 0);
     CHECK(rate.PerMilli(10000) == 0.0005);
   }
-  SECTION("of two, the other counts") {
+  SECTION("of two requests, only the other one counts") {
     rate.Add(10500);
     CHECK(std::abs(rate.PerMilliExcluding(10500, 10500) -
                    std::exp(-0.25) / 2000) < 1e-12);
@@ -180,7 +185,7 @@
   }
 }
 
-Test(choice, arrivals_are_counted_by_their_age) {
+Test(arrivals, weights_decrease_with_age) {
   ArrivalRate rate;
   CHECK(rate.PerMilli(1000) == 0);
   for (Millis at = 0; at < 10000; at += 100) {
--- a/tests/servers/retry_pool_test.cpp
+++ b/tests/servers/retry_pool_test.cpp
@@ -1,4 +1,4 @@
-/// The retries that control hands out, against the bound that holds for all.
+/// Retries granted by control, and the limit that holds for all routers.
 #include "spindleweir/servers/routing/retry_pool.h"
 
 #include <algorithm>
@@ -24,12 +24,13 @@
           .mStartedAt = aStartedAt};
 }
 
-/// All that routers and controls give out at one moment.
+/// Spends all retries of all routers and controls at one time; returns how
+/// many.
 int SpendAll(const RetryAllowanceOptions& aOptions, Millis aNow) {
   int spent = 0;
   for (int i = 0; i < kRouters; i++) {
-    RetryAllowance own(aOptions);
-    while (own.TrySpend(kRouters, aNow)) {
+    RetryAllowance allowance(aOptions);
+    while (allowance.TrySpend(kRouters, aNow)) {
       spent++;
     }
   }
@@ -42,14 +43,15 @@
 
 }  // namespace
 
-Test(retry_pool, a_router_in_need_gets_many_times_its_equal_part) {
+Test(retry_pool, grants_a_router_many_times_its_equal_part) {
   RetryPool pool(Options(kOldStart));
   const RouterShare third{.mLocal = 29, .mTotal = kRouters};
-  const double equal = kSlack / kRouters;
+  const double equalPart = kSlack / kRouters;
   const int granted = pool.Grant(32, third, kNow);
   CHECK(granted == 32);
-  CHECK(granted > 7 * equal);
-  SECTION("until the part of its control is spent, for a window") {
+  CHECK(granted > 7 * equalPart);
+  SECTION(
+      "until the part of the control is spent, for the rest of the window") {
     CHECK(pool.Grant(1000, third, kNow) < 40);
     CHECK(pool.Grant(1, third, kNow) == 0);
     CHECK(pool.Grant(1, third, kNow + 5000) == 0);
@@ -57,36 +59,36 @@
   }
 }
 
-Test(retry_pool, all_routers_and_controls_keep_to_the_bound) {
+Test(retry_pool, routers_and_controls_together_keep_to_the_limit) {
   const int before = SpendAll(Options(kOldStart), kNow);
   CHECK(before <= kSlack);
-  SECTION("also where all of them start again in one window") {
+  SECTION("also if all of them restart within one window") {
     CHECK(before + SpendAll(Options(kNow), kNow) <= kSlack);
   }
 }
 
-Test(retry_pool, a_single_router_has_all_and_nothing_is_handed_out) {
-  RetryAllowance own(Options(kOldStart));
+Test(retry_pool, a_single_router_has_the_whole_slack_and_gets_no_grants) {
+  RetryAllowance allowance(Options(kOldStart));
   int spent = 0;
-  while (own.TrySpend(1, kNow)) {
+  while (allowance.TrySpend(1, kNow)) {
     spent++;
   }
   CHECK(spent > 240);
   RetryPool pool(Options(kOldStart));
   CHECK(pool.Grant(5, {.mLocal = 1, .mTotal = 1}, kNow) == 0);
-  SECTION("nor by a control that no router tells anything") {
+  SECTION("a control without reporting routers grants nothing") {
     CHECK(pool.Grant(5, {.mLocal = 0, .mTotal = kRouters}, kNow) == 0);
   }
 }
 
-Test(retry_pool, what_is_handed_out_is_void_when_it_is_not_taken) {
-  RetryAllowance own(Options(kOldStart));
-  while (own.TrySpend(kRouters, kNow)) {
+Test(retry_pool, unused_grants_expire) {
+  RetryAllowance allowance(Options(kOldStart));
+  while (allowance.TrySpend(kRouters, kNow)) {
   }
-  own.AddCredits(3, kNow);
-  CHECK(own.TrySpend(kRouters, kNow + 20));
-  CHECK(own.TrySpend(kRouters, kNow + 90));
-  SECTION("control counted it at the moment that it was handed out") {
-    CHECK(!own.TrySpend(kRouters, kNow + 200));
+  allowance.AddCredits(3, kNow);
+  CHECK(allowance.TrySpend(kRouters, kNow + 20));
+  CHECK(allowance.TrySpend(kRouters, kNow + 90));
+  SECTION("they expire since control counted them at the time of the grant") {
+    CHECK(!allowance.TrySpend(kRouters, kNow + 200));
   }
 }
--- a/tests/servers/routing_test.cpp
+++ b/tests/servers/routing_test.cpp
@@ -41,7 +41,7 @@
   return engine;
 }
 
-/// The least cost by trying every chain.
+/// Returns the least cost over all chains.
 double Exhaustive(std::span<const ChainCandidate> aEngines, int aLayer,
                   const std::string& aZone, const ChainQuery& aQuery) {
   if (aLayer == aQuery.mLayers) {
@@ -50,7 +50,7 @@
   double least = std::numeric_limits<double>::infinity();
   for (const ChainCandidate& engine : aEngines) {
     if (engine.mFirst == aLayer && engine.mUsable) {
-      // The link from the router is asked from the engine's side.
+      // The chooser gets the router's link with the engine's zone first.
       const double link = aLayer == 0
                               ? LinkMillis(engine.mZone, aQuery.mHomeZone)
                               : LinkMillis(aZone, engine.mZone);
@@ -98,7 +98,7 @@
       continue;
     }
     CHECK(std::abs(choice.mCostMillis - least) < 1e-6);
-    SECTION("its ranges tile the layers in order") {
+    SECTION("the ranges of the chain tile the layers in order") {
       int layer = 0;
       for (std::size_t index : choice.mStages) {
         CHECK(engines[index].mFirst == layer);
@@ -109,17 +109,17 @@
   }
 }
 
-Test(chain_chooser, keeps_to_what_is_allowed_and_says_why) {
+Test(chain_chooser, uses_admitted_candidates_only_and_counts_rejections) {
   std::vector<ChainCandidate> engines = {
       Engine("near", 0, 8, 10, "z0"), Engine("far", 0, 8, 10, "z1"),
       Engine("other", 0, 8, 1, "z0"), Engine("gone", 0, 8, 1, "z0")};
   engines[2].mModel = "other";
   engines[3].mUsable = false;
-  SECTION("the near one, all else equal") {
+  SECTION("the engine in the home zone is chosen if all else is equal") {
     const ChainQuery query = MakeQuery(8);
     CHECK(ChooseChain(engines, query).mStages[0] == 0);
   }
-  SECTION("only the zones allowed") {
+  SECTION("only allowed zones are used") {
     ChainQuery query = MakeQuery(8);
     const std::vector<std::string> zones = {"z1"};
     query.mZones = zones;
@@ -127,46 +127,46 @@
     CHECK(choice.mStages[0] == 1 && choice.mRejected.mZone == 1);
     CHECK(choice.mRejected.mOtherModel == 1 && choice.mRejected.mUnusable == 1);
   }
-  SECTION("only the hardware allowed") {
+  SECTION("only allowed hardware is used") {
     ChainQuery query = MakeQuery(8);
     const std::vector<std::string> hardware = {"h100"};
     query.mHardware = hardware;
     const ChainChoice choice = ChooseChain(engines, query);
     CHECK(!choice.Found() && choice.mRejected.mHardware == 2);
   }
-  SECTION("none of those excluded") {
+  SECTION("excluded engines are not used") {
     ChainQuery query = MakeQuery(8);
     const std::set<std::string> excluded = {"near"};
     query.mExcluded = &excluded;
     CHECK(ChooseChain(engines, query).mStages[0] == 1);
   }
-  SECTION("never a chain with a hole") {
-    const std::vector<ChainCandidate> holed = {Engine("a", 0, 3, 1),
-                                               Engine("b", 4, 8, 1)};
-    CHECK(!ChooseChain(holed, MakeQuery(8)).Found());
+  SECTION("a chain with a gap in its layers is never chosen") {
+    const std::vector<ChainCandidate> withGap = {Engine("a", 0, 3, 1),
+                                                 Engine("b", 4, 8, 1)};
+    CHECK(!ChooseChain(withGap, MakeQuery(8)).Found());
   }
 }
 
-Test(token_gate, lets_through_only_the_next_token_of_the_own_attempt) {
-  TokenFilter gate("r", 8);
-  gate.BeginAttempt();
-  CHECK(gate.Check(Frame("r", 1, 0)) == TokenVerdict::kDeliver);
-  CHECK(gate.Check(Frame("s", 1, 1)) == TokenVerdict::kOtherRequest);
-  CHECK(gate.Check(Frame("r", 1, 0)) == TokenVerdict::kDuplicate);
-  CHECK(gate.Check(Frame("r", 1, 2)) == TokenVerdict::kGap);
-  TokenFrame lame = Frame("r", 1, 1);
-  lame.mLayers = 4;
-  CHECK(gate.Check(lame) == TokenVerdict::kWrongLayers);
-  SECTION("a further attempt goes on where the last one stopped") {
-    CHECK(gate.BeginAttempt() == 2);
-    CHECK(gate.Check(Frame("r", 1, 1)) == TokenVerdict::kStaleAttempt);
-    CHECK(gate.Check(Frame("r", 2, 1, true)) == TokenVerdict::kDeliver);
-    CHECK(gate.Check(Frame("r", 2, 2)) == TokenVerdict::kAfterEnd);
-    CHECK(gate.Ended() && gate.Delivered() == 2);
+Test(token_filter, delivers_only_the_next_token_of_the_current_attempt) {
+  TokenFilter filter("r", 8);
+  filter.BeginAttempt();
+  CHECK(filter.Check(Frame("r", 1, 0)) == TokenVerdict::kDeliver);
+  CHECK(filter.Check(Frame("s", 1, 1)) == TokenVerdict::kOtherRequest);
+  CHECK(filter.Check(Frame("r", 1, 0)) == TokenVerdict::kDuplicate);
+  CHECK(filter.Check(Frame("r", 1, 2)) == TokenVerdict::kGap);
+  TokenFrame incomplete = Frame("r", 1, 1);
+  incomplete.mLayers = 4;
+  CHECK(filter.Check(incomplete) == TokenVerdict::kWrongLayers);
+  SECTION("a further attempt continues after the last delivered token") {
+    CHECK(filter.BeginAttempt() == 2);
+    CHECK(filter.Check(Frame("r", 1, 1)) == TokenVerdict::kStaleAttempt);
+    CHECK(filter.Check(Frame("r", 2, 1, true)) == TokenVerdict::kDeliver);
+    CHECK(filter.Check(Frame("r", 2, 2)) == TokenVerdict::kAfterEnd);
+    CHECK(filter.Ended() && filter.Delivered() == 2);
   }
 }
 
-Test(retry_budget, retries_stay_a_share_of_the_traffic) {
+Test(retry_budget, limits_retries_to_a_share_of_the_traffic) {
   RetryBudget budget(
       {.mEarnedPerRequest = 0.1, .mMaxBalance = 20, .mInitialBalance = 5});
   int spent = 0;
@@ -175,7 +175,7 @@
     spent += budget.TrySpend() ? 1 : 0;
   }
   CHECK(spent <= 106 && spent >= 100);
-  SECTION("what is not used is saved up to a bound only") {
+  SECTION("unused retries are saved up to the maximum only") {
     for (int i = 0; i < 100000; i++) {
       budget.RequestStarted();
     }
@@ -187,7 +187,7 @@
   }
 }
 
-Test(upstream_view, failures_eject_but_never_empty_a_zone) {
+Test(upstream_view, failures_eject_at_most_half_of_a_zone) {
   UpstreamView view({});
   EngineReport report;
   for (int i = 0; i < 4; i++) {
@@ -206,16 +206,16 @@
     return count;
   };
   CHECK(usable(10) == 4);
-  SECTION("one failure is not enough") {
+  SECTION("one failure does not eject") {
     view.Failed("e0", 10);
     CHECK(usable(10) == 4);
   }
-  SECTION("two in a row are, for a time") {
+  SECTION("two consecutive failures eject for a limited time") {
     view.Failed("e0", 10);
     CHECK(usable(10) == 3);
     CHECK(usable(2500) == 4);
   }
-  SECTION("half stays whatever fails") {
+  SECTION("half of the engines stay usable however many fail") {
     for (int round = 0; round < 10; round++) {
       for (int i = 0; i < 4; i++) {
         view.Failed("e" + std::to_string(i), 20);
@@ -223,10 +223,12 @@
     }
     CHECK(usable(21) == 2);
   }
-  SECTION("a report that is too old is none") {
+  SECTION("a report past its lifetime is ignored") {
     CHECK(usable(9000) == 0);
   }
-  SECTION("beside one that leaves the last stays whatever fails") {
+  SECTION(
+      "the last engine that is not leaving stays usable however often it "
+      "fails") {
     view.SetLeaving({"e0", "e1", "e2"});
     for (int round = 0; round < 10; round++) {
       view.Failed("e3", 20);
@@ -235,7 +237,7 @@
   }
 }
 
-Test(upstream_view, own_work_counts_until_a_report_shows_it) {
+Test(upstream_view, local_requests_count_until_a_report_includes_them) {
   UpstreamView view({});
   EngineReport report;
   report.mEngine = "e";
@@ -249,11 +251,11 @@
   view.Dispatched("e", 1);
   view.Dispatched("e", 2);
   CHECK(view.Candidates(3)[0].mWaitMillis == 20);
-  SECTION("a report from before them does not hide them") {
+  SECTION("a report from before the dispatches does not hide them") {
     view.Reported(report, 4);
     CHECK(view.Candidates(5)[0].mWaitMillis == 20);
   }
-  SECTION("ended work does not count") {
+  SECTION("ended requests do not count") {
     view.Ended("e");
     view.Ended("e");
     view.Reported(report, 6);
@@ -261,33 +263,33 @@
   }
 }
 
-Test(upstream_view, a_list_that_lags_drains_no_new_incarnation) {
+Test(upstream_view, a_lagging_list_does_not_drain_a_new_incarnation) {
   UpstreamView view({});
   view.Listed("e", "z", "", {"127.0.0.1", 1}, true, 0);
   CHECK(view.TakeNewlyLeaving().size() == 1);
-  // The VM has started again; the list still shows its old word.
+  // The VM has restarted; the list still marks it as leaving.
   view.Listed("e", "z", "", {"127.0.0.1", 1}, true, 0);
   CHECK(view.TakeNewlyLeaving().empty());
   view.Listed("e", "z", "", {"127.0.0.1", 1}, false, 0);
   CHECK(!view.IsLeaving("e"));
 }
 
-Test(upstream_view, a_leaving_upstream_gets_no_new_work) {
+Test(upstream_view, a_leaving_upstream_gets_no_new_requests) {
   UpstreamView view({});
   view.Listed("s1", "z", "kaunter", {"127.0.0.1", 1}, false, 0);
   view.Listed("s2", "z", "kaunter", {"127.0.0.1", 2}, false, 0);
   CHECK(view.ServiceInstances("kaunter", 0).size() == 2);
-  SECTION("by the platform's list") {
+  SECTION("it is leaving according to the platform's list") {
     view.Listed("s1", "z", "kaunter", {"127.0.0.1", 1}, true, 0);
     REQUIRE(view.ServiceInstances("kaunter", 0).size() == 1);
     CHECK(view.ServiceInstances("kaunter", 0)[0]->mVm == "s2");
     view.Listed("s1", "z", "kaunter", {"127.0.0.1", 1}, false, 0);
     CHECK(view.IsLeaving("s1"));
-    // Another process under the name, at another address.
+    // A different process with the same name, at another address.
     view.Listed("s1", "z", "kaunter", {"127.0.0.1", 7}, false, 0);
     CHECK(!view.IsLeaving("s1"));
   }
-  SECTION("by another word") {
+  SECTION("it is leaving according to another source") {
     view.SetLeaving({"s2"});
     CHECK(view.IsLeaving("s2"));
   }
--- a/tests/servers/sample_test.cpp
+++ b/tests/servers/sample_test.cpp
@@ -13,7 +13,7 @@
 
 constexpr int kChoices = 300;
 
-/// A zone of 600 engines of three kinds, placed, beside another of 30.
+/// A zone of 600 engines of three kinds with assigned layers, and one of 40.
 struct Fleet {
   Fleet() {
     mProfile.mLayers = 80;
@@ -30,12 +30,12 @@
                        {"small", 14000, 15, 15}};
     Add("z", 600);
     Add("y", 40);
-    std::map<std::string, LayerRange> dealt;
+    std::map<std::string, LayerRange> assigned;
     for (const LayerOrder& order : PlanLayers(mProfile, Views())) {
-      dealt[order.mInstance] = order.mLayers;
+      assigned[order.mInstance] = order.mLayers;
     }
     for (UpstreamRecord& record : mRecords) {
-      record.mLayers = dealt[record.mInstance];
+      record.mLayers = assigned[record.mInstance];
     }
   }
 
@@ -58,17 +58,17 @@
     return views;
   }
 
-  PathQuery Question(std::vector<const UpstreamRecord*> aEngines) {
-    PathQuery question;
-    question.mProfile = &mProfile;
-    question.mZone = "z";
-    question.mTokens = 900;
-    question.mPrefillTokens = 760;
-    question.mAnswerTokens = 140;
-    question.mEngines = std::move(aEngines);
-    question.mLoadOf = [](const std::string&) { return EngineLoad(); };
-    question.mRandom = [this] { return Random(); };
-    return question;
+  PathQuery Query(std::vector<const UpstreamRecord*> aEngines) {
+    PathQuery query;
+    query.mProfile = &mProfile;
+    query.mZone = "z";
+    query.mTokens = 900;
+    query.mPrefillTokens = 760;
+    query.mAnswerTokens = 140;
+    query.mEngines = std::move(aEngines);
+    query.mLoadOf = [](const std::string&) { return EngineLoad(); };
+    query.mRandom = [this] { return Random(); };
+    return query;
   }
 
   double Random() { return mUniform(mRandom); }
@@ -79,7 +79,7 @@
   std::uniform_real_distribution<double> mUniform{0, 1};
 };
 
-/// The share of choices that go to the engine that most go to.
+/// Returns the share of choices that use the most used engine.
 double Busiest(const std::map<std::string, int>& aCounts) {
   int most = 0;
   for (const auto& [instance, count] : aCounts) {
@@ -90,7 +90,7 @@
 
 }  // namespace
 
-Test(sample, few_engines_are_all_looked_at) {
+Test(sample, a_small_zone_is_not_sampled) {
   Fleet fleet;
   std::vector<const UpstreamRecord*> few = fleet.Views();
   few.resize(100);
@@ -100,9 +100,9 @@
   CHECK(sample.mShare == 1);
 }
 
-Test(sample, routers_that_know_nothing_of_each_other_go_different_ways) {
-  // With all 600 engines before them 300 choices of the same moment go to a few
-  // fast ones; a zone has room for about 90 requests at each.
+Test(sample, choices_without_shared_loads_use_different_paths) {
+  // Without sampling, 300 simultaneous choices over all 600 engines would use a
+  // few fast ones, which have capacity for about 90 requests each.
   Fleet fleet;
   const std::vector<const UpstreamRecord*> all = fleet.Views();
   std::map<std::string, int> counts;
@@ -110,45 +110,45 @@
     const EngineSample sample = SampleEngines(
         all, "z", SampleScope::kLocalZone, [&fleet] { return fleet.Random(); });
     CHECK(sample.mEngines.size() < 150);
-    const PathResult answer = ChoosePath(fleet.Question(sample.mEngines));
+    const PathResult answer = ChoosePath(fleet.Query(sample.mEngines));
     REQUIRE(!answer.mPath.empty());
     int reached = 0;
-    for (const PathStage& part : answer.mPath) {
-      CHECK(part.mLayers.mFrom == reached);
-      reached = part.mLayers.mTo;
-      counts[part.mInstance]++;
+    for (const PathStage& stage : answer.mPath) {
+      CHECK(stage.mLayers.mFrom == reached);
+      reached = stage.mLayers.mTo;
+      counts[stage.mInstance]++;
     }
     CHECK(reached == fleet.mProfile.mLayers);
   }
   CHECK(Busiest(counts) < 0.25);
-  SECTION("which they do not where each looks at all") {
+  SECTION("without samples they use the same engines") {
     std::map<std::string, int> same;
     for (int i = 0; i < kChoices / 10; i++) {
-      for (const PathStage& part : ChoosePath(fleet.Question(all)).mPath) {
-        same[part.mInstance] += 10;
+      for (const PathStage& stage : ChoosePath(fleet.Query(all)).mPath) {
+        same[stage.mInstance] += 10;
       }
     }
     CHECK(Busiest(same) > 2 * Busiest(counts));
   }
 }
 
-Test(sample, other_zones_are_looked_at_where_the_own_has_no_path) {
+Test(sample, other_zones_are_used_if_the_local_zone_has_no_path) {
   Fleet fleet;
   std::vector<const UpstreamRecord*> engines = fleet.Views();
   std::erase_if(engines, [](const UpstreamRecord* aEngine) {
     return aEngine->mZone == "z" && aEngine->mLayers.mFrom == 0;
   });
   const auto random = [&fleet] { return fleet.Random(); };
-  const EngineSample own =
+  const EngineSample local =
       SampleEngines(engines, "z", SampleScope::kLocalZone, random);
-  CHECK(own.mShare < 1);
-  CHECK(ChoosePath(fleet.Question(own.mEngines)).mPath.empty());
+  CHECK(local.mShare < 1);
+  CHECK(ChoosePath(fleet.Query(local.mEngines)).mPath.empty());
   const EngineSample wide =
       SampleEngines(engines, "z", SampleScope::kAllZones, random);
-  CHECK(!ChoosePath(fleet.Question(wide.mEngines)).mPath.empty());
+  CHECK(!ChoosePath(fleet.Query(wide.mEngines)).mPath.empty());
 }
 
-Test(sample, dealing_over_a_sample_remembers_no_earlier_one) {
+Test(sample, a_draw_uses_engines_of_the_current_sample_only) {
   Fleet fleet;
   const std::vector<const UpstreamRecord*> all = fleet.Views();
   PathChooser choice;
@@ -156,16 +156,16 @@
   for (int i = 0; i < 20; i++) {
     EngineSample sample = SampleEngines(all, "z", SampleScope::kLocalZone,
                                         [&fleet] { return fleet.Random(); });
-    PathQuery question = fleet.Question(sample.mEngines);
-    question.mSampleShare = sample.mShare;
+    PathQuery query = fleet.Query(sample.mEngines);
+    query.mSampleShare = sample.mShare;
     const PathResult answer = choice.Choose(
-        question, {.mUnreportedRequests = 1e6, .mRevision = 1, .mNow = i});
+        query, {.mUnreportedRequests = 1e6, .mRevision = 1, .mNow = i});
     REQUIRE(!answer.mPath.empty());
-    for (const PathStage& part : answer.mPath) {
+    for (const PathStage& stage : answer.mPath) {
       const bool seen =
           std::any_of(sample.mEngines.begin(), sample.mEngines.end(),
-                      [&part](const UpstreamRecord* aEngine) {
-                        return aEngine->mInstance == part.mInstance;
+                      [&stage](const UpstreamRecord* aEngine) {
+                        return aEngine->mInstance == stage.mInstance;
                       });
       CHECK(seen);
     }
--- a/tests/servers/streams_test.cpp
+++ b/tests/servers/streams_test.cpp
@@ -5,7 +5,7 @@
 
 using namespace spindleweir;
 
-Test(streams, events_are_whole_however_the_bytes_come) {
+Test(streams, events_are_complete_for_any_split_of_the_bytes) {
   const std::string bytes =
       "id: 1\ndata: a\n\nid:2\r\ndata: b\r\n\r\n: note\n\nid: 3\ndata: c";
   for (std::size_t step = 1; step <= bytes.size(); step++) {
@@ -24,49 +24,49 @@
   }
 }
 
-Test(streams, an_engine_is_suspected_when_all_its_streams_pause) {
-  StallDetector watch;
-  const auto run = [&watch](Millis aFrom, Millis aTo,
-                            std::initializer_list<StreamKey> aKeys) {
+Test(streams, an_engine_is_suspected_if_all_its_streams_stall) {
+  StallDetector detector;
+  const auto run = [&detector](Millis aFrom, Millis aTo,
+                               std::initializer_list<StreamKey> aKeys) {
     for (Millis at = aFrom; at < aTo; at += 50) {
       for (StreamKey key : aKeys) {
-        watch.OnEvent(key, at + static_cast<Millis>(key));
+        detector.OnEvent(key, at + static_cast<Millis>(key));
       }
     }
   };
-  watch.Begin(1, {"a", "b"}, 0);
-  watch.Begin(2, {"a", "c"}, 0);
-  watch.Begin(3, {"d", "c"}, 0);
+  detector.Begin(1, {"a", "b"}, 0);
+  detector.Begin(2, {"a", "c"}, 0);
+  detector.Begin(3, {"d", "c"}, 0);
   run(50, 1000, {1, 2, 3});
-  CHECK(watch.SuspectInstances(1000).empty());
-  SECTION("b stands still, the others go on") {
+  CHECK(detector.SuspectInstances(1000).empty());
+  SECTION("only b is suspected if its stream stalls and the others go on") {
     run(1000, 1400, {2, 3});
-    CHECK(watch.SuspectInstances(1390) == std::vector<std::string>{"b"});
-    CHECK(watch.SilentStreams(300, 1390) == std::vector<StreamKey>{1});
+    CHECK(detector.SuspectInstances(1390) == std::vector<std::string>{"b"});
+    CHECK(detector.SilentStreams(300, 1390) == std::vector<StreamKey>{1});
   }
-  SECTION("a caller that reads slowly proves nothing") {
-    watch.Suspend(1);
-    CHECK(watch.SuspectInstances(1390).empty());
+  SECTION("a stream with a slow caller is no evidence") {
+    detector.Suspend(1);
+    CHECK(detector.SuspectInstances(1390).empty());
   }
-  SECTION("streams that ended prove nothing") {
-    watch.End(1);
-    watch.End(2);
-    watch.End(3);
-    CHECK(watch.SuspectInstances(9000).empty());
+  SECTION("ended streams are no evidence") {
+    detector.End(1);
+    detector.End(2);
+    detector.End(3);
+    CHECK(detector.SuspectInstances(9000).empty());
   }
 }
 
-Test(streams, retries_stay_within_their_share) {
+Test(streams, retries_stay_within_the_allowance) {
   RetryAllowance allowance(
       {.mRatio = 0.2, .mWindow = 10000, .mSlack = 80, .mUsableShare = 1});
   int spent = 0;
-  SECTION("the slack is divided by the routers") {
+  SECTION("the slack is divided among the routers") {
     while (allowance.TrySpend(8, 0)) {
       spent++;
     }
     CHECK(spent == 10);
   }
-  SECTION("requests add their ratio, and the window forgets") {
+  SECTION("requests add their ratio until they leave the window") {
     for (int i = 0; i < 100; i++) {
       allowance.RequestStarted(5000);
     }
@@ -78,9 +78,10 @@
   }
 }
 
-Test(streams, retries_stay_within_their_share_over_a_restart_of_all_routers) {
-  // The bound is on what all routers send in a window, those included that
-  // ended in it: each start took its whole share anew.
+Test(streams, retries_stay_within_the_slack_when_all_routers_restart) {
+  // The limit covers all router processes of a window, including those that
+  // ended in it. It was exceeded when each new process used its whole share
+  // again.
   constexpr int kRouters = 8;
   constexpr Millis kRestart = 20000;
   const RetryAllowanceOptions before{.mSlack = 200, .mStartedAt = 0};
@@ -98,13 +99,13 @@
   spend(before, kRestart - 1);
   const int once = spent;
   spend(after, kRestart);
-  SECTION("whatever those that ended have spent") {
+  SECTION("the previous processes may have spent all of their share") {
     CHECK(spent <= 200);
   }
-  SECTION("a start leaves some") {
+  SECTION("new processes have some retries") {
     CHECK(spent > once);
   }
-  SECTION("and all again once a window has passed") {
+  SECTION("after a full window they have their whole share") {
     spent = 0;
     spend(after, kRestart + after.mWindow);
     CHECK(spent == once);
