--- a/include/spindleweir/servers/routing/path_shares.h
+++ b/include/spindleweir/servers/routing/path_shares.h
@@ -1,7 +1,6 @@
-/// Divides what the engines of one zone can carry into whole paths: how many
-/// requests a second each path takes beside the others. It depends on what
-/// engines hold and how slow they are, not on what they have to do at the
-/// moment.
+/// Divides the capacity of the engines of one zone into whole paths, each with
+/// the request rate that it sustains beside the others. The result depends on
+/// the layers and slowdowns of the engines, not on their current load.
 #pragma once
 
 #include <vector>
@@ -10,14 +9,14 @@
 
 namespace spindleweir {
 
-/// A path with its share of its zone's work.
+/// A path with its share of the zone's capacity.
 struct PathShare {
   LayerPath mPath;
-  double mMaxRequests = 0;    ///< Requests that may be on it at a time.
-  double mRequestMillis = 0;  ///< That a usual request is on it.
-  double mSlowdown = 1;  ///< Times as long as if all its engines were well.
+  double mMaxRequests = 0;    ///< Concurrent requests.
+  double mRequestMillis = 0;  ///< Duration of a typical request.
+  double mSlowdown = 1;       ///< Relative to engines at normal speed.
 
-  /// Requests a millisecond.
+  /// Sustained requests per millisecond.
   double Rate() const {
     return mRequestMillis <= 0 ? 0 : mMaxRequests / mRequestMillis;
   }
--- a/servers/routing/load_check.cpp
+++ b/servers/routing/load_check.cpp
@@ -65,20 +65,20 @@
   std::vector<std::function<bool(std::size_t)>> mIsNegative;
 };
 
-/// Codec that removes the rows of each column that are not to be kept.
+/// Codec that removes rows from each column.
 class RowFilter {
  public:
   explicit RowFilter(const std::vector<bool>& aKeepRow) : mKeepRow(aKeepRow) {}
 
   template <class T>
   void Sparse(const char*, std::vector<T>& aColumn) {
-    std::vector<T> kept;
+    std::vector<T> rows;
     for (std::size_t i = 0; i < aColumn.size(); i++) {
       if (mKeepRow[i]) {
-        kept.push_back(std::move(aColumn[i]));
+        rows.push_back(std::move(aColumn[i]));
       }
     }
-    aColumn = std::move(kept);
+    aColumn = std::move(rows);
   }
 
  private:
