--- a/daemons/control/crash_store.cpp
+++ b/daemons/control/crash_store.cpp
@@ -55,26 +55,26 @@
     // Of another build.
     Warn("barred_unreadable", error);
   }
-  mSaved = aLedger.VerdictRevision();
+  mSaved = aLedger.BarredRevision();
   LogLine(LogLevel::kInfo, "barred_read")
-      .Add("requests", static_cast<Json::UInt64>(aLedger.Barred()));
+      .Add("requests", static_cast<Json::UInt64>(aLedger.BarredRequests()));
 }
 
 void CrashStore::Save(const CrashLedger& aLedger, Millis aNow) {
   const bool refused = mRefusedAt >= 0 && aNow - mRefusedAt < kTryAgain;
-  if (aLedger.VerdictRevision() == mSaved || refused) {
+  if (aLedger.BarredRevision() == mSaved || refused) {
     return;
   }
   KeptCrashes kept;
   const CrashLedger::Changes all =
-      aLedger.Since(0, true, std::numeric_limits<std::size_t>::max(), aNow);
+      aLedger.ChangesSince(0, true, std::numeric_limits<std::size_t>::max(), aNow);
   for (const CrashRecord& record : all.mRecords) {
     kept.mRows.push_back(ToJson(record));
   }
   const std::string text = DumpJson(ToJson(kept));
   try {
     ReplaceFile(mPath, DigestOf(text) + kAfterDigest + text);
-    mSaved = aLedger.VerdictRevision();
+    mSaved = aLedger.BarredRevision();
     mRefusedAt = -1;
   } catch (const Error& error) {
     mRefusedAt = aNow;
--- a/daemons/control/sync_service.cpp
+++ b/daemons/control/sync_service.cpp
@@ -203,18 +203,18 @@
   const Millis now = SteadyNow();
   for (const CrashRecord& record :
        ReadCrashes(aRows, mContext.mBadWords.At("crashes"))) {
-    const bool was = mCrashes.IsBarred(record.mContent);
+    const bool was = mCrashes.IsBarred(record.mRequestDigest);
     mCrashes.Merge(record, now);
-    const bool is = mCrashes.IsBarred(record.mContent);
+    const bool is = mCrashes.IsBarred(record.mRequestDigest);
     if (was != is) {
       LogLine(LogLevel::kWarning, is ? "request_barred" : "request_not_barred")
-          .Add("content", record.mContent)
+          .Add("content", record.mRequestDigest)
           .Add("by", aBy)
           .Add("crashes", static_cast<int>(record.mCrashes.size()));
     }
   }
   mContext.mCounters.Set("requests_barred",
-                         static_cast<std::int64_t>(mCrashes.Barred()));
+                         static_cast<std::int64_t>(mCrashes.BarredRequests()));
   mCrashStore.Save(mCrashes, now);
 }
 
@@ -224,9 +224,9 @@
   const std::int64_t known =
       aQuestion.mKnows == mLife ? aQuestion.mKnowsCrashes : 0;
   const CrashLedger::Changes changes =
-      mCrashes.Since(known, !fromControl, kMostCrashes, SteadyNow());
+      mCrashes.ChangesSince(known, !fromControl, kMostCrashes, SteadyNow());
   aAnswer.mCrashes = WriteRows(changes.mRecords);
-  aAnswer.mCrashRevision = changes.mUpTo;
+  aAnswer.mCrashRevision = changes.mUpToRevision;
 }
 
 void SyncService::ConfirmOwn(Millis aNow) {
@@ -365,7 +365,7 @@
 }
 
 void SyncService::KeepUpstreams() {
-  mCrashes.Forget(SteadyNow());
+  mCrashes.RemoveExpired(SteadyNow());
   mCrashStore.Save(mCrashes, SteadyNow());
   // Disks hang for seconds at times. A leader does without the file, so that
   // nobody waits for it then; all others have the same upstreams.
--- a/daemons/relay/relay_admission.cpp
+++ b/daemons/relay/relay_admission.cpp
@@ -68,25 +68,26 @@
   return std::max(1.0, mContext.Routers() / aGate.mReading.mParts);
 }
 
-StartDecision RelayAdmission::Ask(const void* aRequest,
-                                  const TrafficService& aService,
-                                  const StartRequest& aFacts) {
+WarmUpDecision RelayAdmission::Ask(const void* aRequest,
+                                   const TrafficService& aService,
+                                   const WarmUpRequest& aFacts) {
   Gate& gate = mGates[aService.mName];
   MeasureReading(aService, gate);
   gate.mStart.SetShare(gate.mReading.mPerMilli / Sharers(gate));
-  const StartDecision decision = gate.mStart.Ask(aRequest, aFacts, SteadyNow());
-  if (decision.mVerdict == StartVerdict::kWait) {
+  const WarmUpDecision decision =
+      gate.mStart.TryAdmit(aRequest, aFacts, SteadyNow());
+  if (decision.mVerdict == WarmUpVerdict::kWait) {
     gate.mWaiting.insert(aRequest);
     return decision;
   }
   gate.mWaiting.erase(aRequest);
-  gate.mBegun += decision.mVerdict == StartVerdict::kGo ? 1 : 0;
+  gate.mBegun += decision.mVerdict == WarmUpVerdict::kAdmit ? 1 : 0;
   return decision;
 }
 
 void RelayAdmission::Leave(const void* aRequest) {
   for (auto& [service, gate] : mGates) {
-    gate.mStart.Leave(aRequest);
+    gate.mStart.Withdraw(aRequest);
     gate.mWaiting.erase(aRequest);
   }
 }
@@ -164,9 +165,9 @@
                                     ReturnCause aCause, Millis aLeft) {
   Gate& gate = mGates[aService == nullptr ? "" : aService->mName];
   ReturnAdvice advice;
-  ReturnQuestion& question = advice.mQuestion;
+  RetryScheduleRequest& question = advice.mQuestion;
   question.mNow = SteadyNow();
-  question.mLeft = aLeft;
+  question.mTimeLeft = aLeft;
   question.mRandom = mContext.Random();
   question.mFreeAfter =
       aCause == ReturnCause::kNoLease ? kLeaseBack : kPlainFree;
@@ -179,7 +180,7 @@
         gate.mCarried > 0 ? kPlainFree : LoadingTimeLeft(*aService, gate);
   }
   advice.mAnswer = gate.mReturns.Assign(question);
-  advice.mCallers = gate.mReturns.Expected(question.mNow);
+  advice.mCallers = gate.mReturns.ExpectedCallers(question.mNow);
   return advice;
 }
 
--- a/daemons/relay/relay_admission.h
+++ b/daemons/relay/relay_admission.h
@@ -7,9 +7,9 @@
 #include <string>
 
 #include "daemons/relay/relay_context.h"
-#include "spindleweir/servers/limits/first_deadline.h"
-#include "spindleweir/servers/limits/return_time.h"
-#include "spindleweir/servers/limits/start_admission.h"
+#include "spindleweir/servers/limits/retry_detector.h"
+#include "spindleweir/servers/limits/retry_schedule.h"
+#include "spindleweir/servers/limits/warm_up_admission.h"
 
 namespace spindleweir {
 
@@ -23,8 +23,8 @@
 
 /// A time to come back with what it was predicted from.
 struct ReturnAdvice {
-  ReturnQuestion mQuestion;
-  ReturnAnswer mAnswer;
+  RetryScheduleRequest mQuestion;
+  AssignedRetry mAnswer;
   int mCallers = 0;  ///< Callers that were told to come, with this one.
 };
 
@@ -36,8 +36,8 @@
   /// Whether what other routers let in is not known yet.
   bool Opening();
   /// Asks for a request of an engine service, again and again until it goes.
-  StartDecision Ask(const void* aRequest, const TrafficService& aService,
-                    const StartRequest& aFacts);
+  WarmUpDecision Ask(const void* aRequest, const TrafficService& aService,
+                     const WarmUpRequest& aFacts);
   /// The request asks no more.
   void Leave(const void* aRequest);
   /// Requests that other routers may have begun in the opening and that are in
@@ -64,10 +64,10 @@
   /// What is known of one service.
   struct Gate {
     Reading mReading;
-    StartAdmission mStart;
+    WarmUpAdmission mStart;
     std::set<const void*> mWaiting;
     int mBegun = 0;  ///< In the opening.
-    ReturnTimes mReturns;
+    RetrySchedule mReturns;
     double mCarried = 0;     ///< Requests a millisecond that its zone carries.
     Millis mCarriedAt = -1;  ///< When that was found.
     Millis mLostAt = -1;     ///< Since when its zone has no whole path.
@@ -84,7 +84,7 @@
 
   RelayContext& mContext;
   std::map<std::string, Gate> mGates;                    ///< By service.
-  std::map<std::string, FirstDeadline> mFirstDeadlines;  ///< By route.
+  std::map<std::string, RetryDetector> mFirstDeadlines;  ///< By route.
   Millis mOpenedAt = -1;  ///< When the first request could be let in.
   bool mOpening = true;
 };
--- a/daemons/relay/relay_answer.cpp
+++ b/daemons/relay/relay_answer.cpp
@@ -33,7 +33,7 @@
   TakeLimit(facts.mLimit);
   TakeLeaving(facts.mLeaves);
   if (facts.mRest > 0 && IsCurrent()) {
-    mContext.mRests.Ask(mAttempt->mInstance, facts.mRest, SteadyNow());
+    mContext.mRests.Extend(mAttempt->mInstance, facts.mRest, SteadyNow());
   }
   if (facts.mRan == Ran::kNo) {
     mContext.Refused(Refuser());
@@ -60,7 +60,7 @@
   const std::string& instance = mAttempt->mInstance;
   const bool isNews =
       aWord.mClear && IsCurrent() &&
-      mContext.mLimits.Answered(instance, aWord.mPerSecond,
+      mContext.mLimits.OnAnswer(instance, aWord.mPerSecond,
                                 mAttempt->mStartedAt, SteadyNow());
   if (isNews || !aWord.mClear) {
     LogLine(LogLevel::kInfo, "limit_named")
@@ -128,9 +128,9 @@
   if (memory == nullptr) {
     return true;
   }
-  memory->Set(HeldKind::kPartial, mAttempt->mBody.size() +
-                                      mAttempt->mEvents.Incomplete().size() +
-                                      (mKept ? mKept->mBody.size() : 0));
+  memory->Set(BufferKind::kPartial, mAttempt->mBody.size() +
+                                        mAttempt->mEvents.Incomplete().size() +
+                                        (mKept ? mKept->mBody.size() : 0));
   return memory->MayCollect();
 }
 
@@ -173,8 +173,8 @@
 void RelayRequest::ClaimMemory() {
   const std::shared_ptr<MemoryHold>& memory = mExchange->Memory();
   if (memory != nullptr) {
-    memory->SetClaim(mRoute->Repeatable() ? MemoryClaim::kRepeatable
-                                          : MemoryClaim::kRanOnce);
+    memory->SetClaim(mRoute->Repeatable() ? EvictionClass::kRetryable
+                                          : EvictionClass::kNotRetryable);
   }
 }
 
--- a/daemons/relay/relay_attempt.cpp
+++ b/daemons/relay/relay_attempt.cpp
@@ -69,7 +69,7 @@
 }
 
 bool RelayRequest::IsBarred() const {
-  return mContext.mCrashes.Ledger().BarsAny() &&
+  return mContext.mCrashes.Ledger().HasBarredRequests() &&
          mContext.mCrashes.IsBarred(Content());
 }
 
@@ -210,7 +210,7 @@
   }
   const UpstreamRecord* record = mContext.mRegistry.Find(mAttempt->mInstance);
   return record != nullptr && IsCurrent() && !Ends(record->mState) &&
-         !mContext.mRests.Holds(mAttempt->mInstance, SteadyNow()) &&
+         !mContext.mRests.IsActive(mAttempt->mInstance, SteadyNow()) &&
          Remaining() > 0 && !IsBarred();
 }
 
@@ -244,7 +244,7 @@
   options.mOnHead = [this](const AnswerHead& aHead) { HandleHead(aHead); };
   options.mOnData = [this](std::string_view aBytes) { HandleData(aBytes); };
   options.mOnEnd = [this](StreamEnd aEnd) { HandleEnd(aEnd); };
-  mContext.mLimits.Sent(mAttempt->mInstance);
+  mContext.mLimits.OnRequestSent(mAttempt->mInstance);
   mTried.insert(mAttempt->mInstance);
   CountLoad(1);
   BeginReading(mAttempt->mPath);
@@ -311,9 +311,9 @@
   // barred requests that had crashed nothing.
   mContext.mGuard->AttemptLost({.mInstance = mAttempt->mInstance,
                                 .mStart = mAttempt->mStart,
-                                .mContent = Content(),
-                                .mBegunAt = mAttempt->mStartedAt,
-                                .mHadEvents = mAttempt->mHadEvents});
+                                .mRequestDigest = Content(),
+                                .mStartedAt = mAttempt->mStartedAt,
+                                .mDeliveredEvents = mAttempt->mHadEvents});
 }
 
 void RelayRequest::AttemptFailed(Ran aRan, ResultCode aCode, bool aWasSent) {
--- a/daemons/relay/relay_context.cpp
+++ b/daemons/relay/relay_context.cpp
@@ -39,12 +39,12 @@
 constexpr Millis kMostAfterRefusals = 3000;
 constexpr int kMostDoublings = 4;
 
-MemoryAccountOptions MemoryOf(const RelayOptions& aOptions) {
-  MemoryAccountOptions options =
-      MemoryAccountOptions::For(aOptions.mMemoryBytes);
-  options.mDescriptors = aOptions.mDescriptors;
+MemoryBudgetOptions MemoryOf(const RelayOptions& aOptions) {
+  MemoryBudgetOptions options =
+      MemoryBudgetOptions::ForMemory(aOptions.mMemoryBytes);
+  options.mMaxDescriptors = aOptions.mDescriptors;
   if (aOptions.mWindow > 0) {
-    options.mWindow = aOptions.mWindow;
+    options.mSocketBuffer = aOptions.mWindow;
   }
   return options;
 }
@@ -56,7 +56,7 @@
       mOptions(std::move(aOptions)),
       mClient(aLoop),
       mRpc(mClient, mOptions.mClusterKey),
-      mMemory(std::make_shared<MemoryAccount>(MemoryOf(mOptions))),
+      mMemory(std::make_shared<MemoryBudget>(MemoryOf(mOptions))),
       mLease(mOptions.mLeaseLength),
       mLimits({.mDemandOf =
                    [this](const std::string& aInstance) {
@@ -65,7 +65,7 @@
                .mRandom = [this] { return Random(); }}),
       mStopIntake({.mGrace = PlannedStop::GraceOf(mOptions)}),
       mOtherLoadsTrueAt(SteadyNow()),
-      mRouters({.mKept = mOptions.mRetries.mWindow}),
+      mRouters({.mRetention = mOptions.mRetries.mWindow}),
       mRandom(std::random_device{}()),
       mStartedAt(SteadyNow()) {
   mDirectory.SetSeeds(mOptions.mSeeds);
@@ -97,13 +97,13 @@
   const UpstreamRecord* record = mRegistry.Find(aInstance);
   if (record != nullptr) {
     const bool near = record->mZone == mOptions.mZone;
-    demand.mOwn = ArrivalsOf(record->mService) * kMillisPerSecond *
-                  (near ? 1 : kToOtherZones);
+    demand.mLocal = ArrivalsOf(record->mService) * kMillisPerSecond *
+                    (near ? 1 : kToOtherZones);
   }
   const auto others = mOtherLoads.find(aInstance);
   if (others != mOtherLoads.end()) {
-    demand.mOthersKnown = true;
-    demand.mOthers =
+    demand.mPeersKnown = true;
+    demand.mPeers =
         static_cast<double>(others->second.mDemandThousandths) / kThousandths;
   }
   return demand;
@@ -189,7 +189,7 @@
     }
   }
   mPaces.AddReports(loads, now);
-  mLimits.Tell(loads, now);
+  mLimits.AddReport(loads, now);
   return loads;
 }
 
@@ -197,7 +197,7 @@
   mOtherLoads = std::move(aLoads);
   mOtherLoadsTrueAt = aTrueAt;
   mPaces.ApplyPeerReports(mOtherLoads, SteadyNow());
-  mLimits.TakeNews(mOtherLoads, SteadyNow());
+  mLimits.ApplyPeerReports(mOtherLoads, SteadyNow());
 }
 
 void RelayContext::ForgetOtherLoads() {
@@ -252,8 +252,8 @@
 
 std::set<std::string> RelayContext::HeldBack() {
   const Millis now = SteadyNow();
-  std::set<std::string> held = mLimits.Held(now);
-  held.merge(mRests.Held(now));
+  std::set<std::string> held = mLimits.HeldUpstreams(now);
+  held.merge(mRests.HeldUpstreams(now));
   return held;
 }
 
@@ -313,26 +313,26 @@
   const auto own = mOwnLoads.find(aRecord.mInstance);
   UpstreamOccupancy occupancy;
   occupancy.mSlots = aRecord.mSlots;
-  occupancy.mOwn =
+  occupancy.mLocal =
       own == mOwnLoads.end() ? 0 : static_cast<double>(own->second.mRequests);
-  occupancy.mOthers = LoadOf(aRecord.mInstance).mRequests - occupancy.mOwn;
+  occupancy.mPeers = LoadOf(aRecord.mInstance).mRequests - occupancy.mLocal;
   occupancy.mBodyBytes = static_cast<double>(aQuestion.mBodyBytes);
-  occupancy.mOwnBytes = occupancy.mOwn * occupancy.mBodyBytes;
+  occupancy.mLocalBytes = occupancy.mLocal * occupancy.mBodyBytes;
   occupancy.mRouters = Routers();
-  occupancy.mOwnRate =
+  occupancy.mLocalRate =
       paths.mArrivals.PerMilliExcluding(aQuestion.mArrivedAt, now) /
       static_cast<double>(std::max<std::size_t>(1, aQuestion.mUpstreams));
   const Millis expected = aQuestion.mTarget > 0
                               ? std::min(aQuestion.mTarget, kExpectedTime)
                               : kExpectedTime;
-  occupancy.mUsualTime = paths.mUsualTime.At(expected, now);
-  occupancy.mNewsAge = std::min(kOldestNews, LoadsAge());
+  occupancy.mTypicalTime = paths.mUsualTime.At(expected, now);
+  occupancy.mPeerReportAge = std::min(kOldestNews, LoadsAge());
   return occupancy;
 }
 
 void RelayContext::TakeRouters(int aRouters, const std::string& aToldBy) {
   const int before = Routers();
-  mRouters.Take(aRouters, SteadyNow());
+  mRouters.OnReport(aRouters, SteadyNow());
   if (Routers() != before) {
     LogLine(LogLevel::kInfo, "routers_known")
         .Add("routers", Routers())
--- a/daemons/relay/relay_context.h
+++ b/daemons/relay/relay_context.h
@@ -13,13 +13,13 @@
 #include "spindleweir/daemons/relay_router.h"
 #include "spindleweir/daemons/sync_messages.h"
 #include "spindleweir/drivers/rpc_channel.h"
+#include "spindleweir/servers/limits/advertised_limits.h"
+#include "spindleweir/servers/limits/backoff_periods.h"
 #include "spindleweir/servers/limits/crash_watch.h"
-#include "spindleweir/servers/limits/memory_account.h"
-#include "spindleweir/servers/limits/named_limits.h"
-#include "spindleweir/servers/limits/rest_periods.h"
+#include "spindleweir/servers/limits/memory_budget.h"
 #include "spindleweir/servers/limits/router_count.h"
-#include "spindleweir/servers/limits/stop_intake.h"
-#include "spindleweir/servers/limits/usual_time.h"
+#include "spindleweir/servers/limits/shutdown_admission.h"
+#include "spindleweir/servers/limits/typical_time.h"
 #include "spindleweir/servers/membership/beat_taker.h"
 #include "spindleweir/servers/membership/control_directory.h"
 #include "spindleweir/servers/membership/upstream_registry.h"
@@ -53,7 +53,7 @@
   ArrivalRate mArrivals;  ///< At this router.
   std::vector<const UpstreamRecord*> mReady;
   std::int64_t mReadyOf = -1;  ///< The change of the registry that it has.
-  UsualTime mUsualTime{UsualTimeOptions{}};  ///< Of a plain service.
+  TypicalTime mUsualTime{TypicalTimeOptions{}};  ///< Of a plain service.
 };
 
 /// A request that may be sent to an upstream of a plain service.
@@ -152,16 +152,16 @@
   RpcChannel mRpc;
   Counters mCounters;
   BadWords mBadWords{mCounters};
-  std::shared_ptr<MemoryAccount> mMemory;
+  std::shared_ptr<MemoryBudget> mMemory;
   ConfigurationLease mLease;
   ControlDirectory mDirectory;
   UpstreamRegistry mRegistry;
   BeatTaker mTaker;
   EngineSlowdowns mPaces;
-  NamedLimits mLimits;
-  RestPeriods mRests;
+  AdvertisedLimits mLimits;
+  BackoffPeriods mRests;
   CrashWatch mCrashes;
-  StopIntake mStopIntake;
+  ShutdownAdmission mStopIntake;
   bool mStopping = false;
   StreamGuard* mGuard = nullptr;         ///< Set once all parts are made.
   RelayAdmission* mAdmission = nullptr;  ///< The same.
--- a/daemons/relay/relay_request.cpp
+++ b/daemons/relay/relay_request.cpp
@@ -6,7 +6,7 @@
 #include "spindleweir/core/json_codec.h"
 #include "spindleweir/core/log.h"
 #include "spindleweir/daemons/answers.h"
-#include "spindleweir/servers/limits/request_content.h"
+#include "spindleweir/servers/limits/request_digest.h"
 
 namespace spindleweir {
 
@@ -140,8 +140,8 @@
   mContext.mAdmission->RecordDeadline(
       mRoute->mName, std::min(mFacts.mDeadline, mRoute->mTimeout));
   PickService();
-  if (!mContext.mStopIntake.Takes(mService->mName, mFacts.mExpectedTokens, wait,
-                                  SteadyNow())) {
+  if (!mContext.mStopIntake.Admits(mService->mName, mFacts.mExpectedTokens,
+                                   wait, SteadyNow())) {
     Refuse(ResultCode::kStopping, ReturnCause::kElsewhere);
     return;
   }
@@ -161,34 +161,34 @@
       mFacts.mDeadline > 0
           ? std::min(kPatience, mFacts.mDeadline / kStartWaitPart)
           : kPatience;
-  const StartDecision decision =
+  const WarmUpDecision decision =
       mContext.mAdmission->Ask(this, *mService,
                                {.mReceivedAt = mExchange->ReceivedAt(),
                                 .mTarget = mRoute->mTarget,
-                                .mPatience = patience,
+                                .mWaitLimit = patience,
                                 .mPriority = mRoute->mPriority,
-                                .mTokens = mFacts.mPromptTokens});
-  if (decision.mVerdict == StartVerdict::kWait) {
+                                .mPromptTokens = mFacts.mPromptTokens});
+  if (decision.mVerdict == WarmUpVerdict::kWait) {
     mPathTimer = mContext.mLoop.After(decision.mAfter, [this] { AwaitTurn(); });
     return;
   }
   CountTurn(decision);
-  if (decision.mVerdict != StartVerdict::kGo) {
+  if (decision.mVerdict != WarmUpVerdict::kAdmit) {
     Refuse(ResultCode::kUpstreamFull, ReturnCause::kFull);
     return;
   }
   StartAttempt();
 }
 
-void RelayRequest::CountTurn(const StartDecision& aDecision) {
-  const bool goes = aDecision.mVerdict == StartVerdict::kGo;
+void RelayRequest::CountTurn(const WarmUpDecision& aDecision) {
+  const bool goes = aDecision.mVerdict == WarmUpVerdict::kAdmit;
   LogLine(LogLevel::kInfo, "opening")
       .Add("request", mFacts.mId)
       .Add("let_in", goes)
       .Add("waited_ms",
            static_cast<Json::Int64>(SteadyNow() - mExchange->ReceivedAt()))
       .Add("turn_in_ms", static_cast<Json::Int64>(aDecision.mAfter))
-      .Add("tokens_ahead", aDecision.mAhead)
+      .Add("tokens_ahead", aDecision.mTokensAhead)
       .Add("share_per_ms", aDecision.mShare)
       .Add("waiting", aDecision.mWaiting)
       .Add("routers", mContext.Routers());
@@ -218,10 +218,10 @@
 
 const std::string& RelayRequest::Content() const {
   if (mContent.empty()) {
-    mContent = RequestContent({.mWorkspace = mWorkspace,
-                               .mHost = mFacts.mHost,
-                               .mTarget = mExchange->Head().mTarget,
-                               .mBody = mExchange->Body()});
+    mContent = RequestDigest({.mWorkspace = mWorkspace,
+                              .mHost = mFacts.mHost,
+                              .mTarget = mExchange->Head().mTarget,
+                              .mBody = mExchange->Body()});
   }
   return mContent;
 }
@@ -263,13 +263,13 @@
     return room;
   }
   room["slots"] = mWithoutRoom->mSlots;
-  room["own"] = mWithoutRoom->mOwn;
-  room["others_told"] = mWithoutRoom->mOthers;
+  room["own"] = mWithoutRoom->mLocal;
+  room["others_told"] = mWithoutRoom->mPeers;
   room["others_unreported"] = UnreportedRequests(*mWithoutRoom);
   room["routers"] = mWithoutRoom->mRouters;
-  room["own_per_s"] = mWithoutRoom->mOwnRate * kMillisPerSecond;
-  room["usual_ms"] = static_cast<Json::Int64>(mWithoutRoom->mUsualTime);
-  room["news_ms"] = static_cast<Json::Int64>(mWithoutRoom->mNewsAge);
+  room["own_per_s"] = mWithoutRoom->mLocalRate * kMillisPerSecond;
+  room["usual_ms"] = static_cast<Json::Int64>(mWithoutRoom->mTypicalTime);
+  room["news_ms"] = static_cast<Json::Int64>(mWithoutRoom->mPeerReportAge);
   return room;
 }
 
@@ -304,7 +304,7 @@
       .Add("free_after_ms",
            static_cast<Json::Int64>(advice.mQuestion.mFreeAfter))
       .Add("free_per_ms", advice.mQuestion.mFreePerMilli)
-      .Add("room_expected", advice.mAnswer.mExpected)
+      .Add("room_expected", advice.mAnswer.mRoomExpected)
       .Add("callers_told", advice.mCallers)
       .Add("retry_after_ms", static_cast<Json::Int64>(retryAfter));
   End("refused", status);
@@ -358,7 +358,7 @@
   }
   mEnded = true;
   if (IsSuccess(aStatus)) {
-    mContext.mCrashes.Completed(Content(), SteadyNow());
+    mContext.mCrashes.OnRequestCompleted(Content(), SteadyNow());
     mContext.mStopIntake.Record(mService->mName, mFacts.mExpectedTokens,
                                 SteadyNow() - mExchange->ReceivedAt());
   }
@@ -381,9 +381,10 @@
       .Add("instance", mAttempt == nullptr ? "" : mAttempt->mInstance)
       .Add("path", path)
       .Add("content", IsSuccess(aStatus) ? "" : Content())
-      .Add("limit", mAttempt == nullptr
-                        ? -1
-                        : mContext.mLimits.Of(mAttempt->mInstance).value_or(-1))
+      .Add("limit",
+           mAttempt == nullptr
+               ? -1
+               : mContext.mLimits.LimitOf(mAttempt->mInstance).value_or(-1))
       .Add("sent", mSent + (mAttempt == nullptr ? 0 : 1))
       .Add("events", mEvents)
       .Add("expected_tokens", mFacts.mExpectedTokens)
--- a/daemons/relay/relay_request.h
+++ b/daemons/relay/relay_request.h
@@ -121,7 +121,7 @@
   /// Starts the first attempt as soon as the opening lets it in.
   void AwaitTurn();
   /// Logs and counts how the opening ended for it.
-  void CountTurn(const StartDecision& aDecision);
+  void CountTurn(const WarmUpDecision& aDecision);
   void StartAttempt();
   /// Tries again in a moment, where a stream has begun; false: not worth it.
   bool WaitForPath();
--- a/daemons/relay/relay_router.cpp
+++ b/daemons/relay/relay_router.cpp
@@ -92,7 +92,7 @@
         .Add("code", static_cast<int>(aCode));
     Millis retryAfter = -1;
     if (aCode == ResultCode::kMemoryFull) {
-      retryAfter = MemoryAccount::ReturnAfter(mContext.Random());
+      retryAfter = MemoryBudget::RetryAfter(mContext.Random());
       mContext.mCounters.Add("memory_refused");
     }
     aExchange.Reply(InfoOf(aCode).mHttpStatus,
@@ -101,7 +101,7 @@
   }
 
   void LogCut(std::size_t aCallers, std::size_t aBytes) {
-    const MemoryAccount& account = *mContext.mMemory;
+    const MemoryBudget& account = *mContext.mMemory;
     mContext.mCounters.Add("memory_cut", {},
                            static_cast<std::int64_t>(aCallers));
     LogLine(LogLevel::kWarning, "memory_cut")
@@ -109,23 +109,24 @@
         .Add("bytes", static_cast<Json::UInt64>(aBytes))
         .Add("held", static_cast<Json::UInt64>(account.Held()))
         .Add("committed", static_cast<Json::UInt64>(account.Committed()))
-        .Add("bound", static_cast<Json::UInt64>(account.Options().mBound))
-        .Add("waiting", static_cast<Json::UInt64>(account.Waiting()));
+        .Add("bound", static_cast<Json::UInt64>(account.Options().mMaxBytes))
+        .Add("waiting",
+             static_cast<Json::UInt64>(account.WaitingConnections()));
   }
 
   void SetMemoryGauges() {
-    const MemoryAccount& account = *mContext.mMemory;
+    const MemoryBudget& account = *mContext.mMemory;
     Counters& counters = mContext.mCounters;
     const auto set = [&counters](const char* aName, std::size_t aValue) {
       counters.Set(aName, static_cast<std::int64_t>(aValue));
     };
-    set("memory_bound_bytes", account.Options().mBound);
+    set("memory_bound_bytes", account.Options().mMaxBytes);
     set("memory_held_bytes", account.Held());
     set("memory_committed_bytes", account.Committed());
-    set("memory_share_bytes", account.Share());
-    set("memory_waiting", account.Waiting());
-    for (std::size_t i = 0; i < kHeldKinds; i++) {
-      const auto kind = static_cast<HeldKind>(i);
+    set("memory_share_bytes", account.StreamShare());
+    set("memory_waiting", account.WaitingConnections());
+    for (std::size_t i = 0; i < kBufferKinds; i++) {
+      const auto kind = static_cast<BufferKind>(i);
       const std::string name = std::string("memory_") + NameOf(kind) + "_bytes";
       set(name.c_str(), account.Held(kind));
     }
--- a/daemons/relay/stream_guard.cpp
+++ b/daemons/relay/stream_guard.cpp
@@ -62,7 +62,7 @@
   for (const std::string& instance : mWatch.SuspectInstances(now)) {
     ProbeIfDue(instance, now);
   }
-  for (const std::string& instance : mContext.mCrashes.Unsettled(now)) {
+  for (const std::string& instance : mContext.mCrashes.InstancesToProbe(now)) {
     ProbeIfDue(instance, now);
   }
   StepPaces(now);
@@ -193,13 +193,13 @@
 void StreamGuard::AttemptLost(LostAttempt aAttempt) {
   const std::string instance = aAttempt.mInstance;
   const Millis now = SteadyNow();
-  mContext.mCrashes.Lost(std::move(aAttempt), now);
+  mContext.mCrashes.OnAttemptLost(std::move(aAttempt), now);
   ProbeIfDue(instance, now);
 }
 
 void StreamGuard::CountCrash(const std::string& aInstance) {
   const std::vector<std::string> contents =
-      mContext.mCrashes.Ended(aInstance, SteadyNow());
+      mContext.mCrashes.OnUpstreamCrashed(aInstance, SteadyNow());
   if (contents.empty()) {
     return;
   }
@@ -255,7 +255,7 @@
     return;
   }
   if (aConnected) {
-    mContext.mCrashes.StillThere(aInstance);
+    mContext.mCrashes.OnUpstreamAlive(aInstance);
     return;
   }
   if (!refused && LateSince(look.mAt)) {
--- a/daemons/relay/sync_link.cpp
+++ b/daemons/relay/sync_link.cpp
@@ -83,8 +83,8 @@
   if (now - mForgotAt >= kForgetPeriod) {
     mForgotAt = now;
     mContext.mRegistry.ForgetEnded(now);
-    mContext.mCrashes.Forget(now);
-    mContext.mLimits.Keep([this](const std::string& aInstance) {
+    mContext.mCrashes.RemoveExpired(now);
+    mContext.mLimits.RetainKnown([this](const std::string& aInstance) {
       return mContext.mRegistry.Find(aInstance) != nullptr;
     });
   }
@@ -112,22 +112,22 @@
 std::int64_t SyncLink::AddCrashes(const Source& aSource,
                                   SyncQuestion& aQuestion) {
   aQuestion.mKnowsCrashes = aSource.mCrashRevision;
-  const CrashLedger::Changes changes = mContext.mCrashes.Ledger().Since(
+  const CrashLedger::Changes changes = mContext.mCrashes.Ledger().ChangesSince(
       aSource.mCrashesTold, false, kMostCrashes, SteadyNow());
   aQuestion.mCrashes = WriteRows(changes.mRecords);
-  return changes.mUpTo;
+  return changes.mUpToRevision;
 }
 
 void SyncLink::TakeCrashes(Source& aSource, const SyncAnswer& aAnswer) {
   aSource.mCrashRevision = aAnswer.mCrashRevision;
   for (const CrashRecord& record :
        ReadCrashes(aAnswer.mCrashes, mContext.mBadWords.At("crashes"))) {
-    const bool was = mContext.mCrashes.IsBarred(record.mContent);
-    mContext.mCrashes.Take(record, SteadyNow());
-    const bool is = mContext.mCrashes.IsBarred(record.mContent);
+    const bool was = mContext.mCrashes.IsBarred(record.mRequestDigest);
+    mContext.mCrashes.ApplyPeerRecord(record, SteadyNow());
+    const bool is = mContext.mCrashes.IsBarred(record.mRequestDigest);
     if (was != is) {
       LogLine(LogLevel::kWarning, is ? "request_barred" : "request_not_barred")
-          .Add("content", record.mContent)
+          .Add("content", record.mRequestDigest)
           .Add("by", aAnswer.mSelf.mId)
           .Add("crashes", static_cast<int>(record.mCrashes.size()));
     }
--- a/daemons/router/peer_link.cpp
+++ b/daemons/router/peer_link.cpp
@@ -128,7 +128,7 @@
   }
   const EntryVm* peer = mContext.mEntryVms.Current().Find(aState.mFrom);
   if (peer != nullptr && peer->mRole == EntryRole::kRouter) {
-    mContext.mShares.Heard(aState.mFrom, aState.mDemands);
+    mContext.mShares.UpdateFromPeer(aState.mFrom, aState.mDemands);
   }
   mGreatestVersion = std::max(mGreatestVersion, aState.mVersion);
   if (aState.mVersion > mContext.Accepted().mVersion) {
@@ -241,7 +241,7 @@
                          vm.mId != mContext.mOptions.mId &&
                          !mMembers.IsUsable(vm.mId);
     if (crashed) {
-      mContext.mShares.Forget(vm.mId);
+      mContext.mShares.RemovePeer(vm.mId);
       routers--;
     }
   }
--- a/daemons/router/router_context.cpp
+++ b/daemons/router/router_context.cpp
@@ -65,7 +65,7 @@
 
 void RouterContext::ShareLimits(std::size_t aRouters) {
   mSharingRouters = aRouters;
-  mShares.SetOwn(mLimiter.Demands(SteadyNow()));
+  mShares.SetLocal(mLimiter.Demands(SteadyNow()));
   for (const WorkspaceSpec& workspace : Accepted().mIntent.mWorkspaces) {
     const double share = mShares.Share(workspace.mName, aRouters);
     mLimiter.SetLimits(
@@ -81,7 +81,7 @@
     std::function<void(const AdmissionOutcome&)> aDone) {
   aRequest.mTicket = mNextTicket++;
   mWaiting[aRequest.mTicket] = std::move(aDone);
-  Announce(mLimiter.Ask(aRequest, SteadyNow()));
+  Announce(mLimiter.Submit(aRequest, SteadyNow()));
   return aRequest.mTicket;
 }
 
--- a/drivers/memory_hold.cpp
+++ b/drivers/memory_hold.cpp
@@ -4,27 +4,27 @@
 
 namespace spindleweir {
 
-MemoryHold::MemoryHold(std::shared_ptr<MemoryAccount> aAccount)
+MemoryHold::MemoryHold(std::shared_ptr<MemoryBudget> aAccount)
     : mAccount(std::move(aAccount)), mNumber(mAccount->Open(SteadyNow())) {}
 
 MemoryHold::~MemoryHold() {
   mAccount->Close(mNumber);
 }
 
-void MemoryHold::Set(HeldKind aKind, std::size_t aBytes) {
-  mAccount->Set(mNumber, aKind, aBytes);
+void MemoryHold::Set(BufferKind aKind, std::size_t aBytes) {
+  mAccount->SetHeld(mNumber, aKind, aBytes);
 }
 
-void MemoryHold::SetClaim(MemoryClaim aClaim) {
-  mAccount->SetClaim(mNumber, aClaim, SteadyNow());
+void MemoryHold::SetClaim(EvictionClass aClaim) {
+  mAccount->SetEvictionClass(mNumber, aClaim, SteadyNow());
 }
 
 void MemoryHold::Moved(std::size_t aBytes) {
-  mAccount->Moved(mNumber, aBytes, SteadyNow());
+  mAccount->RecordProgress(mNumber, aBytes, SteadyNow());
 }
 
 bool MemoryHold::MayReadOn() {
-  return mAccount->MayReadOn(mNumber, SteadyNow());
+  return mAccount->MayReadMore(mNumber, SteadyNow());
 }
 
 bool MemoryHold::MayCollect() const {
--- a/drivers/stream_client.cpp
+++ b/drivers/stream_client.cpp
@@ -54,7 +54,7 @@
       return;
     }
     if (bounded) {
-      Account(HeldKind::kUnsent, mOptions.mBody.size());
+      Account(BufferKind::kUnsent, mOptions.mBody.size());
       evbuffer_add_cb(bufferevent_get_output(mBuffer), &BufferCall::HandleTaken,
                       this);
     }
@@ -96,7 +96,7 @@
  private:
   static void HandleTaken(evbuffer* aBuffer, const evbuffer_cb_info*,
                           void* aSelf) {
-    static_cast<BufferCall*>(aSelf)->Account(HeldKind::kUnsent,
+    static_cast<BufferCall*>(aSelf)->Account(BufferKind::kUnsent,
                                              evbuffer_get_length(aBuffer));
   }
 
@@ -105,7 +105,7 @@
     const std::size_t window =
         mOptions.mMemory == nullptr
             ? 0
-            : mOptions.mMemory->Account().Options().mWindow;
+            : mOptions.mMemory->Account().Options().mSocketBuffer;
     if (window == 0) {
       return true;
     }
@@ -118,7 +118,7 @@
     return bufferevent_setfd(mBuffer, fd) == 0;
   }
 
-  void Account(HeldKind aKind, std::size_t aBytes) {
+  void Account(BufferKind aKind, std::size_t aBytes) {
     if (mOptions.mMemory != nullptr) {
       mOptions.mMemory->Set(aKind, aBytes);
     }
@@ -136,8 +136,8 @@
     }
     // Beside what was read, the window fills while nothing is.
     const std::size_t window =
-        mPaused ? mOptions.mMemory->Account().Options().mWindow : 0;
-    Account(HeldKind::kArrived,
+        mPaused ? mOptions.mMemory->Account().Options().mSocketBuffer : 0;
+    Account(BufferKind::kArrived,
             evbuffer_get_length(bufferevent_get_input(mBuffer)) + window);
   }
 
@@ -248,8 +248,8 @@
     if (mBuffer != nullptr) {
       bufferevent_free(mBuffer);
       mBuffer = nullptr;
-      Account(HeldKind::kUnsent, 0);
-      Account(HeldKind::kArrived, 0);
+      Account(BufferKind::kUnsent, 0);
+      Account(BufferKind::kArrived, 0);
       CountCall(-1);
     }
   }
--- a/drivers/stream_connection.cpp
+++ b/drivers/stream_connection.cpp
@@ -52,7 +52,7 @@
 }
 
 void StreamConnection::BeginAccount() {
-  const std::shared_ptr<MemoryAccount>& account = mServer.mOptions.mMemory;
+  const std::shared_ptr<MemoryBudget>& account = mServer.mOptions.mMemory;
   if (account == nullptr) {
     return;
   }
@@ -66,7 +66,7 @@
   }
   bufferevent_setwatermark(
       mBuffer, EV_READ, 0,
-      std::min(kReadAheadBytes, account->Options().mLeast));
+      std::min(kReadAheadBytes, account->Options().mMinPerRequest));
   evbuffer_add_cb(bufferevent_get_input(mBuffer),
                   &StreamConnection::HandleArrived, this);
 }
@@ -74,7 +74,7 @@
 void StreamConnection::HandleTaken(evbuffer* aBuffer,
                                    const evbuffer_cb_info* aInfo, void* aSelf) {
   auto* self = static_cast<StreamConnection*>(aSelf);
-  self->mMemory->Set(HeldKind::kUnread, evbuffer_get_length(aBuffer));
+  self->mMemory->Set(BufferKind::kUnread, evbuffer_get_length(aBuffer));
   if (aInfo->n_deleted > 0) {
     self->mMemory->Moved(aInfo->n_deleted);
   }
@@ -94,14 +94,14 @@
     return;
   }
   const std::size_t head = mReader == nullptr ? 0 : mReader->HeadBytes();
-  mMemory->Set(HeldKind::kReading,
+  mMemory->Set(BufferKind::kReading,
                evbuffer_get_length(bufferevent_get_input(mBuffer)) + head +
                    mBody.size());
 }
 
 bool StreamConnection::MayBringMore() {
   if (mMemory == nullptr) {
-    return PendingBytes() <= MemoryAccountOptions().mMostUnread;
+    return PendingBytes() <= MemoryBudgetOptions().mMaxUnread;
   }
   const bool may = mMemory->MayReadOn();
   if (!may && mMemory->Account().Bounded()) {
@@ -160,11 +160,11 @@
   if (mMemory == nullptr) {
     return true;
   }
-  if (!mMemory->Account().HasRoomFor(mMemory->Number(), 0)) {
+  if (!mMemory->Account().CanAdmit(mMemory->Number(), 0)) {
     Refuse(ResultCode::kMemoryFull);
     return false;
   }
-  mMemory->SetClaim(MemoryClaim::kReading);
+  mMemory->SetClaim(EvictionClass::kReading);
   return true;
 }
 
@@ -198,7 +198,7 @@
     return;
   }
   if (self->mMemory != nullptr && self->mExchange == nullptr && !self->mBegun) {
-    self->mMemory->SetClaim(MemoryClaim::kNone);
+    self->mMemory->SetClaim(EvictionClass::kIdle);
   }
   if (self->mCloseAfter) {
     self->Linger();
@@ -340,12 +340,13 @@
   if (mMemory == nullptr) {
     return true;
   }
-  MemoryAccount& account = mMemory->Account();
-  if (!account.HasRoomForCall() || !account.HasRoomFor(mMemory->Number(), 0)) {
+  MemoryBudget& account = mMemory->Account();
+  if (!account.HasDescriptorForCall() ||
+      !account.CanAdmit(mMemory->Number(), 0)) {
     return false;
   }
-  mMemory->SetClaim(MemoryClaim::kNotRun);
-  if (account.Busy()) {
+  mMemory->SetClaim(EvictionClass::kNotSent);
+  if (account.NeedsTicks()) {
     mServer.WatchMemory();
   }
   return true;
@@ -361,7 +362,7 @@
   const std::shared_ptr<StreamExchange> exchange = mExchange;
   AccountReading();
   if (mMemory != nullptr) {
-    mMemory->Set(HeldKind::kBody, exchange->Body().size());
+    mMemory->Set(BufferKind::kBody, exchange->Body().size());
   }
   const bool plain =
       exchange->Head().mTarget.starts_with('/') &&
@@ -448,12 +449,12 @@
   if (mMemory == nullptr) {
     return;
   }
-  mMemory->Set(HeldKind::kBody, 0);
-  mMemory->Set(HeldKind::kPartial, 0);
+  mMemory->Set(BufferKind::kBody, 0);
+  mMemory->Set(BufferKind::kPartial, 0);
   AccountReading();
   // What is not read yet keeps the claim of its call.
   if (PendingBytes() == 0) {
-    mMemory->SetClaim(MemoryClaim::kNone);
+    mMemory->SetClaim(EvictionClass::kIdle);
   }
 }
 
--- a/drivers/stream_server.cpp
+++ b/drivers/stream_server.cpp
@@ -173,10 +173,10 @@
     throw Error(ResultCode::kCannotListen,
                 "cannot listen on " + mOptions.mListen.Text());
   }
-  if (mOptions.mMemory != nullptr && mOptions.mMemory->Options().mWindow > 0) {
+  if (mOptions.mMemory != nullptr && mOptions.mMemory->Options().mSocketBuffer > 0) {
     // Accepted connections have it from their start.
     SetWindow(evconnlistener_get_fd(mListener),
-              mOptions.mMemory->Options().mWindow);
+              mOptions.mMemory->Options().mSocketBuffer);
   }
   socklen_t n = sizeof(address);
   if (getsockname(evconnlistener_get_fd(mListener),
@@ -211,7 +211,7 @@
 
 void StreamServer::WatchMemory() {
   if (mMemoryTimer == nullptr) {
-    mMemoryTimer = mLoop.Every(MemoryAccount::kTick, [this] { CheckMemory(); });
+    mMemoryTimer = mLoop.Every(MemoryBudget::kTickInterval, [this] { CheckMemory(); });
   }
 }
 
@@ -221,28 +221,28 @@
 }
 
 void StreamServer::CheckMemory() {
-  MemoryAccount& account = *mOptions.mMemory;
-  const MemoryOrders orders = account.Tick(SteadyNow());
+  MemoryBudget& account = *mOptions.mMemory;
+  const MemoryActions orders = account.Tick(SteadyNow());
   std::size_t callers = 0;
   std::size_t bytes = 0;
-  for (std::uint64_t holder : orders.mCut) {
+  for (std::uint64_t holder : orders.mEvict) {
     StreamConnection* connection = HolderOf(holder);
     if (connection != nullptr) {
       callers++;
-      bytes += account.HeldFor(holder);
+      bytes += account.BytesHeldFor(holder);
       connection->Cut();
     }
   }
   if (callers > 0 && mOptions.mOnCut) {
     mOptions.mOnCut(callers, bytes);
   }
-  for (std::uint64_t holder : orders.mReadOn) {
+  for (std::uint64_t holder : orders.mResume) {
     StreamConnection* connection = HolderOf(holder);
     if (connection != nullptr) {
       connection->ContinueReading();
     }
   }
-  if (!account.Busy()) {
+  if (!account.NeedsTicks()) {
     // Not from within its own call.
     mLoop.Post([timer = std::shared_ptr<Timer>(std::move(mMemoryTimer))] {});
   }
--- a/include/spindleweir/drivers/memory_hold.h
+++ b/include/spindleweir/drivers/memory_hold.h
@@ -5,29 +5,29 @@
 #include <cstdint>
 #include <memory>
 
-#include "spindleweir/servers/limits/memory_account.h"
+#include "spindleweir/servers/limits/memory_budget.h"
 
 namespace spindleweir {
 
-/// One holder of a MemoryAccount.
+/// One holder of a MemoryBudget.
 class MemoryHold {
  public:
-  explicit MemoryHold(std::shared_ptr<MemoryAccount> aAccount);
+  explicit MemoryHold(std::shared_ptr<MemoryBudget> aAccount);
   ~MemoryHold();
   MemoryHold(const MemoryHold&) = delete;
   MemoryHold& operator=(const MemoryHold&) = delete;
 
   std::uint64_t Number() const { return mNumber; }
-  MemoryAccount& Account() { return *mAccount; }
+  MemoryBudget& Account() { return *mAccount; }
 
-  void Set(HeldKind aKind, std::size_t aBytes);
-  void SetClaim(MemoryClaim aClaim);
+  void Set(BufferKind aKind, std::size_t aBytes);
+  void SetClaim(EvictionClass aClaim);
   void Moved(std::size_t aBytes);
   bool MayReadOn();
   bool MayCollect() const;
 
  private:
-  std::shared_ptr<MemoryAccount> mAccount;
+  std::shared_ptr<MemoryBudget> mAccount;
   std::uint64_t mNumber;
 };
 
--- a/include/spindleweir/drivers/stream_server.h
+++ b/include/spindleweir/drivers/stream_server.h
@@ -99,7 +99,7 @@
   /// Answers a request that cannot be read, before the connection closes.
   std::function<void(StreamExchange&, ResultCode)> mRefuse;
   /// Of what is held for callers; nullptr: none.
-  std::shared_ptr<MemoryAccount> mMemory;
+  std::shared_ptr<MemoryBudget> mMemory;
   /// Callers that were ended for their memory in one look, and their bytes.
   std::function<void(std::size_t aCallers, std::size_t aBytes)> mOnCut;
 };
--- a/include/spindleweir/servers/limits/rest_periods.h
+++ b/include/spindleweir/servers/limits/backoff_periods.h
@@ -12,15 +12,15 @@
 
 /// Those that one router was asked for. They are kept whatever else there is.
 /// Decisions only: the time comes with each call.
-class RestPeriods {
+class BackoffPeriods {
  public:
   /// An upstream asked for so much; an earlier rest that lasts longer holds.
-  void Ask(const std::string& aInstance, Millis aRest, Millis aNow);
+  void Extend(const std::string& aInstance, Millis aDuration, Millis aNow);
   /// Another incarnation has asked for nothing.
   void Forget(const std::string& aInstance) { mUntil.erase(aInstance); }
-  bool Holds(const std::string& aInstance, Millis aNow) const;
+  bool IsActive(const std::string& aInstance, Millis aNow) const;
   /// The upstreams that nothing may be sent to at present.
-  std::set<std::string> Held(Millis aNow);
+  std::set<std::string> HeldUpstreams(Millis aNow);
 
  private:
   std::map<std::string, Millis> mUntil;  ///< By instance.
--- a/include/spindleweir/servers/limits/crash_ledger.h
+++ b/include/spindleweir/servers/limits/crash_ledger.h
@@ -16,7 +16,7 @@
 namespace spindleweir {
 
 /// A crash under which one request was lost.
-struct CrashSeen {
+struct ObservedCrash {
   std::string mIncarnation;  ///< Of the upstream: see IncarnationName.
   Millis mAgo = 0;           ///< Milliseconds since it was seen.
   /// The request completed later: it was not the cause. Never taken back.
@@ -33,12 +33,12 @@
 /// What is known of one request, as processes tell it to one another. It only
 /// grows, so that word may come late, twice and in any order.
 struct CrashRecord {
-  std::string mContent;  ///< See RequestContent.
-  std::vector<CrashSeen> mCrashes;
+  std::string mRequestDigest;  ///< See RequestDigest.
+  std::vector<ObservedCrash> mCrashes;
 
   template <class Codec>
   void Fields(Codec& aCodec) {
-    aCodec.Required("content", mContent);
+    aCodec.Required("content", mRequestDigest);
     aCodec.Required("crashes", mCrashes);
   }
 };
@@ -61,9 +61,9 @@
   std::size_t mCrashesToBar = 3;
   /// A request that comes back does so within its caller's patience; one that
   /// a person sends again, within minutes.
-  Millis mSuspectFor = 10 * 60 * 1000;
-  Millis mBarFor = 60 * 60 * 1000;
-  std::size_t mMost = 4096;  ///< Requests; each takes some 0.5 KB.
+  Millis mSuspectRetention = 10 * 60 * 1000;
+  Millis mBarredRetention = 60 * 60 * 1000;
+  std::size_t mMaxRequests = 4096;  ///< Requests; each takes some 0.5 KB.
 };
 
 /// The records of one process, its own and others'.
@@ -74,31 +74,31 @@
   /// Takes what another process, or a disk, knows. Returns whether it was new.
   bool Merge(const CrashRecord& aRecord, Millis aNow);
   /// A request was under way at an incarnation that crashed.
-  void Crashed(const std::string& aContent, const std::string& aIncarnation,
-               Millis aNow);
+  void RecordCrash(const std::string& aDigest, const std::string& aIncarnation,
+                   Millis aNow);
   /// A request completed: it caused none of the crashes seen before. Those of
   /// later count, whatever it did earlier: a new version may crash under it.
-  void Excuse(const std::string& aContent, Millis aCompletedAt, Millis aNow);
-  bool IsBarred(const std::string& aContent) const;
-  bool BarsAny() const { return mBarred > 0; }
-  std::size_t Barred() const { return mBarred; }
+  void Excuse(const std::string& aDigest, Millis aCompletedAt, Millis aNow);
+  bool IsBarred(const std::string& aDigest) const;
+  bool HasBarredRequests() const { return mBarred > 0; }
+  std::size_t BarredRequests() const { return mBarred; }
   /// Crashes of a request that it did not survive.
-  std::size_t CrashesOf(const std::string& aContent) const;
+  std::size_t UnexcusedCrashes(const std::string& aDigest) const;
 
   /// Rises with each change.
   std::int64_t Revision() const { return mRevision; }
   /// Rises with each change of what bars, or barred, a request.
-  std::int64_t VerdictRevision() const { return mVerdictRevision; }
+  std::int64_t BarredRevision() const { return mBarredRevision; }
   /// Records that changed after a revision, the oldest change first.
   struct Changes {
     std::vector<CrashRecord> mRecords;
-    std::int64_t mUpTo = 0;  ///< The revision that is known with them.
+    std::int64_t mUpToRevision = 0;  ///< The revision that is known with them.
   };
-  /// aVerdictsOnly: without requests that were never barred.
-  Changes Since(std::int64_t aRevision, bool aVerdictsOnly, std::size_t aMost,
-                Millis aNow) const;
+  /// aBarredOnly: without requests that were never barred.
+  Changes ChangesSince(std::int64_t aRevision, bool aBarredOnly,
+                       std::size_t aMaxRecords, Millis aNow) const;
   /// Drops what has grown old.
-  void Forget(Millis aNow);
+  void RemoveExpired(Millis aNow);
 
  private:
   struct Crash {
@@ -112,26 +112,27 @@
     std::int64_t mRevision = 0;
   };
 
-  static std::size_t Unexcused(const Entry& aEntry);
+  static std::size_t CountUnexcused(const Entry& aEntry);
   /// Takes one crash; false: nothing new.
-  static bool MergeCrash(Entry& aEntry, const CrashSeen& aCrash, Millis aNow);
+  static bool MergeCrash(Entry& aEntry, const ObservedCrash& aCrash,
+                         Millis aNow);
   bool Bars(const Entry& aEntry) const {
-    return Unexcused(aEntry) >= mOptions.mCrashesToBar;
+    return CountUnexcused(aEntry) >= mOptions.mCrashesToBar;
   }
   /// Whether it bars, or once did.
-  bool IsVerdict(const Entry& aEntry) const {
+  bool WasEverBarred(const Entry& aEntry) const {
     return aEntry.mCrashes.size() >= mOptions.mCrashesToBar;
   }
-  void Note(const std::string& aContent, Entry& aEntry, Millis aNow);
+  void MarkChanged(const std::string& aDigest, Entry& aEntry, Millis aNow);
   /// Makes room for one more; false: all that are kept bar a request.
   bool MakeRoom();
   void Erase(std::map<std::string, Entry>::iterator aIt);
 
   CrashLedgerOptions mOptions;
-  std::map<std::string, Entry> mEntries;            ///< By content.
+  std::map<std::string, Entry> mEntries;            ///< By digest.
   std::map<std::int64_t, std::string> mByRevision;  ///< Contents.
   std::int64_t mRevision = 0;
-  std::int64_t mVerdictRevision = 0;
+  std::int64_t mBarredRevision = 0;
   std::size_t mBarred = 0;
 };
 
--- a/include/spindleweir/servers/limits/request_content.h
+++ b/include/spindleweir/servers/limits/request_digest.h
@@ -17,6 +17,6 @@
 
 /// A digest of the parts, as hexadecimal digits. Of SHA-256, since callers
 /// choose what goes in: nobody can make a request that counts as another's.
-std::string RequestContent(const RequestParts& aParts);
+std::string RequestDigest(const RequestParts& aParts);
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/limits/first_deadline.h
+++ b/include/spindleweir/servers/limits/retry_detector.h
@@ -7,7 +7,7 @@
 namespace spindleweir {
 
 /// Of the requests of one route at one router.
-class FirstDeadline {
+class RetryDetector {
  public:
   /// Counts a request whose caller has so much time; 0: it did not say.
   void Record(Millis aDeadline);
@@ -15,7 +15,7 @@
   bool IsLikelyRetry(Millis aDeadline) const;
 
  private:
-  double mUsual = 0;  ///< What callers have at their first try.
+  double mTypicalDeadline = 0;  ///< What callers have at their first try.
 };
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/limits/router_count.h
+++ b/include/spindleweir/servers/limits/router_count.h
@@ -11,7 +11,7 @@
   /// A smaller number holds once no greater one was told for so long. As long
   /// as the window of retries: who ended may have spent its share of that.
   /// Controls that have just started know a part only, for a shorter time.
-  Millis mKept = 10000;
+  Millis mRetention = 10000;
 };
 
 /// The count of one router. It comes down as well as up: after a start routers
@@ -23,20 +23,20 @@
   explicit RouterCount(RouterCountOptions aOptions) : mOptions(aOptions) {}
 
   /// A control told how many there are, by what it knows.
-  void Take(int aRouters, Millis aNow);
-  /// The greatest number that was told within mKept before the newest; 1 before
-  /// any. While no control tells, it stays.
-  int Value() const { return mTold.empty() ? 1 : mTold.front().mRouters; }
+  void OnReport(int aRouters, Millis aNow);
+  /// The greatest number that was told within mRetention before the newest; 1
+  /// before any. While no control tells, it stays.
+  int Value() const { return mReports.empty() ? 1 : mReports.front().mRouters; }
 
  private:
-  struct Told {
+  struct Report {
     int mRouters = 1;
     Millis mAt = 0;
   };
 
   RouterCountOptions mOptions;
   /// In order of time, each smaller than the one before.
-  std::deque<Told> mTold;
+  std::deque<Report> mReports;
 };
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/limits/share_divider.h
+++ b/include/spindleweir/servers/limits/share_divider.h
@@ -27,18 +27,19 @@
 /// One router's view of the demand at all routers.
 class ShareDivider {
  public:
-  /// aEvenPart: the part of each limit that is divided evenly whatever the
+  /// aEvenFraction: the part of each limit that is divided evenly whatever the
   /// demand, so that a router that is asked for the first time can admit.
-  explicit ShareDivider(double aEvenPart = 0.2) : mEvenPart(aEvenPart) {}
+  explicit ShareDivider(double aEvenFraction = 0.2)
+      : mEvenFraction(aEvenFraction) {}
 
-  /// Replaces this router's own demand.
-  void SetOwn(std::span<const WorkspaceDemand> aDemands);
+  /// Replaces this router's local demand.
+  void SetLocal(std::span<const WorkspaceDemand> aDemands);
   /// Replaces what is known of a peer. A peer that is not heard any more
   /// keeps its last demand: when cut off, everyone keeps its last share.
-  void Heard(const std::string& aPeer,
-             std::span<const WorkspaceDemand> aDemands);
+  void UpdateFromPeer(const std::string& aPeer,
+                      std::span<const WorkspaceDemand> aDemands);
   /// The peer is gone for good; the others may take its share.
-  void Forget(const std::string& aPeer);
+  void RemovePeer(const std::string& aPeer);
 
   /// This router's share of the workspace's limits, from 0 to 1.
   double Share(const std::string& aWorkspace, std::size_t aRouters) const;
@@ -46,8 +47,8 @@
  private:
   using Demands = std::map<std::string, double>;
 
-  double mEvenPart;
-  Demands mOwn;
+  double mEvenFraction;
+  Demands mLocal;
   std::map<std::string, Demands> mPeers;
 };
 
--- a/include/spindleweir/servers/limits/usual_time.h
+++ b/include/spindleweir/servers/limits/typical_time.h
@@ -5,18 +5,18 @@
 
 namespace spindleweir {
 
-struct UsualTimeOptions {
+struct TypicalTimeOptions {
   /// What was measured holds for this long after the last answer. The time is
   /// learnt from answers alone, and decides whether more are asked for: held
   /// for ever, one bad second would keep a router from learning of a better.
-  Millis mKept = 5000;
+  Millis mRetention = 5000;
 };
 
 /// The time of one service at one router. Decisions only: the time comes with
 /// each call.
-class UsualTime {
+class TypicalTime {
  public:
-  explicit UsualTime(UsualTimeOptions aOptions) : mOptions(aOptions) {}
+  explicit TypicalTime(TypicalTimeOptions aOptions) : mOptions(aOptions) {}
 
   /// A request was answered after aTook.
   void Record(Millis aTook, Millis aNow);
@@ -26,7 +26,7 @@
  private:
   bool IsKnown(Millis aNow) const;
 
-  UsualTimeOptions mOptions;
+  TypicalTimeOptions mOptions;
   double mMean = 0;
   Millis mRecordedAt = -1;  ///< -1: never.
 };
--- a/include/spindleweir/servers/limits/start_admission.h
+++ b/include/spindleweir/servers/limits/warm_up_admission.h
@@ -18,27 +18,27 @@
                        const std::vector<const UpstreamRecord*>& aEngines);
 
 /// A request that waits.
-struct StartRequest {
+struct WarmUpRequest {
   Millis mReceivedAt = 0;
-  Millis mTarget = 0;    ///< From then to the first event; 0: any time.
-  Millis mPatience = 0;  ///< From then until its caller leaves without one.
-  int mPriority = 0;     ///< 0 is the most urgent.
-  double mTokens = 0;    ///< To be read before the first event.
+  Millis mTarget = 0;        ///< From then to the first event; 0: any time.
+  Millis mWaitLimit = 0;     ///< From then until its caller leaves without one.
+  int mPriority = 0;         ///< 0 is the most urgent.
+  double mPromptTokens = 0;  ///< To be read before the first event.
 };
 
-enum class StartVerdict {
-  kGo,
+enum class WarmUpVerdict {
+  kAdmit,
   kWait,
   kRefuse,  ///< Its caller would leave before its turn.
 };
 
 /// What becomes of a request that asked.
-struct StartDecision {
-  StartVerdict mVerdict = StartVerdict::kGo;
-  Millis mAfter = 0;  ///< Until its turn, by what waits and reads now.
-  double mAhead = 0;  ///< Tokens that go before it.
-  double mShare = 0;  ///< Tokens a millisecond that are this router's.
-  int mWaiting = 0;   ///< Requests that wait, with it.
+struct WarmUpDecision {
+  WarmUpVerdict mVerdict = WarmUpVerdict::kAdmit;
+  Millis mAfter = 0;        ///< Until its turn, by what waits and reads now.
+  double mTokensAhead = 0;  ///< Tokens that go before it.
+  double mShare = 0;        ///< Tokens a millisecond that are this router's.
+  int mWaiting = 0;         ///< Requests that wait, with it.
 };
 
 /// The queue of one router for one service. While no router knows what the
@@ -46,24 +46,24 @@
 /// let in is read one after the other at that pace. A request whose target can
 /// still be met goes before one that is late already, the least time left
 /// first.
-class StartAdmission {
+class WarmUpAdmission {
  public:
   /// What this router may have read, in tokens a millisecond; 0: not known,
   /// then nothing is held back.
   void SetShare(double aTokensPerMilli) { mShare = aTokensPerMilli; }
   /// aRequest: the same name each time it asks.
-  StartDecision Ask(const void* aRequest, const StartRequest& aFacts,
-                    Millis aNow);
+  WarmUpDecision TryAdmit(const void* aRequest, const WarmUpRequest& aFacts,
+                          Millis aNow);
   /// It asks no more.
-  void Leave(const void* aRequest) { mWaiting.erase(aRequest); }
+  void Withdraw(const void* aRequest) { mWaiting.erase(aRequest); }
 
  private:
-  bool GoesBefore(const StartRequest& aLeft, const StartRequest& aRight,
+  bool GoesBefore(const WarmUpRequest& aLeft, const WarmUpRequest& aRight,
                   Millis aNow) const;
-  bool MeetsTarget(const StartRequest& aRequest, Millis aNow) const;
+  bool MeetsTarget(const WarmUpRequest& aRequest, Millis aNow) const;
 
   double mShare = 0;
-  std::map<const void*, StartRequest> mWaiting;
+  std::map<const void*, WarmUpRequest> mWaiting;
   double mReadUntil = 0;  ///< When what was let in is read.
 };
 
--- a/include/spindleweir/servers/limits/workspace_limiter.h
+++ b/include/spindleweir/servers/limits/workspace_limiter.h
@@ -57,8 +57,8 @@
 
   /// Asks for a place. Returns the outcome where it is known at once, else
   /// nothing: it comes from a later Release() or Tick().
-  std::vector<AdmissionOutcome> Ask(const AdmissionRequest& aRequest,
-                                    Millis aNow);
+  std::vector<AdmissionOutcome> Submit(const AdmissionRequest& aRequest,
+                                       Millis aNow);
   /// Gives back the place of an admitted request; returns who goes in.
   std::vector<AdmissionOutcome> Release(const std::string& aWorkspace,
                                         Millis aNow);
@@ -75,7 +75,7 @@
   std::size_t Queued() const { return mQueued; }
 
  private:
-  struct Waiting {
+  struct QueuedRequest {
     AdmissionRequest mRequest;
     Millis mSince;
   };
@@ -85,7 +85,7 @@
     double mTokens = 0;  ///< Of the rate's bucket.
     Millis mFilledAt = -1;
     double mVirtualTime = 0;  ///< Work done, by weight.
-    std::deque<Waiting> mQueue;
+    std::deque<QueuedRequest> mQueue;
     std::deque<Millis> mRefusals;  ///< Of the last second, bounded.
   };
 
@@ -95,7 +95,7 @@
   void Enqueue(Workspace& aWorkspace, const AdmissionRequest& aRequest,
                Millis aNow);
   void AdmitWaiting(Millis aNow, std::vector<AdmissionOutcome>& aOut);
-  bool TooLate(const AdmissionRequest& aRequest, Millis aNow) const;
+  bool MissesDeadline(const AdmissionRequest& aRequest, Millis aNow) const;
   Millis ExpectedWait(const Workspace& aWorkspace) const;
   Millis RetryAfter(const Workspace& aWorkspace) const;
 
--- a/servers/limits/rest_periods.cpp
+++ b/servers/limits/backoff_periods.cpp
@@ -1,20 +1,21 @@
-#include "spindleweir/servers/limits/rest_periods.h"
+#include "spindleweir/servers/limits/backoff_periods.h"
 
 #include <algorithm>
 
 namespace spindleweir {
 
-void RestPeriods::Ask(const std::string& aInstance, Millis aRest, Millis aNow) {
+void BackoffPeriods::Extend(const std::string& aInstance, Millis aDuration,
+                            Millis aNow) {
   Millis& until = mUntil[aInstance];
-  until = std::max(until, aNow + aRest);
+  until = std::max(until, aNow + aDuration);
 }
 
-bool RestPeriods::Holds(const std::string& aInstance, Millis aNow) const {
+bool BackoffPeriods::IsActive(const std::string& aInstance, Millis aNow) const {
   const auto it = mUntil.find(aInstance);
   return it != mUntil.end() && aNow < it->second;
 }
 
-std::set<std::string> RestPeriods::Held(Millis aNow) {
+std::set<std::string> BackoffPeriods::HeldUpstreams(Millis aNow) {
   std::erase_if(mUntil,
                 [aNow](const auto& aItem) { return aItem.second <= aNow; });
   std::set<std::string> held;
--- a/servers/limits/crash_ledger.cpp
+++ b/servers/limits/crash_ledger.cpp
@@ -11,12 +11,12 @@
 
 /// Beyond the number that bars, more crashes tell nothing; a request that
 /// completes again and again is kept from being barred by them.
-constexpr std::size_t kMostCrashes = 16;
-constexpr std::size_t kLongestContent = 64;
-constexpr std::size_t kLongestIncarnation = 300;
+constexpr std::size_t kMaxCrashes = 16;
+constexpr std::size_t kMaxDigestLength = 64;
+constexpr std::size_t kMaxIncarnationLength = 300;
 
-bool Usable(const std::string& aName, std::size_t aLongest) {
-  return !aName.empty() && aName.size() <= aLongest;
+bool IsValidName(const std::string& aName, std::size_t aMaxLength) {
+  return !aName.empty() && aName.size() <= aMaxLength;
 }
 
 }  // namespace
@@ -27,10 +27,10 @@
 
 void RequireUsable(const CrashRecord& aRecord) {
   const std::size_t n = aRecord.mCrashes.size();
-  bool usable =
-      Usable(aRecord.mContent, kLongestContent) && n > 0 && n <= kMostCrashes;
-  for (const CrashSeen& crash : aRecord.mCrashes) {
-    usable = usable && Usable(crash.mIncarnation, kLongestIncarnation);
+  bool usable = IsValidName(aRecord.mRequestDigest, kMaxDigestLength) &&
+                n > 0 && n <= kMaxCrashes;
+  for (const ObservedCrash& crash : aRecord.mCrashes) {
+    usable = usable && IsValidName(crash.mIncarnation, kMaxIncarnationLength);
     RequireAge(crash.mAgo);
   }
   if (!usable) {
@@ -54,17 +54,17 @@
   return records;
 }
 
-std::size_t CrashLedger::Unexcused(const Entry& aEntry) {
+std::size_t CrashLedger::CountUnexcused(const Entry& aEntry) {
   return static_cast<std::size_t>(
       std::count_if(aEntry.mCrashes.begin(), aEntry.mCrashes.end(),
                     [](const auto& aItem) { return !aItem.second.mExcused; }));
 }
 
-bool CrashLedger::MergeCrash(Entry& aEntry, const CrashSeen& aCrash,
+bool CrashLedger::MergeCrash(Entry& aEntry, const ObservedCrash& aCrash,
                              Millis aNow) {
   const auto it = aEntry.mCrashes.find(aCrash.mIncarnation);
   if (it == aEntry.mCrashes.end()) {
-    if (aEntry.mCrashes.size() >= kMostCrashes) {
+    if (aEntry.mCrashes.size() >= kMaxCrashes) {
       return false;
     }
     aEntry.mCrashes[aCrash.mIncarnation] = {.mAt = aNow - aCrash.mAgo,
@@ -79,14 +79,14 @@
 }
 
 bool CrashLedger::Merge(const CrashRecord& aRecord, Millis aNow) {
-  const bool known = mEntries.contains(aRecord.mContent);
+  const bool known = mEntries.contains(aRecord.mRequestDigest);
   if (aRecord.mCrashes.empty() || (!known && !MakeRoom())) {
     return false;
   }
-  Entry& entry = mEntries[aRecord.mContent];
+  Entry& entry = mEntries[aRecord.mRequestDigest];
   const bool wasBarred = Bars(entry);
   bool changed = false;
-  for (const CrashSeen& crash : aRecord.mCrashes) {
+  for (const ObservedCrash& crash : aRecord.mCrashes) {
     changed = MergeCrash(entry, crash, aNow) || changed;
   }
   if (!changed) {
@@ -94,34 +94,35 @@
   }
   mBarred += Bars(entry) ? 1 : 0;
   mBarred -= wasBarred ? 1 : 0;
-  Note(aRecord.mContent, entry, aNow);
+  MarkChanged(aRecord.mRequestDigest, entry, aNow);
   return true;
 }
 
-void CrashLedger::Note(const std::string& aContent, Entry& aEntry,
-                       Millis aNow) {
+void CrashLedger::MarkChanged(const std::string& aDigest, Entry& aEntry,
+                              Millis aNow) {
   mByRevision.erase(aEntry.mRevision);
   aEntry.mRevision = ++mRevision;
   aEntry.mLastAt = aNow;
-  mByRevision[mRevision] = aContent;
-  if (IsVerdict(aEntry)) {
-    mVerdictRevision = mRevision;
+  mByRevision[mRevision] = aDigest;
+  if (WasEverBarred(aEntry)) {
+    mBarredRevision = mRevision;
   }
 }
 
-void CrashLedger::Crashed(const std::string& aContent,
-                          const std::string& aIncarnation, Millis aNow) {
-  Merge({.mContent = aContent, .mCrashes = {{.mIncarnation = aIncarnation}}},
-        aNow);
+void CrashLedger::RecordCrash(const std::string& aDigest,
+                              const std::string& aIncarnation, Millis aNow) {
+  Merge(
+      {.mRequestDigest = aDigest, .mCrashes = {{.mIncarnation = aIncarnation}}},
+      aNow);
 }
 
-void CrashLedger::Excuse(const std::string& aContent, Millis aCompletedAt,
+void CrashLedger::Excuse(const std::string& aDigest, Millis aCompletedAt,
                          Millis aNow) {
-  const auto it = mEntries.find(aContent);
+  const auto it = mEntries.find(aDigest);
   if (it == mEntries.end()) {
     return;
   }
-  CrashRecord excused{.mContent = aContent};
+  CrashRecord excused{.mRequestDigest = aDigest};
   for (const auto& [incarnation, crash] : it->second.mCrashes) {
     if (!crash.mExcused && crash.mAt < aCompletedAt) {
       excused.mCrashes.push_back(
@@ -131,31 +132,32 @@
   Merge(excused, aNow);
 }
 
-bool CrashLedger::IsBarred(const std::string& aContent) const {
-  const auto it = mEntries.find(aContent);
+bool CrashLedger::IsBarred(const std::string& aDigest) const {
+  const auto it = mEntries.find(aDigest);
   return it != mEntries.end() && Bars(it->second);
 }
 
-std::size_t CrashLedger::CrashesOf(const std::string& aContent) const {
-  const auto it = mEntries.find(aContent);
-  return it == mEntries.end() ? 0 : Unexcused(it->second);
+std::size_t CrashLedger::UnexcusedCrashes(const std::string& aDigest) const {
+  const auto it = mEntries.find(aDigest);
+  return it == mEntries.end() ? 0 : CountUnexcused(it->second);
 }
 
-CrashLedger::Changes CrashLedger::Since(std::int64_t aRevision,
-                                        bool aVerdictsOnly, std::size_t aMost,
-                                        Millis aNow) const {
-  Changes changes{.mUpTo = mRevision};
+CrashLedger::Changes CrashLedger::ChangesSince(std::int64_t aRevision,
+                                               bool aBarredOnly,
+                                               std::size_t aMaxRecords,
+                                               Millis aNow) const {
+  Changes changes{.mUpToRevision = mRevision};
   for (auto it = mByRevision.upper_bound(aRevision); it != mByRevision.end();
        it++) {
     const Entry& entry = mEntries.at(it->second);
-    if (aVerdictsOnly && !IsVerdict(entry)) {
+    if (aBarredOnly && !WasEverBarred(entry)) {
       continue;
     }
-    if (changes.mRecords.size() == aMost) {
-      changes.mUpTo = it->first - 1;
+    if (changes.mRecords.size() == aMaxRecords) {
+      changes.mUpToRevision = it->first - 1;
       break;
     }
-    CrashRecord record{.mContent = it->second};
+    CrashRecord record{.mRequestDigest = it->second};
     for (const auto& [incarnation, crash] : entry.mCrashes) {
       record.mCrashes.push_back({.mIncarnation = incarnation,
                                  .mAgo = std::max<Millis>(0, aNow - crash.mAt),
@@ -173,11 +175,11 @@
 }
 
 bool CrashLedger::MakeRoom() {
-  if (mEntries.size() < mOptions.mMost) {
+  if (mEntries.size() < mOptions.mMaxRequests) {
     return true;
   }
-  for (const auto& [revision, content] : mByRevision) {
-    const auto it = mEntries.find(content);
+  for (const auto& [revision, digest] : mByRevision) {
+    const auto it = mEntries.find(digest);
     if (!Bars(it->second)) {
       Erase(it);
       return true;
@@ -186,11 +188,11 @@
   return false;
 }
 
-void CrashLedger::Forget(Millis aNow) {
+void CrashLedger::RemoveExpired(Millis aNow) {
   for (auto it = mEntries.begin(); it != mEntries.end();) {
     const auto next = std::next(it);
-    const Millis keep =
-        Bars(it->second) ? mOptions.mBarFor : mOptions.mSuspectFor;
+    const Millis keep = Bars(it->second) ? mOptions.mBarredRetention
+                                         : mOptions.mSuspectRetention;
     if (aNow - it->second.mLastAt >= keep) {
       Erase(it);
     }
--- a/servers/limits/request_content.cpp
+++ b/servers/limits/request_digest.cpp
@@ -1,4 +1,4 @@
-#include "spindleweir/servers/limits/request_content.h"
+#include "spindleweir/servers/limits/request_digest.h"
 
 #include "spindleweir/core/digest.h"
 
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-std::string RequestContent(const RequestParts& aParts) {
+std::string RequestDigest(const RequestParts& aParts) {
   std::string text;
   for (const std::string_view part :
        {aParts.mWorkspace, aParts.mHost, aParts.mTarget, aParts.mBody}) {
--- a/servers/limits/router_count.cpp
+++ b/servers/limits/router_count.cpp
@@ -2,16 +2,16 @@
 
 namespace spindleweir {
 
-void RouterCount::Take(int aRouters, Millis aNow) {
+void RouterCount::OnReport(int aRouters, Millis aNow) {
   if (aRouters < 1) {
     return;
   }
-  while (!mTold.empty() && mTold.back().mRouters <= aRouters) {
-    mTold.pop_back();
+  while (!mReports.empty() && mReports.back().mRouters <= aRouters) {
+    mReports.pop_back();
   }
-  mTold.push_back({.mRouters = aRouters, .mAt = aNow});
-  while (aNow - mTold.front().mAt > mOptions.mKept) {
-    mTold.pop_front();
+  mReports.push_back({.mRouters = aRouters, .mAt = aNow});
+  while (aNow - mReports.front().mAt > mOptions.mRetention) {
+    mReports.pop_front();
   }
 }
 
--- a/servers/limits/share_divider.cpp
+++ b/servers/limits/share_divider.cpp
@@ -20,31 +20,32 @@
 
 }  // namespace
 
-void ShareDivider::SetOwn(std::span<const WorkspaceDemand> aDemands) {
-  mOwn = ToMap(aDemands);
+void ShareDivider::SetLocal(std::span<const WorkspaceDemand> aDemands) {
+  mLocal = ToMap(aDemands);
 }
 
-void ShareDivider::Heard(const std::string& aPeer,
-                         std::span<const WorkspaceDemand> aDemands) {
+void ShareDivider::UpdateFromPeer(const std::string& aPeer,
+                                  std::span<const WorkspaceDemand> aDemands) {
   mPeers[aPeer] = ToMap(aDemands);
 }
 
-void ShareDivider::Forget(const std::string& aPeer) {
+void ShareDivider::RemovePeer(const std::string& aPeer) {
   mPeers.erase(aPeer);
 }
 
 double ShareDivider::Share(const std::string& aWorkspace,
                            std::size_t aRouters) const {
-  const double even = 1.0 / static_cast<double>(aRouters == 0 ? 1 : aRouters);
-  const double own = DemandOf(mOwn, aWorkspace);
-  double sum = own;
+  const double evenShare =
+      1.0 / static_cast<double>(aRouters == 0 ? 1 : aRouters);
+  const double local = DemandOf(mLocal, aWorkspace);
+  double sum = local;
   for (const auto& [peer, demands] : mPeers) {
     sum += DemandOf(demands, aWorkspace);
   }
   if (sum <= 0) {
-    return even;
+    return evenShare;
   }
-  return mEvenPart * even + (1 - mEvenPart) * own / sum;
+  return mEvenFraction * evenShare + (1 - mEvenFraction) * local / sum;
 }
 
 }  // namespace spindleweir
--- a/servers/limits/usual_time.cpp
+++ b/servers/limits/typical_time.cpp
@@ -1,4 +1,4 @@
-#include "spindleweir/servers/limits/usual_time.h"
+#include "spindleweir/servers/limits/typical_time.h"
 
 #include <cmath>
 
@@ -11,17 +11,17 @@
 
 }  // namespace
 
-bool UsualTime::IsKnown(Millis aNow) const {
-  return mRecordedAt >= 0 && aNow - mRecordedAt < mOptions.mKept;
+bool TypicalTime::IsKnown(Millis aNow) const {
+  return mRecordedAt >= 0 && aNow - mRecordedAt < mOptions.mRetention;
 }
 
-void UsualTime::Record(Millis aTook, Millis aNow) {
+void TypicalTime::Record(Millis aTook, Millis aNow) {
   const auto took = static_cast<double>(aTook);
   mMean = IsKnown(aNow) ? mMean + kWeight * (took - mMean) : took;
   mRecordedAt = aNow;
 }
 
-Millis UsualTime::At(Millis aExpected, Millis aNow) const {
+Millis TypicalTime::At(Millis aExpected, Millis aNow) const {
   return IsKnown(aNow) ? std::llround(std::ceil(mMean)) : aExpected;
 }
 
--- a/servers/limits/start_admission.cpp
+++ b/servers/limits/warm_up_admission.cpp
@@ -1,4 +1,4 @@
-#include "spindleweir/servers/limits/start_admission.h"
+#include "spindleweir/servers/limits/warm_up_admission.h"
 
 #include <algorithm>
 #include <tuple>
@@ -11,12 +11,12 @@
 /// to ten parts that read one after the other, so that one request at a time
 /// would leave most of them idle; with 200 ms of it the last still meets a
 /// target of 500 ms.
-constexpr Millis kReadAhead = 200;
+constexpr Millis kMaxReadBacklog = 200;
 /// The part of the capacity that is dealt out: the rest is for streams that
 /// go on, and for paths that are dealt unevenly.
-constexpr double kDealt = 0.7;
+constexpr double kAdmittedFraction = 0.7;
 /// Longer than this nobody waits without asking again.
-constexpr Millis kAskAgain = 50;
+constexpr Millis kPollInterval = 50;
 
 }  // namespace
 
@@ -40,55 +40,59 @@
   return least == byLayer.end() ? 0 : *least;
 }
 
-bool StartAdmission::MeetsTarget(const StartRequest& aRequest,
-                                 Millis aNow) const {
+bool WarmUpAdmission::MeetsTarget(const WarmUpRequest& aRequest,
+                                  Millis aNow) const {
   return aRequest.mTarget > 0 &&
-         static_cast<double>(aNow) + aRequest.mTokens / (mShare * kDealt) <=
+         static_cast<double>(aNow) +
+                 aRequest.mPromptTokens / (mShare * kAdmittedFraction) <=
              static_cast<double>(aRequest.mReceivedAt + aRequest.mTarget);
 }
 
-bool StartAdmission::GoesBefore(const StartRequest& aLeft,
-                                const StartRequest& aRight, Millis aNow) const {
-  const auto rank = [&](const StartRequest& aRequest) {
+bool WarmUpAdmission::GoesBefore(const WarmUpRequest& aLeft,
+                                 const WarmUpRequest& aRight,
+                                 Millis aNow) const {
+  const auto rank = [&](const WarmUpRequest& aRequest) {
     const bool late = !MeetsTarget(aRequest, aNow);
     return std::tuple(
         late, aRequest.mPriority,
-        aRequest.mReceivedAt + (late ? aRequest.mPatience : aRequest.mTarget));
+        aRequest.mReceivedAt + (late ? aRequest.mWaitLimit : aRequest.mTarget));
   };
   return rank(aLeft) < rank(aRight);
 }
 
-StartDecision StartAdmission::Ask(const void* aRequest,
-                                  const StartRequest& aFacts, Millis aNow) {
+WarmUpDecision WarmUpAdmission::TryAdmit(const void* aRequest,
+                                         const WarmUpRequest& aFacts,
+                                         Millis aNow) {
   mWaiting[aRequest] = aFacts;
-  StartDecision decision{.mShare = mShare * kDealt,
-                         .mWaiting = static_cast<int>(mWaiting.size())};
+  WarmUpDecision decision{.mShare = mShare * kAdmittedFraction,
+                          .mWaiting = static_cast<int>(mWaiting.size())};
   if (mShare <= 0) {
     mWaiting.erase(aRequest);
     return decision;
   }
   for (const auto& [other, facts] : mWaiting) {
     const bool before = other != aRequest && GoesBefore(facts, aFacts, aNow);
-    decision.mAhead += before ? facts.mTokens : 0;
+    decision.mTokensAhead += before ? facts.mPromptTokens : 0;
   }
   const auto now = static_cast<double>(aNow);
   const double turn =
-      std::max(now, mReadUntil) + decision.mAhead / decision.mShare;
-  const double read = aFacts.mTokens / decision.mShare;
+      std::max(now, mReadUntil) + decision.mTokensAhead / decision.mShare;
+  const double read = aFacts.mPromptTokens / decision.mShare;
   decision.mAfter = static_cast<Millis>(turn - now);
-  if (decision.mAfter <= kReadAhead) {
+  if (decision.mAfter <= kMaxReadBacklog) {
     mReadUntil = std::max(now, mReadUntil) + read;
     mWaiting.erase(aRequest);
     return decision;
   }
-  const auto left = static_cast<double>(aFacts.mReceivedAt + aFacts.mPatience);
+  const auto left = static_cast<double>(aFacts.mReceivedAt + aFacts.mWaitLimit);
   if (turn + read > left) {
-    decision.mVerdict = StartVerdict::kRefuse;
+    decision.mVerdict = WarmUpVerdict::kRefuse;
     mWaiting.erase(aRequest);
     return decision;
   }
-  decision.mVerdict = StartVerdict::kWait;
-  decision.mAfter = std::min(decision.mAfter - kReadAhead + 1, kAskAgain);
+  decision.mVerdict = WarmUpVerdict::kWait;
+  decision.mAfter =
+      std::min(decision.mAfter - kMaxReadBacklog + 1, kPollInterval);
   return decision;
 }
 
--- a/servers/limits/workspace_limiter.cpp
+++ b/servers/limits/workspace_limiter.cpp
@@ -9,10 +9,10 @@
 
 constexpr double kMillisPerSecond = 1000;
 constexpr double kBurstSeconds = 0.5;
-constexpr Millis kLeastRetryAfter = 100;
+constexpr Millis kMinRetryAfter = 100;
 constexpr double kMeanWeight = 0.05;
-constexpr std::size_t kRememberedRefusals = 1024;
-constexpr Millis kRefusalCounts = 1000;
+constexpr std::size_t kMaxCountedRefusals = 1024;
+constexpr Millis kRefusalWindow = 1000;
 
 /// How many requests may come at once before the rate holds them.
 double BurstOf(const WorkspaceLimits& aLimits) {
@@ -33,7 +33,7 @@
   std::vector<WorkspaceDemand> demands;
   for (auto& [name, workspace] : mWorkspaces) {
     std::deque<Millis>& refusals = workspace.mRefusals;
-    while (!refusals.empty() && refusals.front() + kRefusalCounts <= aNow) {
+    while (!refusals.empty() && refusals.front() + kRefusalWindow <= aNow) {
       refusals.pop_front();
     }
     const auto demand = static_cast<double>(workspace.mInFlight) +
@@ -90,29 +90,29 @@
 }
 
 Millis WorkspaceLimiter::RetryAfter(const Workspace& aWorkspace) const {
-  return std::max(kLeastRetryAfter, ExpectedWait(aWorkspace));
+  return std::max(kMinRetryAfter, ExpectedWait(aWorkspace));
 }
 
-bool WorkspaceLimiter::TooLate(const AdmissionRequest& aRequest,
-                               Millis aNow) const {
+bool WorkspaceLimiter::MissesDeadline(const AdmissionRequest& aRequest,
+                                      Millis aNow) const {
   return aRequest.mDeadline > 0 &&
          static_cast<double>(aNow) + aRequest.mServiceMillis >
              static_cast<double>(aRequest.mDeadline);
 }
 
-std::vector<AdmissionOutcome> WorkspaceLimiter::Ask(
+std::vector<AdmissionOutcome> WorkspaceLimiter::Submit(
     const AdmissionRequest& aRequest, Millis aNow) {
   Workspace& workspace = mWorkspaces[aRequest.mWorkspace];
   Refill(workspace, aNow);
   mServiceMillis += kMeanWeight * (aRequest.mServiceMillis - mServiceMillis);
   const auto refuse = [&](ResultCode aCode) {
-    if (workspace.mRefusals.size() < kRememberedRefusals) {
+    if (workspace.mRefusals.size() < kMaxCountedRefusals) {
       workspace.mRefusals.push_back(aNow);
     }
     return std::vector<AdmissionOutcome>{
         {aRequest.mTicket, aCode, RetryAfter(workspace)}};
   };
-  if (TooLate(aRequest, aNow)) {
+  if (MissesDeadline(aRequest, aNow)) {
     return refuse(ResultCode::kDeadlineTooShort);
   }
   const bool free = workspace.mQueue.empty() && HasRoom(workspace) &&
@@ -122,7 +122,7 @@
     return {{.mTicket = aRequest.mTicket}};
   }
   const Millis wait = ExpectedWait(workspace);
-  if (TooLate(aRequest, aNow + wait)) {
+  if (MissesDeadline(aRequest, aNow + wait)) {
     return refuse(ResultCode::kDeadlineTooShort);
   }
   if (wait > mOptions.mMaximumWait) {
@@ -142,8 +142,8 @@
                                const AdmissionRequest& aRequest, Millis aNow) {
   const auto it =
       std::find_if(aWorkspace.mQueue.begin(), aWorkspace.mQueue.end(),
-                   [&aRequest](const Waiting& aWaiting) {
-                     return aWaiting.mRequest.mPriority < aRequest.mPriority;
+                   [&aRequest](const QueuedRequest& aQueued) {
+                     return aQueued.mRequest.mPriority < aRequest.mPriority;
                    });
   aWorkspace.mQueue.insert(it, {aRequest, aNow});
   mQueued++;
@@ -161,10 +161,10 @@
 
 void WorkspaceLimiter::Withdraw(std::uint64_t aTicket) {
   for (auto& [name, workspace] : mWorkspaces) {
-    mQueued -=
-        std::erase_if(workspace.mQueue, [aTicket](const Waiting& aWaiting) {
-          return aWaiting.mRequest.mTicket == aTicket;
-        });
+    mQueued -= std::erase_if(workspace.mQueue,
+                             [aTicket](const QueuedRequest& aQueued) {
+                               return aQueued.mRequest.mTicket == aTicket;
+                             });
   }
 }
 
@@ -173,7 +173,7 @@
   for (auto& [name, workspace] : mWorkspaces) {
     Refill(workspace, aNow);
     for (auto it = workspace.mQueue.begin(); it != workspace.mQueue.end();) {
-      const bool late = TooLate(it->mRequest, aNow);
+      const bool late = MissesDeadline(it->mRequest, aNow);
       if (!late && aNow - it->mSince <= mOptions.mMaximumWait) {
         ++it;
         continue;
@@ -211,7 +211,7 @@
     const AdmissionRequest request = next->mQueue.front().mRequest;
     next->mQueue.pop_front();
     mQueued--;
-    if (TooLate(request, aNow)) {
+    if (MissesDeadline(request, aNow)) {
       aOut.push_back(
           {request.mTicket, ResultCode::kDeadlineTooShort, RetryAfter(*next)});
       continue;
--- a/tests/daemons/crashing_request_test.cpp
+++ b/tests/daemons/crashing_request_test.cpp
@@ -171,21 +171,21 @@
   };
   CrashLedger before;
   for (const char* incarnation : {"a@1", "b@1", "c@1"}) {
-    before.Crashed("barred", incarnation, 0);
+    before.RecordCrash("barred", incarnation, 0);
   }
-  before.Crashed("suspect", "a@1", 0);
+  before.RecordCrash("suspect", "a@1", 0);
   CrashStore(folder.Path("barred")).Save(before, 10);
   SECTION("a process that starts again bars the same") {
     CrashLedger after;
     CrashStore(folder.Path("barred")).Load(after, 0, noBad);
-    CHECK(after.IsBarred("barred") && after.CrashesOf("suspect") == 0);
+    CHECK(after.IsBarred("barred") && after.UnexcusedCrashes("suspect") == 0);
   }
   SECTION("a torn file bars nothing, and is no error") {
     const std::string kept = ReadFile(folder.Path("barred")).value();
     ReplaceFile(folder.Path("torn"), kept.substr(0, kept.size() / 2));
     CrashLedger after;
     CrashStore(folder.Path("torn")).Load(after, 0, noBad);
-    CHECK(!after.BarsAny());
+    CHECK(!after.HasBarredRequests());
   }
   SECTION("a disk that refuses is tried again") {
     CrashStore store(folder.Path("later/barred"));
--- a/tests/drivers/stream_test.cpp
+++ b/tests/drivers/stream_test.cpp
@@ -16,7 +16,7 @@
 
 /// A server with a handler that a test sets.
 struct Server {
-  explicit Server(std::shared_ptr<MemoryAccount> aMemory = nullptr)
+  explicit Server(std::shared_ptr<MemoryBudget> aMemory = nullptr)
       : mMemory(std::move(aMemory)),
         mServer(mLoop,
                 {.mListen = {"127.0.0.1", 0},
@@ -101,14 +101,14 @@
   bool mClosed = false;
   int mStatus = 0;
   std::string mBody;
-  std::shared_ptr<MemoryAccount> mMemory;
+  std::shared_ptr<MemoryBudget> mMemory;
   StreamServer mServer;
 };
 
 /// An account of so many bytes, of which each request has a least of 16 KB.
-std::shared_ptr<MemoryAccount> Account(std::size_t aBound) {
-  return std::make_shared<MemoryAccount>(
-      MemoryAccountOptions{.mBound = aBound, .mWindow = 8 * 1024});
+std::shared_ptr<MemoryBudget> Account(std::size_t aBound) {
+  return std::make_shared<MemoryBudget>(
+      MemoryBudgetOptions{.mMaxBytes = aBound, .mSocketBuffer = 8 * 1024});
 }
 
 }  // namespace
@@ -200,7 +200,7 @@
   bool late = false;
   const auto pause = server.mLoop.After(1500, [&late] { late = true; });
   REQUIRE(server.RunUntil([&] { return late; }));
-  CHECK(server.mMemory->Held(HeldKind::kUnread) > kBytes / 2);
+  CHECK(server.mMemory->Held(BufferKind::kUnread) > kBytes / 2);
   CHECK(server.RunUntil([&] {
     caller.Read();
     return caller.mEnded;
@@ -392,7 +392,7 @@
   constexpr std::size_t kBytes = 300 * 1000;
   Server server(Account(4 * kBytes));
   server.mHandle = [](StreamExchange& aExchange) {
-    aExchange.Memory()->SetClaim(MemoryClaim::kRepeatable);
+    aExchange.Memory()->SetClaim(EvictionClass::kRetryable);
     aExchange.Reply(200, {}, std::string(kBytes, 'x'));
   };
   std::vector<std::unique_ptr<PlainCaller>> callers;
--- a/tests/fuzz/named_limits_fuzz.cpp
+++ b/tests/fuzz/advertised_limits_fuzz.cpp
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "spindleweir/servers/limits/named_limits.h"
+#include "spindleweir/servers/limits/advertised_limits.h"
 #include "tests/test_tools.h"
 
 using namespace spindleweir;
@@ -20,12 +20,12 @@
 constexpr Millis kLong = 60000;
 const std::string kUpstream = "a";
 
-NamedLimitsOptions Options() {
+AdvertisedLimitsOptions Options() {
   return {.mDemandOf =
               [](const std::string&) {
-                return LimitDemand{.mOwn = 1,
-                                   .mOthers = kRouters - 1,
-                                   .mOthersKnown = true,
+                return LimitDemand{.mLocal = 1,
+                                   .mPeers = kRouters - 1,
+                                   .mPeersKnown = true,
                                    .mRouters = kRouters};
               },
           .mRandom = [] { return 0.5; }};
@@ -63,21 +63,21 @@
         TellOf(router);
       }
     }
-    for (NamedLimits& limits : mLimits) {
-      RC_ASSERT(!limits.Of(kUpstream).has_value());
-      RC_ASSERT(limits.Held(mNow).empty());
+    for (AdvertisedLimits& limits : mLimits) {
+      RC_ASSERT(!limits.LimitOf(kUpstream).has_value());
+      RC_ASSERT(limits.HeldUpstreams(mNow).empty());
     }
   }
 
  private:
   /// Where it may, a router asks and is answered a moment later.
   void Ask(std::size_t aRouter) {
-    NamedLimits& limits = mLimits[aRouter];
-    if (limits.Held(mNow).contains(kUpstream)) {
+    AdvertisedLimits& limits = mLimits[aRouter];
+    if (limits.HeldUpstreams(mNow).contains(kUpstream)) {
       return;
     }
-    const bool limited = limits.Of(kUpstream).has_value();
-    limits.Sent(kUpstream);
+    const bool limited = limits.LimitOf(kUpstream).has_value();
+    limits.OnRequestSent(kUpstream);
     mSent += limited ? 1 : 0;
     const Millis begunAt = mNow++;
     Answer(aRouter, mNames, begunAt);
@@ -85,11 +85,11 @@
 
   /// An answer comes that was sent before all that are known.
   void Late(std::size_t aRouter) {
-    (void)mLimits[aRouter].Answered(kUpstream, std::nullopt, 0, mNow);
+    (void)mLimits[aRouter].OnAnswer(kUpstream, std::nullopt, 0, mNow);
   }
 
   void Answer(std::size_t aRouter, bool aNames, Millis aBegunAt) {
-    (void)mLimits[aRouter].Answered(
+    (void)mLimits[aRouter].OnAnswer(
         kUpstream, aNames ? std::optional(kPerSecond) : std::nullopt, aBegunAt,
         mNow);
     mNamedLast[aRouter] = aNames;
@@ -104,12 +104,12 @@
     for (std::size_t other = 0; other < kRouters; other++) {
       if (other != aRouter) {
         LoadShares one;
-        mLimits[other].Tell(one, mNow);
+        mLimits[other].AddReport(one, mNow);
         told[kUpstream].mInstance = kUpstream;
         told[kUpstream].Add(one[kUpstream], 1);
       }
     }
-    mLimits[aRouter].TakeNews(told, mNow);
+    mLimits[aRouter].ApplyPeerReports(told, mNow);
   }
 
   /// Whom an upstream named a limit to last, and nobody saw it end since, goes
@@ -117,7 +117,7 @@
   void Check() {
     for (std::size_t router = 0; router < kRouters; router++) {
       if (mNamedLast[router] && mNamedAt[router] > mEndSeenAt) {
-        RC_ASSERT(mLimits[router].Of(kUpstream) == kPerSecond);
+        RC_ASSERT(mLimits[router].LimitOf(kUpstream) == kPerSecond);
       }
     }
     // Each keeps at most two at once.
@@ -126,8 +126,9 @@
     RC_ASSERT(mSent <= most);
   }
 
-  std::array<NamedLimits, kRouters> mLimits{
-      NamedLimits(Options()), NamedLimits(Options()), NamedLimits(Options())};
+  std::array<AdvertisedLimits, kRouters> mLimits{AdvertisedLimits(Options()),
+                                                 AdvertisedLimits(Options()),
+                                                 AdvertisedLimits(Options())};
   std::array<bool, kRouters> mNamedLast{};
   std::array<Millis, kRouters> mNamedAt{};
   Millis mEndSeenAt = 0;
@@ -138,7 +139,7 @@
 
 }  // namespace
 
-Test(named_limits_fuzz, hold_and_end_as_answers_say) {
+Test(advertised_limits_fuzz, hold_and_end_as_answers_say) {
   CHECK(rc::check("as answers say", [] {
     Play play;
     const auto steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
--- a/tests/fuzz/crash_ledger_fuzz.cpp
+++ b/tests/fuzz/crash_ledger_fuzz.cpp
@@ -39,7 +39,7 @@
       case 1:
       case 2: {
         const std::string name = IncarnationName("u", incarnation);
-        mLedgers[process].Crashed(content, name, mNow);
+        mLedgers[process].RecordCrash(content, name, mNow);
         mCrashes[content].insert(name);
         mSeen[process][content].insert(name);
         break;
@@ -81,7 +81,7 @@
       const std::size_t left =
           mCrashes[content].size() - mExcused[content].size();
       for (const CrashLedger& ledger : mLedgers) {
-        if (ledger.CrashesOf(content) != left ||
+        if (ledger.UnexcusedCrashes(content) != left ||
             ledger.IsBarred(content) != (left >= kBars)) {
           return false;
         }
@@ -99,15 +99,17 @@
 
   void Tell(std::size_t aFrom, std::size_t aTo, std::int64_t aSince) {
     mLetters.push_back(
-        {aTo, mLedgers[aFrom].Since(aSince, false, 100, mNow).mRecords, mNow});
+        {aTo, mLedgers[aFrom].ChangesSince(aSince, false, 100, mNow).mRecords,
+         mNow});
   }
 
   /// A letter stays: it may come again.
   void Deliver(std::size_t aWhich) {
     for (CrashRecord record : mLetters[aWhich].mRecords) {
-      for (CrashSeen& crash : record.mCrashes) {
+      for (ObservedCrash& crash : record.mCrashes) {
         crash.mAgo += mNow - mLetters[aWhich].mAt;
-        mSeen[mLetters[aWhich].mTo][record.mContent].insert(crash.mIncarnation);
+        mSeen[mLetters[aWhich].mTo][record.mRequestDigest].insert(
+            crash.mIncarnation);
         if (mDefect == Defect::kForgetsExcuses) {
           crash.mExcused = false;
         }
--- a/tests/fuzz/limits_fuzz.cpp
+++ b/tests/fuzz/limits_fuzz.cpp
@@ -44,7 +44,7 @@
         request.mDeadline = which % 4 == 0 ? mNow + which % 300 : 0;
         request.mServiceMillis = which % 50;
         mOpen[request.mTicket] = workspace;
-        Take(mLimiter.Ask(request, mNow));
+        Take(mLimiter.Submit(request, mNow));
         break;
       }
       case 3:
--- a/tests/servers/named_limits_test.cpp
+++ b/tests/servers/advertised_limits_test.cpp
@@ -1,6 +1,6 @@
 /// Limits that upstreams name: what one router knows of them, and that all
 /// routers together keep to them.
-#include "spindleweir/servers/limits/named_limits.h"
+#include "spindleweir/servers/limits/advertised_limits.h"
 
 #include <algorithm>
 #include <cstdio>
@@ -17,10 +17,10 @@
 constexpr Millis kStep = 10;
 constexpr Millis kWindow = 4000;
 
-NamedLimitsOptions Alone() {
+AdvertisedLimitsOptions Alone() {
   return {.mDemandOf =
               [](const std::string&) {
-                return LimitDemand{.mOwn = 1, .mRouters = 1};
+                return LimitDemand{.mLocal = 1, .mRouters = 1};
               },
           .mRandom = [] { return 0.5; }};
 }
@@ -30,8 +30,8 @@
   int mRouters = 8;
   double mPerSecond = 2;   ///< The limit.
   double mRequests = 100;  ///< A second, at all routers.
-  double mBusyShare = 1;   ///< Of the routers, that get all of them.
-  Millis mLag = 500;       ///< Of what routers know of each other.
+  double mBusyShare = 1;   ///< LimitOf the routers, that get all of them.
+  Millis mLag = 500;       ///< LimitOf what routers know of each other.
   bool mByDemand = true;   ///< Else in equal parts.
   /// So long nothing comes, and then this many requests at once.
   Millis mQuiet = 0;
@@ -44,10 +44,12 @@
   LimitPlay(PlayOptions aOptions, unsigned aSeed)
       : mOptions(aOptions), mRandom(aSeed) {
     for (int i = 0; i < mOptions.mRouters; i++) {
-      mRouters.push_back(std::make_unique<NamedLimits>(NamedLimitsOptions{
-          .mDemandOf = [this, i](const std::string&) { return DemandOf(i); },
-          .mRandom = [this] { return Draw(); }}));
-      (void)mRouters.back()->Answered("a", mOptions.mPerSecond, 0, 0);
+      mRouters.push_back(
+          std::make_unique<AdvertisedLimits>(AdvertisedLimitsOptions{
+              .mDemandOf = [this,
+                            i](const std::string&) { return DemandOf(i); },
+              .mRandom = [this] { return Draw(); }}));
+      (void)mRouters.back()->OnAnswer("a", mOptions.mPerSecond, 0, 0);
     }
   }
 
@@ -91,16 +93,16 @@
     const bool busy = aRouter < Busy();
     const bool told = mOptions.mByDemand && mNow >= mOptions.mLag;
     const double all = mOptions.mRequests;
-    return {.mOwn = busy ? each : 0.001,
-            .mOthers = told ? all - (busy ? each : 0) : 0,
-            .mOthersKnown = told,
+    return {.mLocal = busy ? each : 0.001,
+            .mPeers = told ? all - (busy ? each : 0) : 0,
+            .mPeersKnown = told,
             .mRouters = mOptions.mRouters};
   }
 
   void Ask(int aRouter) {
-    NamedLimits& limits = *mRouters[static_cast<std::size_t>(aRouter)];
-    if (!limits.Held(mNow).contains("a")) {
-      limits.Sent("a");
+    AdvertisedLimits& limits = *mRouters[static_cast<std::size_t>(aRouter)];
+    if (!limits.HeldUpstreams(mNow).contains("a")) {
+      limits.OnRequestSent("a");
       mSent.push_back(mNow);
     }
   }
@@ -108,14 +110,14 @@
   PlayOptions mOptions;
   std::mt19937 mRandom;
   Millis mNow = 0;
-  std::vector<std::unique_ptr<NamedLimits>> mRouters;
+  std::vector<std::unique_ptr<AdvertisedLimits>> mRouters;
   std::vector<Millis> mSent;
 };
 
 /// The most in any window over some seeds; the mean part of the limit used.
 struct PlayResult {
   int mMost = 0;
-  double mUsed = 0;
+  double mUtilization = 0;
 };
 
 PlayResult Play(const PlayOptions& aOptions) {
@@ -125,7 +127,7 @@
     LimitPlay play(aOptions, seed);
     play.Run(60000);
     result.mMost = std::max(result.mMost, play.MostInWindow());
-    result.mUsed += play.UsedPart() / kSeeds;
+    result.mUtilization += play.UsedPart() / kSeeds;
     CHECK(play.MostInWindow() <= play.Allowed());
   }
   std::printf(
@@ -133,88 +135,88 @@
       "used %.2f\n",
       aOptions.mPerSecond, aOptions.mRouters, aOptions.mRequests,
       aOptions.mBusyShare, aOptions.mByDemand ? "by demand" : "equal parts",
-      result.mMost, result.mUsed);
+      result.mMost, result.mUtilization);
   return result;
 }
 
 }  // namespace
 
-Test(named_limits, hold_for_as_long_as_answers_name_them) {
-  NamedLimits limits(Alone());
-  CHECK(limits.Answered("a", 2.5, 10, 20));
-  CHECK(limits.Of("a") == 2.5);
-  CHECK(!limits.Answered("a", 2.5, 20, 30));
+Test(advertised_limits, hold_for_as_long_as_answers_name_them) {
+  AdvertisedLimits limits(Alone());
+  CHECK(limits.OnAnswer("a", 2.5, 10, 20));
+  CHECK(limits.LimitOf("a") == 2.5);
+  CHECK(!limits.OnAnswer("a", 2.5, 20, 30));
   SECTION("an answer that was on its way does not end one") {
-    CHECK(!limits.Answered("a", std::nullopt, 25, 40));
-    CHECK(limits.Of("a") == 2.5);
+    CHECK(!limits.OnAnswer("a", std::nullopt, 25, 40));
+    CHECK(limits.LimitOf("a") == 2.5);
   }
   SECTION("one to a later request does") {
-    CHECK(limits.Answered("a", std::nullopt, 31, 50));
-    CHECK(!limits.Of("a").has_value());
-    CHECK(limits.Held(50).empty());
+    CHECK(limits.OnAnswer("a", std::nullopt, 31, 50));
+    CHECK(!limits.LimitOf("a").has_value());
+    CHECK(limits.HeldUpstreams(50).empty());
   }
   SECTION("nobody asks, and it holds on") {
-    CHECK(limits.Answered("a", 0.5, 60, 70));
-    CHECK(limits.Held(1000000).empty());
-    CHECK(limits.Of("a") == 0.5);
-    limits.Sent("a");
-    CHECK(limits.Held(1000000).contains("a"));
+    CHECK(limits.OnAnswer("a", 0.5, 60, 70));
+    CHECK(limits.HeldUpstreams(1000000).empty());
+    CHECK(limits.LimitOf("a") == 0.5);
+    limits.OnRequestSent("a");
+    CHECK(limits.HeldUpstreams(1000000).contains("a"));
   }
   SECTION("who takes nothing is still asked now and then") {
-    CHECK(limits.Answered("a", 0, 1000001, 1000002));
-    CHECK(limits.Held(1000100).contains("a"));
-    CHECK(!limits.Held(1012000).contains("a"));
+    CHECK(limits.OnAnswer("a", 0, 1000001, 1000002));
+    CHECK(limits.HeldUpstreams(1000100).contains("a"));
+    CHECK(!limits.HeldUpstreams(1012000).contains("a"));
   }
   SECTION("who has gone has none") {
-    limits.Keep([](const std::string&) { return false; });
-    CHECK(!limits.Of("a").has_value());
-    (void)limits.Answered("a", 1, 0, 1012000);
+    limits.RetainKnown([](const std::string&) { return false; });
+    CHECK(!limits.LimitOf("a").has_value());
+    (void)limits.OnAnswer("a", 1, 0, 1012000);
   }
   SECTION("another incarnation has none") {
     limits.Forget("a");
-    CHECK(!limits.Of("a").has_value());
+    CHECK(!limits.LimitOf("a").has_value());
   }
 }
 
-Test(named_limits, are_told_to_other_routers) {
-  NamedLimits one(Alone());
-  NamedLimits other(Alone());
-  (void)one.Answered("a", 2.5, 0, 10);
+Test(advertised_limits, are_told_to_other_routers) {
+  AdvertisedLimits one(Alone());
+  AdvertisedLimits other(Alone());
+  (void)one.OnAnswer("a", 2.5, 0, 10);
   LoadShares told;
-  one.Tell(told, 20);
-  other.TakeNews(told, 30);
-  CHECK(other.Of("a") == 2.5);
+  one.AddReport(told, 20);
+  other.ApplyPeerReports(told, 30);
+  CHECK(other.LimitOf("a") == 2.5);
   SECTION("who only heard of it does not tell of it") {
     LoadShares again;
-    other.Tell(again, 40);
+    other.AddReport(again, 40);
     CHECK(again["a"].mLimitReporters == 0);
     CHECK(again["a"].mDemandThousandths == 1000);
   }
   SECTION("it ends with the news of it") {
-    other.TakeNews({}, 50);
-    CHECK(!other.Of("a").has_value());
+    other.ApplyPeerReports({}, 50);
+    CHECK(!other.LimitOf("a").has_value());
   }
   SECTION(
       "who saw it end tells so, and others' old word does not bring it back") {
-    (void)other.Answered("a", 2.5, 55, 60);
-    CHECK(other.Answered("a", std::nullopt, 70, 80));
-    other.TakeNews(told, 90);
-    CHECK(!other.Of("a").has_value());
+    (void)other.OnAnswer("a", 2.5, 55, 60);
+    CHECK(other.OnAnswer("a", std::nullopt, 70, 80));
+    other.ApplyPeerReports(told, 90);
+    CHECK(!other.LimitOf("a").has_value());
     LoadShares ended;
-    other.Tell(ended, 100);
-    one.TakeNews(ended, 110);
-    CHECK(one.Of("a") == 2.5);
-    one.TakeNews(ended, 5000);
-    CHECK(one.Of("a") == 2.5);
-    one.TakeNews(ended, 5020);
-    CHECK(!one.Of("a").has_value());
+    other.AddReport(ended, 100);
+    one.ApplyPeerReports(ended, 110);
+    CHECK(one.LimitOf("a") == 2.5);
+    one.ApplyPeerReports(ended, 5000);
+    CHECK(one.LimitOf("a") == 2.5);
+    one.ApplyPeerReports(ended, 5020);
+    CHECK(!one.LimitOf("a").has_value());
     LoadShares later;
-    other.Tell(later, 2600);
+    other.AddReport(later, 2600);
     CHECK(later.empty());
   }
 }
 
-Test(named_limits, hold_over_all_routers) {
+Test(advertised_limits, hold_over_all_routers) {
   SECTION("few and many, asked evenly") {
     for (const int routers : {1, 8, 63, 195, 520}) {
       for (const double limit : {0.5, 2.0, 20.0}) {
@@ -226,8 +228,8 @@
     const PlayOptions uneven{.mRouters = 64, .mBusyShare = 0.125};
     PlayOptions equal = uneven;
     equal.mByDemand = false;
-    CHECK(Play(uneven).mUsed > 0.7);
-    CHECK(Play(equal).mUsed < 0.3);
+    CHECK(Play(uneven).mUtilization > 0.7);
+    CHECK(Play(equal).mUtilization < 0.3);
   }
   SECTION("after a quiet time what was left unused does not come at once") {
     for (const int routers : {8, 195, 520}) {
--- a/tests/servers/crash_ledger_test.cpp
+++ b/tests/servers/crash_ledger_test.cpp
@@ -2,28 +2,28 @@
 
 #include "spindleweir/servers/limits/crash_ledger.h"
 #include "spindleweir/servers/limits/crash_watch.h"
-#include "spindleweir/servers/limits/request_content.h"
+#include "spindleweir/servers/limits/request_digest.h"
 #include "tests/test_tools.h"
 
 using namespace spindleweir;
 
 namespace {
 
-constexpr const char* kContent = "c";
+constexpr const char* kDigest = "c";
 
 CrashRecord RecordOf(const CrashLedger& aLedger, Millis aNow) {
-  const CrashLedger::Changes changes = aLedger.Since(0, false, 10, aNow);
+  const CrashLedger::Changes changes = aLedger.ChangesSince(0, false, 10, aNow);
   REQUIRE(changes.mRecords.size() == 1);
   return changes.mRecords.front();
 }
 
-LostAttempt Attempt(const std::string& aContent, const char* aInstance,
-                    Millis aBegunAt, bool aHadEvents = false) {
+LostAttempt Attempt(const std::string& aDigest, const char* aInstance,
+                    Millis aStartedAt, bool aDeliveredEvents = false) {
   return {.mInstance = aInstance,
           .mStart = 1,
-          .mContent = aContent,
-          .mBegunAt = aBegunAt,
-          .mHadEvents = aHadEvents};
+          .mRequestDigest = aDigest,
+          .mStartedAt = aStartedAt,
+          .mDeliveredEvents = aDeliveredEvents};
 }
 
 }  // namespace
@@ -31,18 +31,18 @@
 Test(crash_ledger, counts_over_processes_what_each_saw) {
   CrashLedger one;
   CrashLedger other;
-  one.Crashed(kContent, "a@1", 0);
-  one.Crashed(kContent, "b@1", 10);
-  other.Crashed(kContent, "c@1", 20);
+  one.RecordCrash(kDigest, "a@1", 0);
+  one.RecordCrash(kDigest, "b@1", 10);
+  other.RecordCrash(kDigest, "c@1", 20);
   SECTION("none of them knows enough alone") {
-    CHECK(!one.IsBarred(kContent) && !other.IsBarred(kContent));
-    CHECK(!one.BarsAny());
+    CHECK(!one.IsBarred(kDigest) && !other.IsBarred(kDigest));
+    CHECK(!one.HasBarredRequests());
   }
   SECTION("one that heard the other does, and both then") {
     CHECK(one.Merge(RecordOf(other, 30), 30));
     CHECK(other.Merge(RecordOf(one, 30), 30));
-    CHECK(one.IsBarred(kContent) && other.IsBarred(kContent));
-    CHECK(one.Barred() == 1);
+    CHECK(one.IsBarred(kDigest) && other.IsBarred(kDigest));
+    CHECK(one.BarredRequests() == 1);
   }
   SECTION("word that comes twice changes nothing") {
     const std::int64_t revision = one.Revision();
@@ -51,101 +51,104 @@
   }
   SECTION("the same crash seen by two is one crash") {
     CrashLedger third;
-    third.Crashed(kContent, "a@1", 0);
-    third.Crashed(kContent, "b@1", 0);
+    third.RecordCrash(kDigest, "a@1", 0);
+    third.RecordCrash(kDigest, "b@1", 0);
     third.Merge(
-        {.mContent = kContent,
+        {.mRequestDigest = kDigest,
          .mCrashes = {{.mIncarnation = "a@1"}, {.mIncarnation = "b@1"}}},
         50);
-    CHECK(third.CrashesOf(kContent) == 2);
+    CHECK(third.UnexcusedCrashes(kDigest) == 2);
   }
   SECTION("the same name started again is another") {
     CrashLedger third;
     for (int start = 1; start <= 3; start++) {
-      third.Crashed(kContent, IncarnationName("a", start), start);
+      third.RecordCrash(kDigest, IncarnationName("a", start), start);
     }
-    CHECK(third.IsBarred(kContent));
+    CHECK(third.IsBarred(kDigest));
   }
 }
 
 Test(crash_ledger, what_completes_is_excused) {
   CrashLedger ledger;
   for (int i = 0; i < 3; i++) {
-    ledger.Crashed(kContent, IncarnationName("a", i), i * 10);
+    ledger.RecordCrash(kDigest, IncarnationName("a", i), i * 10);
   }
-  REQUIRE(ledger.IsBarred(kContent));
+  REQUIRE(ledger.IsBarred(kDigest));
   SECTION("of the crashes before it alone") {
-    ledger.Excuse(kContent, 15, 30);
-    CHECK(ledger.CrashesOf(kContent) == 1);
-    CHECK(!ledger.IsBarred(kContent));
+    ledger.Excuse(kDigest, 15, 30);
+    CHECK(ledger.UnexcusedCrashes(kDigest) == 1);
+    CHECK(!ledger.IsBarred(kDigest));
   }
   SECTION("for good: the same crashes told again count no more") {
     ledger.Merge(
-        {.mContent = kContent,
+        {.mRequestDigest = kDigest,
          .mCrashes = {{.mIncarnation = "a@0"}, {.mIncarnation = "a@1"}}},
         40);
-    CHECK(ledger.CrashesOf(kContent) == 1);
+    CHECK(ledger.UnexcusedCrashes(kDigest) == 1);
   }
   SECTION("others learn of it, routers too") {
     CrashLedger other;
     for (int i = 0; i < 3; i++) {
-      other.Crashed(kContent, IncarnationName("a", i), 0);
+      other.RecordCrash(kDigest, IncarnationName("a", i), 0);
     }
-    const CrashLedger::Changes changes = ledger.Since(0, true, 10, 50);
+    const CrashLedger::Changes changes = ledger.ChangesSince(0, true, 10, 50);
     REQUIRE(changes.mRecords.size() == 1);
     other.Merge(changes.mRecords.front(), 50);
-    CHECK(!other.IsBarred(kContent));
+    CHECK(!other.IsBarred(kDigest));
   }
   SECTION("new crashes bar it again") {
-    ledger.Crashed(kContent, "b@1", 60);
-    ledger.Crashed(kContent, "c@1", 60);
-    CHECK(ledger.IsBarred(kContent));
+    ledger.RecordCrash(kDigest, "b@1", 60);
+    ledger.RecordCrash(kDigest, "c@1", 60);
+    CHECK(ledger.IsBarred(kDigest));
   }
 }
 
 Test(crash_ledger, tells_each_asker_what_it_lacks) {
   CrashLedger ledger;
-  ledger.Crashed("x", "a@1", 0);
-  ledger.Crashed("y", "a@1", 0);
-  ledger.Crashed("x", "b@1", 1);
+  ledger.RecordCrash("x", "a@1", 0);
+  ledger.RecordCrash("y", "a@1", 0);
+  ledger.RecordCrash("x", "b@1", 1);
   SECTION("the oldest change first, and so many at a time") {
-    const CrashLedger::Changes first = ledger.Since(0, false, 1, 5);
+    const CrashLedger::Changes first = ledger.ChangesSince(0, false, 1, 5);
     REQUIRE(first.mRecords.size() == 1);
-    CHECK(first.mRecords.front().mContent == "y");
-    const CrashLedger::Changes rest = ledger.Since(first.mUpTo, false, 1, 5);
+    CHECK(first.mRecords.front().mRequestDigest == "y");
+    const CrashLedger::Changes rest =
+        ledger.ChangesSince(first.mUpToRevision, false, 1, 5);
     REQUIRE(rest.mRecords.size() == 1);
-    CHECK(rest.mRecords.front().mContent == "x");
-    CHECK(ledger.Since(rest.mUpTo, false, 1, 5).mRecords.empty());
+    CHECK(rest.mRecords.front().mRequestDigest == "x");
+    CHECK(
+        ledger.ChangesSince(rest.mUpToRevision, false, 1, 5).mRecords.empty());
   }
   SECTION("routers only what bars a request, or did") {
-    CHECK(ledger.Since(0, true, 10, 5).mRecords.empty());
-    ledger.Crashed("x", "c@1", 6);
-    CHECK(ledger.Since(0, true, 10, 7).mRecords.size() == 1);
+    CHECK(ledger.ChangesSince(0, true, 10, 5).mRecords.empty());
+    ledger.RecordCrash("x", "c@1", 6);
+    CHECK(ledger.ChangesSince(0, true, 10, 7).mRecords.size() == 1);
   }
 }
 
 Test(crash_ledger, is_bounded) {
-  CrashLedger ledger({.mMost = 3});
+  CrashLedger ledger({.mMaxRequests = 3});
   for (int i = 0; i < 3; i++) {
-    ledger.Crashed("barred", IncarnationName("a", i), i);
+    ledger.RecordCrash("barred", IncarnationName("a", i), i);
   }
   for (int i = 0; i < 10; i++) {
-    ledger.Crashed("s" + std::to_string(i), "b@1", 10 + i);
+    ledger.RecordCrash("s" + std::to_string(i), "b@1", 10 + i);
   }
   SECTION("the oldest suspects go, what is barred stays") {
     CHECK(ledger.IsBarred("barred"));
-    CHECK(ledger.CrashesOf("s9") == 1 && ledger.CrashesOf("s0") == 0);
-    CHECK(ledger.Since(0, false, 100, 20).mRecords.size() == 3);
+    CHECK(ledger.UnexcusedCrashes("s9") == 1 &&
+          ledger.UnexcusedCrashes("s0") == 0);
+    CHECK(ledger.ChangesSince(0, false, 100, 20).mRecords.size() == 3);
   }
   SECTION("suspects are forgotten after minutes, verdicts after an hour") {
     const CrashLedgerOptions options;
-    ledger.Forget(20 + options.mSuspectFor);
-    CHECK(ledger.CrashesOf("s9") == 0 && ledger.IsBarred("barred"));
-    ledger.Forget(20 + options.mBarFor);
-    CHECK(!ledger.BarsAny());
+    ledger.RemoveExpired(20 + options.mSuspectRetention);
+    CHECK(ledger.UnexcusedCrashes("s9") == 0 && ledger.IsBarred("barred"));
+    ledger.RemoveExpired(20 + options.mBarredRetention);
+    CHECK(!ledger.HasBarredRequests());
   }
   SECTION("records that name too much are refused") {
-    CrashRecord record{.mContent = kContent};
+    CrashRecord record{.mRequestDigest = kDigest};
     CHECK(CodeThrownBy([&] { RequireUsable(record); }) ==
           ResultCode::kBadHeartbeat);
     for (int i = 0; i < 100; i++) {
@@ -158,32 +161,32 @@
 
 Test(crash_watch, tells_a_crash_from_a_lost_connection) {
   CrashWatch watch;
-  watch.Lost(Attempt(kContent, "a", 0), 10);
-  CHECK(watch.Unsettled(10).contains("a"));
+  watch.OnAttemptLost(Attempt(kDigest, "a", 0), 10);
+  CHECK(watch.InstancesToProbe(10).contains("a"));
   SECTION("an upstream that takes connections did not crash") {
-    watch.StillThere("a");
-    CHECK(watch.Ended("a", 20).empty());
-    CHECK(watch.Ledger().CrashesOf(kContent) == 0);
+    watch.OnUpstreamAlive("a");
+    CHECK(watch.OnUpstreamCrashed("a", 20).empty());
+    CHECK(watch.Ledger().UnexcusedCrashes(kDigest) == 0);
   }
   SECTION("one that does not take them counts for what was lost there") {
-    watch.Lost(Attempt(kContent, "a", 0), 30);
-    CHECK(watch.Ended("a", 40).size() == 1);
-    CHECK(watch.Ledger().CrashesOf(kContent) == 1);
+    watch.OnAttemptLost(Attempt(kDigest, "a", 0), 30);
+    CHECK(watch.OnUpstreamCrashed("a", 40).size() == 1);
+    CHECK(watch.Ledger().UnexcusedCrashes(kDigest) == 1);
   }
   SECTION("what nobody could look at in time does not count") {
-    watch.Lost(Attempt(kContent, "b", 0), 50);
-    CHECK(watch.Unsettled(60000).empty());
+    watch.OnAttemptLost(Attempt(kDigest, "b", 0), 50);
+    CHECK(watch.InstancesToProbe(60000).empty());
   }
 }
 
 Test(crash_watch, suspects_those_that_began_last) {
   CrashWatch watch;
   for (int i = 0; i < 40; i++) {
-    watch.Lost(Attempt("old" + std::to_string(i), "a", i), 100);
+    watch.OnAttemptLost(Attempt("old" + std::to_string(i), "a", i), 100);
   }
-  watch.Lost(Attempt("running", "a", 98, true), 100);
-  watch.Lost(Attempt("newest", "a", 99), 100);
-  const std::vector<std::string> suspects = watch.Ended("a", 110);
+  watch.OnAttemptLost(Attempt("running", "a", 98, true), 100);
+  watch.OnAttemptLost(Attempt("newest", "a", 99), 100);
+  const std::vector<std::string> suspects = watch.OnUpstreamCrashed("a", 110);
   CHECK(!suspects.empty() && suspects.size() < 10);
   CHECK(suspects.front() == "newest");
   CHECK(std::find(suspects.begin(), suspects.end(), "running") ==
@@ -194,37 +197,37 @@
      a_request_that_completed_here_is_no_cause_of_what_came_before) {
   CrashWatch watch;
   const auto verdict = [](Millis aAgo) {
-    CrashRecord record{.mContent = kContent};
+    CrashRecord record{.mRequestDigest = kDigest};
     for (const char* incarnation : {"a@1", "b@1", "c@1"}) {
       record.mCrashes.push_back({.mIncarnation = incarnation, .mAgo = aAgo});
     }
     return record;
   };
-  watch.Completed(kContent, 1000);
+  watch.OnRequestCompleted(kDigest, 1000);
   SECTION("word of older crashes bars nothing, and is answered") {
-    watch.Take(verdict(500), 1200);
-    CHECK(!watch.IsBarred(kContent));
+    watch.ApplyPeerRecord(verdict(500), 1200);
+    CHECK(!watch.IsBarred(kDigest));
     CHECK(RecordOf(watch.Ledger(), 1200).mCrashes.front().mExcused);
   }
   SECTION("of newer ones does") {
     CrashRecord newer = verdict(50);
-    for (CrashSeen& crash : newer.mCrashes) {
+    for (ObservedCrash& crash : newer.mCrashes) {
       crash.mIncarnation += "9";
     }
-    watch.Take(newer, 1200);
-    CHECK(watch.IsBarred(kContent));
+    watch.ApplyPeerRecord(newer, 1200);
+    CHECK(watch.IsBarred(kDigest));
   }
 }
 
-Test(request_content, tells_requests_apart_by_what_they_ask) {
+Test(request_digest, tells_requests_apart_by_what_they_ask) {
   const RequestParts parts{
       .mWorkspace = "w", .mHost = "h", .mTarget = "/t", .mBody = "b"};
-  const std::string content = RequestContent(parts);
-  CHECK(content == RequestContent(parts));
+  const std::string content = RequestDigest(parts);
+  CHECK(content == RequestDigest(parts));
   for (const RequestParts& other :
        {RequestParts{"x", "h", "/t", "b"}, RequestParts{"w", "x", "/t", "b"},
         RequestParts{"w", "h", "/x", "b"}, RequestParts{"w", "h", "/t", "x"},
         RequestParts{"w", "h", "/tb", ""}}) {
-    CHECK(content != RequestContent(other));
+    CHECK(content != RequestDigest(other));
   }
 }
--- a/tests/servers/limits_test.cpp
+++ b/tests/servers/limits_test.cpp
@@ -24,18 +24,18 @@
 Test(limits, concurrency_of_a_workspace_is_kept) {
   WorkspaceLimiter limiter({});
   limiter.SetLimits("w", {.mMaximumConcurrent = 2, .mRequestsPerSecond = 1e6});
-  CHECK(limiter.Ask(Request(1, "w"), 0).size() == 1);
-  CHECK(limiter.Ask(Request(2, "w"), 0).size() == 1);
+  CHECK(limiter.Submit(Request(1, "w"), 0).size() == 1);
+  CHECK(limiter.Submit(Request(2, "w"), 0).size() == 1);
   SECTION("the third waits and goes in when one ends") {
-    CHECK(limiter.Ask(Request(3, "w"), 0).empty());
+    CHECK(limiter.Submit(Request(3, "w"), 0).empty());
     const auto out = limiter.Release("w", 1);
     REQUIRE(out.size() == 1);
     CHECK(out[0].mTicket == 3 && out[0].mCode == ResultCode::kOk);
   }
   SECTION("priority goes first, then who came first") {
-    limiter.Ask(Request(4, "w"), 2);
-    limiter.Ask(Request(5, "w", 5), 2);
-    limiter.Ask(Request(6, "w", 5), 2);
+    limiter.Submit(Request(4, "w"), 2);
+    limiter.Submit(Request(5, "w", 5), 2);
+    limiter.Submit(Request(6, "w", 5), 2);
     CHECK(limiter.Release("w", 3)[0].mTicket == 5);
     CHECK(limiter.Release("w", 3)[0].mTicket == 6);
     CHECK(limiter.Release("w", 3)[0].mTicket == 4);
@@ -46,26 +46,26 @@
   WorkspaceLimiter limiter({.mMaximumQueue = 8, .mMaximumWait = 1000});
   limiter.SetLimits("slow",
                     {.mMaximumConcurrent = 100, .mRequestsPerSecond = 1});
-  CHECK(limiter.Ask(Request(1, "slow"), 0)[0].mCode == ResultCode::kOk);
+  CHECK(limiter.Submit(Request(1, "slow"), 0)[0].mCode == ResultCode::kOk);
   SECTION("over the rate") {
-    CHECK(limiter.Ask(Request(2, "slow"), 0).empty());
-    const auto out = limiter.Ask(Request(3, "slow"), 0);
+    CHECK(limiter.Submit(Request(2, "slow"), 0).empty());
+    const auto out = limiter.Submit(Request(3, "slow"), 0);
     REQUIRE(out.size() == 1);
     CHECK(out[0].mCode == ResultCode::kOverLimit);
     CHECK(out[0].mRetryAfter >= 1000);
   }
   SECTION("a deadline that cannot be met") {
-    const auto out = limiter.Ask(Request(4, "slow", 0, 5), 0);
+    const auto out = limiter.Submit(Request(4, "slow", 0, 5), 0);
     REQUIRE(out.size() == 1);
     CHECK(out[0].mCode == ResultCode::kDeadlineTooShort);
   }
   SECTION("one workspace cannot fill the whole queue") {
     limiter.SetLimits("w",
                       {.mMaximumConcurrent = 1, .mRequestsPerSecond = 1e6});
-    limiter.Ask(Request(10, "w"), 0);
+    limiter.Submit(Request(10, "w"), 0);
     int queued = 0;
     for (std::uint64_t i = 11; i < 30; i++) {
-      queued += limiter.Ask(Request(i, "w"), 0).empty() ? 1 : 0;
+      queued += limiter.Submit(Request(i, "w"), 0).empty() ? 1 : 0;
     }
     CHECK(queued == 2);
   }
@@ -77,23 +77,23 @@
   const std::vector<WorkspaceDemand> busy = {{"w", 30}};
   const std::vector<WorkspaceDemand> calm = {{"w", 10}};
   CHECK(first.Share("w", 2) == 0.5);
-  first.SetOwn(busy);
-  first.Heard("second", calm);
-  second.SetOwn(calm);
-  second.Heard("first", busy);
+  first.SetLocal(busy);
+  first.UpdateFromPeer("second", calm);
+  second.SetLocal(calm);
+  second.UpdateFromPeer("first", busy);
   CHECK(first.Share("w", 2) > second.Share("w", 2));
   CHECK(std::abs(first.Share("w", 2) + second.Share("w", 2) - 1) < 1e-9);
   SECTION("a router that was not asked can still admit a little") {
     ShareDivider third;
-    third.Heard("first", busy);
-    third.Heard("second", calm);
+    third.UpdateFromPeer("first", busy);
+    third.UpdateFromPeer("second", calm);
     CHECK(third.Share("w", 3) > 0.05);
   }
   SECTION("cut off, it keeps its last share; told of a crash, it takes over") {
     const double before = first.Share("w", 2);
-    first.SetOwn(busy);
+    first.SetLocal(busy);
     CHECK(first.Share("w", 2) == before);
-    first.Forget("second");
+    first.RemovePeer("second");
     CHECK(first.Share("w", 1) == 1);
   }
 }
@@ -101,15 +101,15 @@
 Test(limits, waits_end) {
   WorkspaceLimiter limiter({.mMaximumWait = 1000});
   limiter.SetLimits("w", {.mMaximumConcurrent = 1, .mRequestsPerSecond = 1e6});
-  limiter.Ask(Request(1, "w"), 0);
-  CHECK(limiter.Ask(Request(2, "w", 0, 500), 0).empty());
-  CHECK(limiter.Ask(Request(3, "w"), 0).empty());
+  limiter.Submit(Request(1, "w"), 0);
+  CHECK(limiter.Submit(Request(2, "w", 0, 500), 0).empty());
+  CHECK(limiter.Submit(Request(3, "w"), 0).empty());
   CHECK(limiter.Tick(400).empty());
   CHECK(limiter.Tick(600)[0].mCode == ResultCode::kDeadlineTooShort);
   CHECK(limiter.Tick(1100)[0].mCode == ResultCode::kOverLimit);
   CHECK(limiter.Queued() == 0);
   SECTION("a caller that left takes no place") {
-    limiter.Ask(Request(4, "w"), 1200);
+    limiter.Submit(Request(4, "w"), 1200);
     limiter.Withdraw(4);
     CHECK(limiter.Release("w", 1300).empty());
     CHECK(limiter.InFlight() == 0);
@@ -125,11 +125,11 @@
   limiter.SetLimits("b", kWide);
   std::uint64_t ticket = 1;
   for (; ticket <= 4; ticket++) {
-    limiter.Ask(Request(ticket, "a"), 0);
+    limiter.Submit(Request(ticket, "a"), 0);
   }
   for (int i = 0; i < 400; i++) {
-    limiter.Ask(Request(ticket++, "a"), 0);
-    limiter.Ask(Request(ticket++, "b"), 0);
+    limiter.Submit(Request(ticket++, "a"), 0);
+    limiter.Submit(Request(ticket++, "b"), 0);
   }
   int fromA = 4;
   int fromB = 0;
--- a/tests/servers/memory_test.cpp
+++ b/tests/servers/memory_test.cpp
@@ -3,9 +3,9 @@
 #include <random>
 #include <set>
 
-#include "spindleweir/servers/limits/memory_account.h"
+#include "spindleweir/servers/limits/memory_budget.h"
+#include "spindleweir/servers/limits/typical_time.h"
 #include "spindleweir/servers/limits/upstream_bound.h"
-#include "spindleweir/servers/limits/usual_time.h"
 #include "spindleweir/servers/routing/arrival_rate.h"
 #include "tests/test_tools.h"
 
@@ -17,189 +17,188 @@
 constexpr std::size_t kRead = 4096;
 
 /// A request that was sent, whose answer comes as fast as it is read.
-std::uint64_t Begin(MemoryAccount& aAccount, MemoryClaim aClaim,
+std::uint64_t Begin(MemoryBudget& aAccount, EvictionClass aClaim,
                     Millis aNow = 0) {
   const std::uint64_t holder = aAccount.Open(aNow);
-  aAccount.SetClaim(holder, aClaim, aNow);
+  aAccount.SetEvictionClass(holder, aClaim, aNow);
   return holder;
 }
 
 /// Brings as much as the account lets in, up to aMost.
-std::size_t Fill(MemoryAccount& aAccount, std::uint64_t aHolder,
+std::size_t Fill(MemoryBudget& aAccount, std::uint64_t aHolder,
                  std::size_t aMost, Millis aNow = 0) {
-  std::size_t held = aAccount.HeldFor(aHolder);
-  while (held + kRead <= aMost && aAccount.MayReadOn(aHolder, aNow)) {
+  std::size_t held = aAccount.BytesHeldFor(aHolder);
+  while (held + kRead <= aMost && aAccount.MayReadMore(aHolder, aNow)) {
     held += kRead;
-    aAccount.Set(aHolder, HeldKind::kUnread, held);
+    aAccount.SetHeld(aHolder, BufferKind::kUnread, held);
   }
   return held;
 }
 
 }  // namespace
 
-Test(memory_account, shares_shrink_as_it_fills) {
-  MemoryAccount account(MemoryAccountOptions::For(20 * kMb));
-  const std::size_t bound = account.Options().mBound;
+Test(memory_budget, shares_shrink_as_it_fills) {
+  MemoryBudget account(MemoryBudgetOptions::ForMemory(20 * kMb));
+  const std::size_t bound = account.Options().mMaxBytes;
   CHECK(bound > 5 * kMb && bound <= 10 * kMb);
   const std::size_t first =
-      Fill(account, Begin(account, MemoryClaim::kRepeatable), 100 * kMb);
-  CHECK(first > 3 * account.Options().mLeast);
+      Fill(account, Begin(account, EvictionClass::kRetryable), 100 * kMb);
+  CHECK(first > 3 * account.Options().mMinPerRequest);
   std::size_t last = first;
   int taken = 1;
   while (true) {
     const std::uint64_t holder = account.Open(0);
-    if (!account.HasRoomFor(holder, 0)) {
+    if (!account.CanAdmit(holder, 0)) {
       break;
     }
-    account.SetClaim(holder, MemoryClaim::kRepeatable, 0);
+    account.SetEvictionClass(holder, EvictionClass::kRetryable, 0);
     last = Fill(account, holder, 100 * kMb);
     taken++;
     REQUIRE(account.Committed() <= bound);
   }
   CHECK(last < first);
   CHECK(taken > 150);
-  CHECK(account.Tight());
+  CHECK(account.IsUnderPressure());
   SECTION("who was let in always has the least") {
-    CHECK(last + kRead >= account.Options().mLeast - kRead);
+    CHECK(last + kRead >= account.Options().mMinPerRequest - kRead);
   }
   SECTION("what goes makes room") {
     account.Close(1);
-    CHECK(account.HasRoomFor(account.Open(0), 0));
+    CHECK(account.CanAdmit(account.Open(0), 0));
   }
 }
 
-Test(memory_account, calls_that_ran_once_have_the_strongest_claim) {
-  MemoryAccount account(MemoryAccountOptions::For(20 * kMb));
-  while (!account.Tight()) {
-    Fill(account, Begin(account, MemoryClaim::kRepeatable), 100 * kMb);
+Test(memory_budget, calls_that_ran_once_have_the_strongest_claim) {
+  MemoryBudget account(MemoryBudgetOptions::ForMemory(20 * kMb));
+  while (!account.IsUnderPressure()) {
+    Fill(account, Begin(account, EvictionClass::kRetryable), 100 * kMb);
   }
-  const std::uint64_t once = Begin(account, MemoryClaim::kRanOnce);
-  const std::uint64_t again = Begin(account, MemoryClaim::kRepeatable);
+  const std::uint64_t once = Begin(account, EvictionClass::kNotRetryable);
+  const std::uint64_t again = Begin(account, EvictionClass::kRetryable);
   CHECK(Fill(account, once, kMb) > kMb - 2 * kRead);
-  CHECK(Fill(account, again, kMb) <= account.Options().mLeast);
-  CHECK(account.Committed() <= account.Options().mBound);
+  CHECK(Fill(account, again, kMb) <= account.Options().mMinPerRequest);
+  CHECK(account.Committed() <= account.Options().mMaxBytes);
   SECTION("and are not cut while others can be") {
-    const std::vector<std::uint64_t> cut = account.Tick(60000).mCut;
+    const std::vector<std::uint64_t> cut = account.Tick(60000).mEvict;
     CHECK(!cut.empty());
     CHECK(std::find(cut.begin(), cut.end(), once) == cut.end());
   }
 }
 
-Test(memory_account, who_stands_still_is_cut_only_when_it_is_tight) {
-  MemoryAccount account(MemoryAccountOptions::For(20 * kMb));
-  const std::uint64_t still = Begin(account, MemoryClaim::kRepeatable);
-  const std::uint64_t moves = Begin(account, MemoryClaim::kRepeatable);
-  const std::uint64_t drips = Begin(account, MemoryClaim::kRepeatable);
+Test(memory_budget, who_stands_still_is_cut_only_when_it_is_tight) {
+  MemoryBudget account(MemoryBudgetOptions::ForMemory(20 * kMb));
+  const std::uint64_t still = Begin(account, EvictionClass::kRetryable);
+  const std::uint64_t moves = Begin(account, EvictionClass::kRetryable);
+  const std::uint64_t drips = Begin(account, EvictionClass::kRetryable);
   Fill(account, still, 100 * kMb);
   Fill(account, moves, 100 * kMb);
   Fill(account, drips, 100 * kMb);
-  CHECK(account.Tick(5000).mCut.empty());
-  while (!account.Tight()) {
-    Fill(account, Begin(account, MemoryClaim::kRanOnce), 100 * kMb);
+  CHECK(account.Tick(5000).mEvict.empty());
+  while (!account.IsUnderPressure()) {
+    Fill(account, Begin(account, EvictionClass::kNotRetryable), 100 * kMb);
   }
-  account.Moved(moves, 2000, 5000);
-  account.Moved(drips, 5, 5000);
-  const std::vector<std::uint64_t> cut = account.Tick(5100).mCut;
+  account.RecordProgress(moves, 2000, 5000);
+  account.RecordProgress(drips, 5, 5000);
+  const std::vector<std::uint64_t> cut = account.Tick(5100).mEvict;
   const auto has = [&cut](std::uint64_t aHolder) {
     return std::find(cut.begin(), cut.end(), aHolder) != cut.end();
   };
   CHECK(has(still) && !has(moves));
   SECTION("a byte a second is no movement") {
     account.Close(still);
-    const std::vector<std::uint64_t> next = account.Tick(5200).mCut;
+    const std::vector<std::uint64_t> next = account.Tick(5200).mEvict;
     CHECK(!next.empty() && next.front() == drips);
   }
 }
 
-Test(memory_account, requests_that_wait_for_each_others_room_become_whole) {
-  MemoryAccount account(MemoryAccountOptions::For(20 * kMb));
+Test(memory_budget, requests_that_wait_for_each_others_room_become_whole) {
+  MemoryBudget account(MemoryBudgetOptions::ForMemory(20 * kMb));
   std::vector<std::uint64_t> readers;
   std::map<std::uint64_t, std::size_t> held;
   for (int i = 0; i < 40; i++) {
-    readers.push_back(Begin(account, MemoryClaim::kReading));
+    readers.push_back(Begin(account, EvictionClass::kReading));
   }
   // In turn, so that all of them stop before they are whole.
   for (bool further = true; further;) {
     further = false;
     for (const std::uint64_t reader : readers) {
-      if (account.MayReadOn(reader, 0)) {
+      if (account.MayReadMore(reader, 0)) {
         held[reader] += kRead;
-        account.Set(reader, HeldKind::kReading, held[reader]);
+        account.SetHeld(reader, BufferKind::kReading, held[reader]);
         further = true;
       }
     }
   }
-  CHECK(account.Waiting() == readers.size());
-  CHECK(account.Tick(1000).mCut.empty());
-  const MemoryOrders orders = account.Tick(2500);
-  REQUIRE(orders.mCut.size() == 1);
-  account.Close(orders.mCut.front());
-  CHECK(!account.Tick(2550).mReadOn.empty());
+  CHECK(account.WaitingConnections() == readers.size());
+  CHECK(account.Tick(1000).mEvict.empty());
+  const MemoryActions orders = account.Tick(2500);
+  REQUIRE(orders.mEvict.size() == 1);
+  account.Close(orders.mEvict.front());
+  CHECK(!account.Tick(2550).mResume.empty());
 }
 
-Test(memory_account, a_request_that_can_never_be_held_is_refused_at_once) {
-  MemoryAccount account(MemoryAccountOptions::For(20 * kMb));
+Test(memory_budget, a_request_that_can_never_be_held_is_refused_at_once) {
+  MemoryBudget account(MemoryBudgetOptions::ForMemory(20 * kMb));
   const std::uint64_t holder = account.Open(0);
-  CHECK(account.HasRoomFor(holder, kMb));
-  CHECK(!account.HasRoomFor(holder, 8 * kMb));
-  CHECK(MemoryAccount::ReturnAfter(0) >= 1000);
-  CHECK(MemoryAccount::ReturnAfter(1) > MemoryAccount::ReturnAfter(0));
+  CHECK(account.CanAdmit(holder, kMb));
+  CHECK(!account.CanAdmit(holder, 8 * kMb));
+  CHECK(MemoryBudget::RetryAfter(0) >= 1000);
+  CHECK(MemoryBudget::RetryAfter(1) > MemoryBudget::RetryAfter(0));
 }
 
-Test(memory_account,
-     an_upstream_that_would_cut_is_drained_where_there_is_room) {
-  MemoryAccount account(MemoryAccountOptions::For(160 * kMb));
-  const std::uint64_t slow = Begin(account, MemoryClaim::kRepeatable);
+Test(memory_budget, an_upstream_that_would_cut_is_drained_where_there_is_room) {
+  MemoryBudget account(MemoryBudgetOptions::ForMemory(160 * kMb));
+  const std::uint64_t slow = Begin(account, EvictionClass::kRetryable);
   const std::size_t before = Fill(account, slow, 2 * kMb);
-  CHECK(before <= account.Options().mMostUnread);
-  CHECK(account.Tick(500).mReadOn.empty());
-  const MemoryOrders orders = account.Tick(1100);
-  CHECK(orders.mReadOn == std::vector<std::uint64_t>{slow});
-  CHECK(orders.mCut.empty());
+  CHECK(before <= account.Options().mMaxUnread);
+  CHECK(account.Tick(500).mResume.empty());
+  const MemoryActions orders = account.Tick(1100);
+  CHECK(orders.mResume == std::vector<std::uint64_t>{slow});
+  CHECK(orders.mEvict.empty());
   CHECK(Fill(account, slow, 2 * kMb, 1100) > before);
 }
 
-Test(memory_account, calls_need_descriptors_beside_connections) {
-  MemoryAccountOptions options = MemoryAccountOptions::For(160 * kMb);
-  options.mDescriptors = 10;
-  MemoryAccount account(options);
+Test(memory_budget, calls_need_descriptors_beside_connections) {
+  MemoryBudgetOptions options = MemoryBudgetOptions::ForMemory(160 * kMb);
+  options.mMaxDescriptors = 10;
+  MemoryBudget account(options);
   for (int i = 0; i < 6; i++) {
     account.Open(0);
   }
   for (int i = 0; i < 4; i++) {
-    CHECK(account.HasRoomForCall());
+    CHECK(account.HasDescriptorForCall());
     account.AddCall(1, 1);
   }
-  CHECK(!account.HasRoomForCall());
+  CHECK(!account.HasDescriptorForCall());
   account.AddCall(1, -1);
-  CHECK(account.HasRoomForCall());
+  CHECK(account.HasDescriptorForCall());
 }
 
-Test(memory_account, without_a_bound_each_has_a_cap_of_its_own) {
-  MemoryAccount account(MemoryAccountOptions::For(0));
-  const std::uint64_t holder = Begin(account, MemoryClaim::kRepeatable);
-  account.Set(holder, HeldKind::kUnread, 256 * 1024);
-  CHECK(account.MayReadOn(holder, 0));
-  account.Set(holder, HeldKind::kUnread, 256 * 1024 + 1);
-  CHECK(!account.MayReadOn(holder, 0));
-  CHECK(!account.Busy() && account.Tick(60000).mCut.empty());
-  account.Set(holder, HeldKind::kPartial, 8 * 1024 * 1024);
+Test(memory_budget, without_a_bound_each_has_a_cap_of_its_own) {
+  MemoryBudget account(MemoryBudgetOptions::ForMemory(0));
+  const std::uint64_t holder = Begin(account, EvictionClass::kRetryable);
+  account.SetHeld(holder, BufferKind::kUnread, 256 * 1024);
+  CHECK(account.MayReadMore(holder, 0));
+  account.SetHeld(holder, BufferKind::kUnread, 256 * 1024 + 1);
+  CHECK(!account.MayReadMore(holder, 0));
+  CHECK(!account.NeedsTicks() && account.Tick(60000).mEvict.empty());
+  account.SetHeld(holder, BufferKind::kPartial, 8 * 1024 * 1024);
   CHECK(account.MayCollect(holder));
-  account.Set(holder, HeldKind::kPartial, 8 * 1024 * 1024 + 1);
+  account.SetHeld(holder, BufferKind::kPartial, 8 * 1024 * 1024 + 1);
   CHECK(!account.MayCollect(holder));
 }
 
-Test(memory_account, whatever_callers_do_it_stays_under_its_bound) {
+Test(memory_budget, whatever_callers_do_it_stays_under_its_bound) {
   for (unsigned seed = 1; seed <= 20; seed++) {
     std::mt19937 random(seed);
     const auto draw = [&random](int aMost) {
       return std::uniform_int_distribution<int>(0, aMost)(random);
     };
-    MemoryAccount account(MemoryAccountOptions::For(6 * kMb));
+    MemoryBudget account(MemoryBudgetOptions::ForMemory(6 * kMb));
     /// What each holds, and of which kind: a request is read, or an answer
     /// comes.
     struct Held {
-      HeldKind mKind;
+      BufferKind mKind;
       std::size_t mBytes = 0;
     };
     std::map<std::uint64_t, Held> model;
@@ -214,33 +213,33 @@
       const int act = draw(9);
       if (act <= 2 || holder == 0) {
         const std::uint64_t added = account.Open(now);
-        if (!account.HasRoomFor(added, 0)) {
+        if (!account.CanAdmit(added, 0)) {
           account.Close(added);
           continue;
         }
-        const auto claim = static_cast<MemoryClaim>(1 + draw(3));
-        account.SetClaim(added, claim, now);
-        model[added] = {claim == MemoryClaim::kReading ? HeldKind::kReading
-                                                       : HeldKind::kUnread};
-        if (claim == MemoryClaim::kReading && draw(1) == 0) {
+        const auto claim = static_cast<EvictionClass>(1 + draw(3));
+        account.SetEvictionClass(added, claim, now);
+        model[added] = {claim == EvictionClass::kReading ? BufferKind::kReading
+                                                         : BufferKind::kUnread};
+        if (claim == EvictionClass::kReading && draw(1) == 0) {
           (void)account.Reserve(added, static_cast<std::size_t>(draw(200000)));
         }
       } else if (act <= 7) {
-        if (account.MayReadOn(holder, now)) {
+        if (account.MayReadMore(holder, now)) {
           Held& held = model[holder];
           held.mBytes += kRead;
-          account.Set(holder, held.mKind, held.mBytes);
+          account.SetHeld(holder, held.mKind, held.mBytes);
         }
       } else if (act == 8) {
         Held& held = model[holder];
         held.mBytes = 0;
-        account.Set(holder, held.mKind, 0);
-        account.Moved(holder, kRead, now);
+        account.SetHeld(holder, held.mKind, 0);
+        account.RecordProgress(holder, kRead, now);
       } else {
         account.Close(holder);
         model.erase(holder);
       }
-      for (const std::uint64_t cut : account.Tick(now).mCut) {
+      for (const std::uint64_t cut : account.Tick(now).mEvict) {
         account.Close(cut);
         model.erase(cut);
       }
@@ -250,7 +249,7 @@
       }
       REQUIRE(account.Held() == held);
       REQUIRE(account.Held() <= account.Committed());
-      REQUIRE(account.Committed() <= account.Options().mBound);
+      REQUIRE(account.Committed() <= account.Options().mMaxBytes);
     }
     for (const auto& [id, one] : model) {
       account.Close(id);
@@ -263,8 +262,8 @@
 
 /// Routers that send to one upstream and hear of each other's requests late.
 struct Senders {
-  Senders(int aRouters, Millis aLate) : mOwn(aRouters), mLate(aLate) {
-    mTold.assign(static_cast<std::size_t>(aLate) + 1, mOwn);
+  Senders(int aRouters, Millis aLate) : mLocal(aRouters), mLate(aLate) {
+    mTold.assign(static_cast<std::size_t>(aLate) + 1, mLocal);
   }
 
   double Sum(const std::vector<int>& aOwn) const {
@@ -278,24 +277,24 @@
   bool Send(std::size_t aRouter, double aRate) {
     UpstreamOccupancy view;
     view.mSlots = 6;
-    view.mOwn = mOwn[aRouter];
-    view.mOthers = Sum(mTold.front()) - mTold.front()[aRouter];
-    view.mRouters = static_cast<int>(mOwn.size());
-    view.mOwnRate = aRate;
-    view.mUsualTime = 100;
-    view.mNewsAge = mLate;
+    view.mLocal = mLocal[aRouter];
+    view.mPeers = Sum(mTold.front()) - mTold.front()[aRouter];
+    view.mRouters = static_cast<int>(mLocal.size());
+    view.mLocalRate = aRate;
+    view.mTypicalTime = 100;
+    view.mPeerReportAge = mLate;
     const bool may = MaySendTo(view, {});
-    mOwn[aRouter] += may ? 1 : 0;
+    mLocal[aRouter] += may ? 1 : 0;
     return may;
   }
 
   /// A millisecond passes.
   void Pass() {
     mTold.erase(mTold.begin());
-    mTold.push_back(mOwn);
+    mTold.push_back(mLocal);
   }
 
-  std::vector<int> mOwn;
+  std::vector<int> mLocal;
   std::vector<std::vector<int>> mTold;
   Millis mLate;
 };
@@ -316,12 +315,12 @@
 /// that others have under way is told: it never lasts until the news.
 struct LargeFleet {
   int mCounted = 195;  ///< Routers that each takes for there.
-  Millis mNewsAge = 700;
+  Millis mPeerReportAge = 700;
   Judgement mJudgement;
 
   struct Router {
     ArrivalRate mArrivals;
-    UsualTime mTime{UsualTimeOptions{}};
+    TypicalTime mTime{TypicalTimeOptions{}};
   };
 
   bool Send(Router& aRouter, Millis aNow) const {
@@ -329,13 +328,13 @@
     UpstreamOccupancy view;
     view.mSlots = 6;
     view.mRouters = mCounted;
-    view.mOwnRate = (mJudgement.mSkipsItself
-                         ? aRouter.mArrivals.PerMilliExcluding(aNow, aNow)
-                         : aRouter.mArrivals.PerMilli(aNow)) /
-                    5;
-    view.mNewsAge = mNewsAge;
-    view.mUsualTime =
-        aRouter.mTime.At(mJudgement.mExpects ? 120 : mNewsAge, aNow);
+    view.mLocalRate = (mJudgement.mSkipsItself
+                           ? aRouter.mArrivals.PerMilliExcluding(aNow, aNow)
+                           : aRouter.mArrivals.PerMilli(aNow)) /
+                      5;
+    view.mPeerReportAge = mPeerReportAge;
+    view.mTypicalTime =
+        aRouter.mTime.At(mJudgement.mExpects ? 120 : mPeerReportAge, aNow);
     if (!MaySendTo(view, {})) {
       return false;
     }
@@ -390,7 +389,7 @@
 }
 
 Test(upstream_bound, what_was_learnt_of_a_bad_second_is_not_held_for_ever) {
-  UsualTime time({.mKept = 5000});
+  TypicalTime time({.mRetention = 5000});
   SECTION("nothing is known: what is expected holds") {
     CHECK(time.At(120, 0) == 120);
   }
@@ -417,10 +416,10 @@
       for (std::size_t router = 0; router < 4; router++) {
         senders.Send(router, 0);
         senders.Pass();
-        REQUIRE(senders.Sum(senders.mOwn) <= kPlaces);
+        REQUIRE(senders.Sum(senders.mLocal) <= kPlaces);
       }
     }
-    CHECK(senders.Sum(senders.mOwn) == kPlaces);
+    CHECK(senders.Sum(senders.mLocal) == kPlaces);
   }
   SECTION("a router that hears nothing has its even part of a half") {
     Senders senders(3, 1000);
@@ -441,7 +440,7 @@
       int asked = 0;
       for (Millis now = 0; now < 20000; now++) {
         for (std::size_t router = 0; router < 40; router++) {
-          senders.mOwn[router] -= static_cast<int>(std::erase_if(
+          senders.mLocal[router] -= static_cast<int>(std::erase_if(
               ends[router], [now](Millis aEnd) { return aEnd <= now; }));
           if (std::uniform_real_distribution<double>(0, 1)(random) < kRate) {
             asked++;
@@ -453,7 +452,7 @@
           }
         }
         senders.Pass();
-        most = std::max(most, senders.Sum(senders.mOwn));
+        most = std::max(most, senders.Sum(senders.mLocal));
       }
       CHECK(most <= 1.5 * kPlaces);
       CHECK(refused < asked / 2);
@@ -474,13 +473,13 @@
   SECTION("bodies count by their bytes") {
     UpstreamOccupancy view;
     view.mSlots = 6;
-    view.mOwn = 2;
-    view.mOwnBytes = 8e6;
+    view.mLocal = 2;
+    view.mLocalBytes = 8e6;
     view.mBodyBytes = 4e6;
-    view.mOthers = 1;
+    view.mPeers = 1;
     view.mRouters = 2;
     CHECK(MaySendTo(view, {.mBodyBytes = 20e6}));
-    view.mOthers = 3;
+    view.mPeers = 3;
     CHECK(!MaySendTo(view, {.mBodyBytes = 20e6}));
   }
 }
--- a/tests/servers/sources_test.cpp
+++ b/tests/servers/sources_test.cpp
@@ -240,34 +240,34 @@
 }
 
 Test(loads, the_number_of_routers_comes_down_as_well_as_up) {
-  RouterCount count({.mKept = 10000});
+  RouterCount count({.mRetention = 10000});
   SECTION("before any word a router takes itself for the only one") {
     CHECK(count.Value() == 1);
   }
   SECTION("it goes up at once") {
-    count.Take(195, 0);
-    count.Take(342, 100);
+    count.OnReport(195, 0);
+    count.OnReport(342, 100);
     CHECK(count.Value() == 342);
   }
   SECTION("and down once nobody told the greater one for a while") {
-    count.Take(195, 200);
-    count.Take(195, 10100);
+    count.OnReport(195, 200);
+    count.OnReport(195, 10100);
     CHECK(count.Value() == 342);
-    count.Take(195, 10101);
+    count.OnReport(195, 10101);
     CHECK(count.Value() == 195);
   }
   SECTION("a control that knows a part only for a moment changes nothing") {
     for (Millis now = 11000; now < 14000; now += 100) {
-      count.Take(35, now);
+      count.OnReport(35, now);
     }
     CHECK(count.Value() == 195);
-    count.Take(195, 14000);
-    count.Take(35, 14001);
+    count.OnReport(195, 14000);
+    count.OnReport(35, 14001);
     CHECK(count.Value() == 195);
   }
   SECTION("while control is silent it stays") {
     CHECK(count.Value() == 195);
-    count.Take(0, 90000);
+    count.OnReport(0, 90000);
     CHECK(count.Value() == 195);
   }
 }
--- a/tests/servers/starts_test.cpp
+++ b/tests/servers/starts_test.cpp
@@ -4,9 +4,9 @@
 #include <random>
 
 #include "spindleweir/servers/consensus/raft_node.h"
-#include "spindleweir/servers/limits/first_deadline.h"
-#include "spindleweir/servers/limits/return_time.h"
-#include "spindleweir/servers/limits/start_admission.h"
+#include "spindleweir/servers/limits/retry_detector.h"
+#include "spindleweir/servers/limits/retry_schedule.h"
+#include "spindleweir/servers/limits/warm_up_admission.h"
 #include "spindleweir/servers/membership/ask_schedule.h"
 #include "tests/test_tools.h"
 
@@ -262,14 +262,14 @@
     constexpr Millis kLeft = 20000;
     std::mt19937 random(7);
     std::uniform_real_distribution<double> unit(0, 1);
-    std::vector<ReturnTimes> routers(static_cast<std::size_t>(mRouters));
+    std::vector<RetrySchedule> routers(static_cast<std::size_t>(mRouters));
     std::vector<Millis> back;
     for (int i = 0; i < mCallers; i++) {
       const Millis now = i * kRefusedWithin / mCallers;
-      ReturnTimes& router = routers[random() % routers.size()];
-      const ReturnAnswer told =
+      RetrySchedule& router = routers[random() % routers.size()];
+      const AssignedRetry told =
           router.Assign({.mNow = now,
-                         .mLeft = kLeft,
+                         .mTimeLeft = kLeft,
                          .mFreeAfter = 300,
                          .mFreePerMilli = mFreePerMilli / mRouters,
                          .mRandom = unit(random)});
@@ -404,63 +404,66 @@
 
 Test(starts, what_waited_is_let_in_at_the_pace_of_reading) {
   // 10 tokens a millisecond of which 0.7 are dealt out: 800 take 114 ms.
-  StartAdmission admission;
+  WarmUpAdmission admission;
   admission.SetShare(10);
   int keys[30];
-  const StartRequest fresh{
-      .mReceivedAt = 900, .mTarget = 500, .mPatience = 1800, .mTokens = 800};
+  const WarmUpRequest fresh{
+      .mReceivedAt = 900, .mTarget = 500, .mWaitLimit = 1800, .mPromptTokens = 800};
   SECTION("as many at once as are read in 0.2 s") {
     int let = 0;
     for (int i = 0; i < 10; i++) {
-      let += admission.Ask(&keys[i], fresh, 1000).mVerdict == StartVerdict::kGo
-                 ? 1
-                 : 0;
+      let +=
+          admission.TryAdmit(&keys[i], fresh, 1000).mVerdict == WarmUpVerdict::kAdmit
+              ? 1
+              : 0;
     }
     CHECK(let == 2);
   }
   SECTION("and the others as these are read") {
-    CHECK(admission.Ask(&keys[5], fresh, 1010).mVerdict == StartVerdict::kWait);
-    CHECK(admission.Ask(&keys[2], fresh, 1130).mVerdict == StartVerdict::kGo);
+    CHECK(admission.TryAdmit(&keys[5], fresh, 1010).mVerdict ==
+          WarmUpVerdict::kWait);
+    CHECK(admission.TryAdmit(&keys[2], fresh, 1130).mVerdict ==
+          WarmUpVerdict::kAdmit);
   }
   SECTION("who still meets its target goes before one that is late") {
-    StartAdmission other;
+    WarmUpAdmission other;
     other.SetShare(10);
-    StartRequest late = fresh;
+    WarmUpRequest late = fresh;
     late.mReceivedAt = 400;
     for (int i = 0; i < 4; i++) {
-      (void)other.Ask(&keys[i], fresh, 1000);
+      (void)other.TryAdmit(&keys[i], fresh, 1000);
     }
-    (void)other.Ask(&keys[4], late, 1000);
-    const StartDecision first = other.Ask(&keys[2], fresh, 1040);
-    const StartDecision after = other.Ask(&keys[4], late, 1040);
-    CHECK(first.mAhead < after.mAhead);
-    CHECK(first.mVerdict == StartVerdict::kGo);
-    CHECK(after.mVerdict == StartVerdict::kWait);
+    (void)other.TryAdmit(&keys[4], late, 1000);
+    const WarmUpDecision first = other.TryAdmit(&keys[2], fresh, 1040);
+    const WarmUpDecision after = other.TryAdmit(&keys[4], late, 1040);
+    CHECK(first.mTokensAhead < after.mTokensAhead);
+    CHECK(first.mVerdict == WarmUpVerdict::kAdmit);
+    CHECK(after.mVerdict == WarmUpVerdict::kWait);
   }
   SECTION("who would have left by its turn is refused at once") {
-    StartAdmission other;
+    WarmUpAdmission other;
     other.SetShare(1);
     int refused = 0;
     for (int i = 0; i < 10; i++) {
-      const StartDecision decision = other.Ask(&keys[i], fresh, 1000);
-      refused += decision.mVerdict == StartVerdict::kRefuse ? 1 : 0;
+      const WarmUpDecision decision = other.TryAdmit(&keys[i], fresh, 1000);
+      refused += decision.mVerdict == WarmUpVerdict::kRefuse ? 1 : 0;
     }
     CHECK(refused >= 8);
   }
   SECTION("who leaves makes room") {
-    StartAdmission other;
+    WarmUpAdmission other;
     other.SetShare(10);
     for (int i = 0; i < 8; i++) {
-      (void)other.Ask(&keys[i], fresh, 1000);
+      (void)other.TryAdmit(&keys[i], fresh, 1000);
     }
-    const double before = other.Ask(&keys[7], fresh, 1001).mAhead;
-    other.Leave(&keys[3]);
-    CHECK(other.Ask(&keys[7], fresh, 1001).mAhead <= before);
+    const double before = other.TryAdmit(&keys[7], fresh, 1001).mTokensAhead;
+    other.Withdraw(&keys[3]);
+    CHECK(other.TryAdmit(&keys[7], fresh, 1001).mTokensAhead <= before);
   }
   SECTION("where nothing is known nobody is held back") {
-    StartAdmission other;
+    WarmUpAdmission other;
     for (int i = 0; i < 10; i++) {
-      CHECK(other.Ask(&keys[i], fresh, 1000).mVerdict == StartVerdict::kGo);
+      CHECK(other.TryAdmit(&keys[i], fresh, 1000).mVerdict == WarmUpVerdict::kAdmit);
     }
   }
 }
@@ -479,22 +482,22 @@
 }
 
 Test(starts, a_time_to_come_back_keeps_its_bounds) {
-  ReturnTimes times;
+  RetrySchedule times;
   SECTION("not before there may be room at all") {
-    const ReturnAnswer answer = times.Assign(
-        {.mNow = 50, .mLeft = 20000, .mFreeAfter = 1200, .mFreePerMilli = 1});
+    const AssignedRetry answer = times.Assign(
+        {.mNow = 50, .mTimeLeft = 20000, .mFreeAfter = 1200, .mFreePerMilli = 1});
     CHECK(answer.mAfter >= 1200);
     CHECK(answer.mAfter < 1400);
-    CHECK(answer.mExpected);
+    CHECK(answer.mRoomExpected);
   }
   SECTION("within the third of its time that a caller waits") {
-    const ReturnAnswer answer = times.Assign(
-        {.mNow = 50, .mLeft = 900, .mFreeAfter = 5000, .mFreePerMilli = 1});
+    const AssignedRetry answer = times.Assign(
+        {.mNow = 50, .mTimeLeft = 900, .mFreeAfter = 5000, .mFreePerMilli = 1});
     CHECK(answer.mAfter == 300);
   }
   SECTION("nor so far away that the slots until then fill the memory") {
-    const ReturnAnswer answer =
-        times.Assign({.mNow = 50, .mLeft = std::numeric_limits<Millis>::max()});
+    const AssignedRetry answer =
+        times.Assign({.mNow = 50, .mTimeLeft = std::numeric_limits<Millis>::max()});
     CHECK(answer.mAfter <= 10000);
   }
   SECTION("where nothing comes free they are spread over all of it") {
@@ -502,7 +505,7 @@
     Millis most = 0;
     for (int i = 0; i < 40; i++) {
       const Millis after =
-          times.Assign({.mNow = 50, .mLeft = 12000, .mFreeAfter = 300}).mAfter;
+          times.Assign({.mNow = 50, .mTimeLeft = 12000, .mFreeAfter = 300}).mAfter;
       least = std::min(least, after);
       most = std::max(most, after);
     }
@@ -510,14 +513,14 @@
     CHECK(most > 3500);
   }
   SECTION("those that were told before are gone when their time has passed") {
-    (void)times.Assign({.mNow = 50, .mLeft = 900, .mFreePerMilli = 1});
-    CHECK(times.Expected(60) > 0);
-    CHECK(times.Expected(20000) == 0);
+    (void)times.Assign({.mNow = 50, .mTimeLeft = 900, .mFreePerMilli = 1});
+    CHECK(times.ExpectedCallers(60) > 0);
+    CHECK(times.ExpectedCallers(20000) == 0);
   }
 }
 
 Test(starts, who_has_come_back_is_told_by_the_time_it_has_left) {
-  FirstDeadline deadline;
+  RetryDetector deadline;
   SECTION("nothing is told before anyone came") {
     CHECK(!deadline.IsLikelyRetry(500));
   }
