--- a/include/spindleweir/servers/limits/crash_watch.h
+++ b/include/spindleweir/servers/limits/crash_watch.h
@@ -1,6 +1,6 @@
-/// What one router sees of requests that upstreams crash under: who was under
-/// way at an upstream whose connection broke, whether it had crashed, and which
-/// requests completed.
+/// Attributes crashes of upstreams to requests, as one router observes them:
+/// which attempts were running at an upstream whose connection broke, whether
+/// the upstream had crashed, and which requests completed.
 #pragma once
 
 #include <deque>
@@ -14,45 +14,46 @@
 
 namespace spindleweir {
 
-/// An attempt that was lost without an answer.
+/// An attempt whose connection was lost before its answer was complete.
 struct LostAttempt {
   std::string mInstance;
-  std::int64_t mStart = 0;     ///< Of the incarnation.
+  std::int64_t mStart = 0;     ///< Of the upstream's incarnation.
   std::string mRequestDigest;  ///< See RequestDigest.
   Millis mStartedAt = 0;
-  bool mDeliveredEvents = false;  ///< It had brought a part of its answer.
+  bool mDeliveredEvents = false;  ///< Part of its answer had arrived.
 };
 
-/// One per router. A lost connection is no crash: the attempt waits until
-/// somebody has looked whether the upstream still takes connections.
+/// One per router. A lost connection alone is not counted as a crash: the
+/// attempt is stored until a probe has shown whether the upstream still accepts
+/// connections.
 class CrashWatch {
  public:
   explicit CrashWatch(CrashLedgerOptions aOptions = {}) : mLedger(aOptions) {}
 
   void OnAttemptLost(LostAttempt aAttempt, Millis aNow);
-  /// Instances that have to be looked at.
+  /// Instances with lost attempts that have yet to be probed.
   std::set<std::string> InstancesToProbe(Millis aNow);
-  /// It takes connections: what was lost there was lost by another cause.
+  /// The upstream accepts connections, so its attempts were lost for another
+  /// reason than a crash.
   void OnUpstreamAlive(const std::string& aInstance);
-  /// It takes none, or started again. Returns the requests that may have
-  /// caused it.
+  /// The upstream accepts no connections, or has restarted. Returns the digests
+  /// of the requests that may have caused the crash.
   std::vector<std::string> OnUpstreamCrashed(const std::string& aInstance,
                                              Millis aNow);
-  /// A request came to its end.
   void OnRequestCompleted(const std::string& aDigest, Millis aNow);
-  /// Takes what others know.
+  /// Merges a record of another process.
   void ApplyPeerRecord(const CrashRecord& aRecord, Millis aNow);
   bool IsBarred(const std::string& aDigest) const {
     return mLedger.IsBarred(aDigest);
   }
-  /// Drops what has grown old.
+  /// Removes records whose retention has passed.
   void RemoveExpired(Millis aNow);
   const CrashLedger& Ledger() const { return mLedger; }
 
  private:
   struct PendingProbe {
     std::vector<LostAttempt> mAttempts;
-    Millis mSince = 0;
+    Millis mSince = 0;  ///< When the first of them was lost.
   };
 
   CrashLedger mLedger;
--- a/include/spindleweir/servers/limits/memory_budget.h
+++ b/include/spindleweir/servers/limits/memory_budget.h
@@ -1,7 +1,8 @@
-/// The memory that a process holds for others: for each caller's connection
-/// what of its request, of the calls made for it and of its answer has not
-/// moved on yet. Decides who may bring more, who waits, whom to refuse and
-/// whom to cut. All sizes in bytes; the time comes with each call.
+/// Accounts for the memory that a process holds for its callers: for each
+/// caller's connection, what is buffered of its request, of the calls made for
+/// it and of its answer. Decides which connections may read more, which have to
+/// wait, which requests are refused and which connections are evicted. All
+/// sizes are in bytes; the time is passed to each call.
 #pragma once
 
 #include <array>
@@ -15,59 +16,61 @@
 
 namespace spindleweir {
 
-/// Where held bytes stand.
+/// What held bytes are part of.
 enum class BufferKind {
   kReading,  ///< A request that is being read.
-  kBody,     ///< A whole request, kept for attempts.
-  kUnsent,   ///< Towards an upstream that has not taken it.
-  kPartial,  ///< Of an answer that is collected before it is handed on.
-  kArrived,  ///< What may have come from an upstream that is not read.
-  kUnread,   ///< Towards a caller that has not taken it.
+  kBody,     ///< A complete request, stored for further attempts.
+  kUnsent,   ///< Output to an upstream that it has not accepted yet.
+  kPartial,  ///< An answer that is collected before it is forwarded.
+  kArrived,  ///< Input from an upstream that may have arrived and is not read.
+  kUnread,   ///< Output to a caller that it has not accepted yet.
 };
 inline constexpr std::size_t kBufferKinds = 6;
-/// The kind as it stands in counters.
+/// The kind's name in metrics.
 const char* NameOf(BufferKind aKind);
 
-/// What would be lost with a connection; later ones are kept longer.
+/// What evicting a connection would lose. Connections of later classes are
+/// retained longer.
 enum class EvictionClass {
   kIdle,          ///< Between requests.
   kReading,       ///< A request is being read.
-  kNotSent,       ///< It is whole; nothing was sent to an upstream.
-  kRetryable,     ///< May have run, and may be sent again.
-  kNotRetryable,  ///< May have run, and may not be sent again.
+  kNotSent,       ///< The request is complete; no upstream has received it.
+  kRetryable,     ///< The request may have run and may be sent again.
+  kNotRetryable,  ///< The request may have run and may not be sent again.
 };
 
-/// The bounds of one process.
+/// The limits of one process.
 struct MemoryBudgetOptions {
-  /// Of all that is held; 0: each connection has mMaxUnread, and nothing
-  /// bounds them together.
+  /// Limit of all held bytes together. 0: each connection may hold mMaxUnread,
+  /// and there is no common limit.
   std::size_t mMaxBytes = 0;
-  /// What each request that was let in may hold whatever others do: a window,
-  /// and a read of each side (4 KB).
+  /// What each admitted request may hold whatever others hold: a socket buffer,
+  /// and one read (4 KB) of each side.
   std::size_t mMinPerRequest = 16 * 1024;
-  /// Of a stream's events: 500 of 500 bytes, about 10 s of a fast engine.
+  /// Limit of a stream's unread events: 500 events of 500 bytes, about 10 s of
+  /// a fast engine.
   std::size_t mMaxUnread = 256 * 1024;
-  /// Of one answer that is collected, or drained for a slow caller.
+  /// Limit of one answer that is collected, or drained for a slow caller.
   std::size_t mMaxCollected = 8 * 1024 * 1024;
-  /// What a connection may have received unread, or sent and not had taken, in
-  /// the system's buffers; 0: as the system likes.
+  /// Size of the system's buffers of a connection, for unread input and for
+  /// output that the peer has not acknowledged; 0: the system's default.
   std::size_t mSocketBuffer = 0;
 
-  /// ForMemory connections of callers and calls to upstreams together; 0:
-  /// unbounded.
+  /// Limit of callers' connections and calls to upstreams together;
+  /// 0: unlimited.
   std::size_t mMaxDescriptors = 0;
 
-  /// ForMemory a process that has so much memory; 0: unbounded.
+  /// The limits for a process with aMemory bytes of memory; 0: unlimited.
   static MemoryBudgetOptions ForMemory(std::size_t aMemory);
 };
 
-/// Who has to be told something.
+/// The connections for which something has to be done.
 struct MemoryActions {
-  std::vector<std::uint64_t> mResume;  ///< May bring more again.
-  std::vector<std::uint64_t> mEvict;   ///< Are to be ended now.
+  std::vector<std::uint64_t> mResume;  ///< Reading for them may go on.
+  std::vector<std::uint64_t> mEvict;   ///< They are to be closed now.
 };
 
-/// The account of one process. Single-threaded.
+/// The memory budget of one process. Single-threaded.
 class MemoryBudget {
  public:
   explicit MemoryBudget(MemoryBudgetOptions aOptions);
@@ -75,51 +78,55 @@
   const MemoryBudgetOptions& Options() const { return mOptions; }
   bool Bounded() const { return mOptions.mMaxBytes > 0; }
 
-  /// A connection begins; returns its number, from 1.
+  /// Adds a connection; returns its number, from 1.
   std::uint64_t Open(Millis aNow);
-  /// It is gone with all that was held for it.
+  /// Removes a connection with all that was held for it.
   void Close(std::uint64_t aConnection);
 
-  /// So much of a kind is held for it now.
+  /// Sets the number of bytes of a kind that are held for a connection.
   void SetHeld(std::uint64_t aConnection, BufferKind aKind, std::size_t aBytes);
-  /// Its caller sent or took so much.
+  /// The caller sent or accepted aBytes.
   void RecordProgress(std::uint64_t aConnection, std::size_t aBytes,
                       Millis aNow);
   void SetEvictionClass(std::uint64_t aConnection, EvictionClass aClass,
                         Millis aNow);
 
-  /// Whether a request that takes so many bytes, and the least of its answer,
-  /// can be let in beside what is held; if not it is refused at notRetryable,
-  /// as not run.
+  /// Whether a request of aBytes, with the minimum for its answer, can be
+  /// admitted beside what is held. If not, it is to be refused at once, as not
+  /// run.
   bool CanAdmit(std::uint64_t aConnection, std::size_t aBytes) const;
-  /// The same, and keeps room for the request until its claim is kIdle again.
+  /// The same; if so, reserves room for the request until the connection's
+  /// class is kIdle again.
   bool Reserve(std::uint64_t aConnection, std::size_t aBytes);
-  /// Whether a call to an upstream finds a descriptor.
+  /// Whether a descriptor is free for a call to an upstream.
   bool HasDescriptorForCall() const;
-  /// A call for a connection begins (1) or ends (-1).
+  /// A call for a connection begins (aSign: 1) or ends (-1).
   void AddCall(std::uint64_t aConnection, int aSign);
-  /// When who was refused should come back. aRandom: 0 to 1.
+  /// Time after which a refused caller should retry. aRandom: from 0 to 1.
   static Millis RetryAfter(double aRandom);
 
-  /// Whether more may be read for it. If not it waits: Tick() tells.
+  /// Whether more may be read for a connection. If not, the connection waits
+  /// until Tick() returns it in mResume.
   bool MayReadMore(std::uint64_t aConnection, Millis aNow);
-  /// The same for an answer that is collected, without waiting.
+  /// Whether more of an answer may be collected. If not, the connection doesn't
+  /// wait.
   bool MayCollect(std::uint64_t aConnection) const;
 
-  /// Looks at who waits and who stands stalled. To be called each kTickInterval
+  /// Checks waiting and stalled connections. To be called each kTickInterval
   /// while NeedsTicks().
   MemoryActions Tick(Millis aNow);
   static constexpr Millis kTickInterval = 50;
-  /// Whether somebody waits, or shares are down to the least.
+  /// Whether a connection waits, or shares are down to the minimum.
   bool NeedsTicks() const { return !mWaiting.empty() || IsUnderPressure(); }
+  /// Whether the shared part of the budget is used up.
   bool IsUnderPressure() const;
 
   std::size_t Held() const { return mHeld; }
   std::size_t Held(BufferKind aKind) const;
   std::size_t BytesHeldFor(std::uint64_t aConnection) const;
-  /// With the least of each request that was let in.
+  /// Held bytes, with what is reserved for each admitted request.
   std::size_t Committed() const { return mCommitted; }
-  /// What a stream's events may take at the moment.
+  /// What the events of a stream may hold at present.
   std::size_t StreamShare() const;
   std::size_t Connections() const { return mConnections.size(); }
   std::size_t WaitingConnections() const { return mWaiting.size(); }
@@ -127,25 +134,30 @@
  private:
   struct Connection {
     std::array<std::size_t, kBufferKinds> mHeld{};
-    std::size_t mRequestBytes = 0;   ///< Of it, on the way to upstreams.
-    std::size_t mAnswerBytes = 0;    ///< And on the way back.
-    std::size_t mReservedBytes = 0;  ///< ForMemory the request.
-    int mCalls = 0;                  ///< To upstreams, under way.
+    std::size_t mRequestBytes = 0;   ///< Held on the way to upstreams.
+    std::size_t mAnswerBytes = 0;    ///< Held on the way back to the caller.
+    std::size_t mReservedBytes = 0;  ///< Reserved for the request.
+    int mCalls = 0;                  ///< Calls to upstreams in progress.
     EvictionClass mClass = EvictionClass::kIdle;
-    std::size_t mProgressBytes = 0;  ///< Since mStalledSince.
-    Millis mStalledSince = 0;
-    Millis mWaitingSince = -1;
-    bool mDraining = false;  ///< Its upstream waited for long.
+    std::size_t mProgressBytes = 0;  ///< Moved since mStalledSince.
+    Millis mStalledSince = 0;        ///< Time of the last progress.
+    Millis mWaitingSince = -1;       ///< -1: it doesn't wait.
+    /// Its upstream has been unable to send for kDrainDelay, so that its answer
+    /// may take a larger portion of the budget.
+    bool mDraining = false;
   };
 
-  /// What a call brings before it can be stopped: a read, and its window.
+  /// What a call may bring before reading from it can be stopped: one read and
+  /// its socket buffer.
   std::size_t IncomingReserve(const Connection& aConnection) const;
   std::size_t CommittedOf(const Connection& aConnection) const;
   std::size_t FreeShared() const;
   std::size_t SharedPart() const;
   std::size_t PortionOfFree(std::size_t aDivisor, std::size_t aMax) const;
-  /// Whether one read more has room.
+  /// Whether there is room for one more read.
   bool HasRoomForRead(const Connection& aConnection, Millis aNow) const;
+  /// What the connection may hold of its request or its answer, whichever is
+  /// being read.
   std::size_t Allowance(const Connection& aConnection, Millis aNow) const;
   std::vector<std::uint64_t> ChooseEvictions(Millis aNow) const;
   std::vector<std::uint64_t> ChooseStalledReader(Millis aNow) const;
--- a/include/spindleweir/servers/limits/request_digest.h
+++ b/include/spindleweir/servers/limits/request_digest.h
@@ -1,5 +1,5 @@
-/// What makes two requests the same request, though each comes under an id of
-/// its own and perhaps at another VM.
+/// Identifies equal requests that have different request ids and may arrive at
+/// different VMs.
 #pragma once
 
 #include <string>
@@ -7,16 +7,18 @@
 
 namespace spindleweir {
 
-/// The parts of a request that say what is asked for, and for whom.
+/// The parts of a request that define what is requested and for which
+/// workspace.
 struct RequestParts {
-  std::string_view mWorkspace;  ///< Empty: of no workspace.
+  std::string_view mWorkspace;  ///< Empty: no workspace.
   std::string_view mHost;
   std::string_view mTarget;  ///< Path and query.
   std::string_view mBody;
 };
 
-/// A digest of the parts, as hexadecimal digits. Of SHA-256, since callers
-/// choose what goes in: nobody can make a request that counts as another's.
+/// Returns a digest of the parts as hexadecimal digits. It is taken from
+/// SHA-256 because callers choose the input: none can construct a request that
+/// has the digest of another caller's request.
 std::string RequestDigest(const RequestParts& aParts);
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/limits/retry_detector.h
+++ b/include/spindleweir/servers/limits/retry_detector.h
@@ -1,21 +1,22 @@
-/// Tells retries of callers from first attempts by the time that the caller has
-/// left.
+/// Tells callers' retries from their first attempts by the time that the caller
+/// has left.
 #pragma once
 
 #include "spindleweir/core/clock.h"
 
 namespace spindleweir {
 
-/// Of the requests of one route at one router.
+/// Learns the typical deadline of first attempts of one route at one router.
 class RetryDetector {
  public:
-  /// Counts a request whose caller has so much time; 0: it did not say.
+  /// Records the remaining time of a request's caller; 0: not stated.
   void Record(Millis aDeadline);
-  /// Whether a request with so much time is most likely a retry.
+  /// Whether a request with this remaining time is most likely a retry.
   bool IsLikelyRetry(Millis aDeadline) const;
 
  private:
-  double mTypicalDeadline = 0;  ///< What callers have at their first try.
+  /// Typical remaining time of callers at their first attempt; 0: not known.
+  double mTypicalDeadline = 0;
 };
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/limits/retry_schedule.h
+++ b/include/spindleweir/servers/limits/retry_schedule.h
@@ -1,6 +1,6 @@
-/// When a caller that is refused should come back: not before there is room for
-/// it beside those that were assigned before it. Decisions only: the time comes
-/// with each call.
+/// Chooses when a refused caller should retry: not before there is room for it
+/// beside the callers that were scheduled earlier. The class only decides; the
+/// time is passed to each call.
 #pragma once
 
 #include <deque>
@@ -12,39 +12,42 @@
 /// What is known when a caller is refused.
 struct RetryScheduleRequest {
   Millis mNow = 0;
-  /// What its caller has left; callers wait a third of it at latest. 0: any.
+  /// The caller's remaining time, of which it waits at most a third; 0: not
+  /// stated.
   Millis mTimeLeft = 0;
-  /// From now until there may be room at all: a lease, layers that load.
+  /// Time until there may be room at all, e.g. until a lease is renewed or
+  /// layers are loaded.
   Millis mFreeAfter = 0;
-  /// Requests a millisecond that can then be taken here, beside those that come
-  /// for the first time; 0: none are expected to come free.
+  /// Requests per millisecond that this router can then admit beside those that
+  /// arrive for the first time; 0: no room is expected to become free.
   double mFreePerMilli = 0;
   double mRandom = 0;  ///< From 0 to 1, new each time.
 };
 
-/// What a caller is assigned.
+/// The retry time that a caller is given.
 struct AssignedRetry {
   Millis mAfter = 0;
-  int mCallersBySlot = 0;  ///< Callers that are to come at that time, with it.
-  bool mRoomExpected = false;  ///< There should be room; else it is a guess.
+  int mCallersInSlot = 0;  ///< Callers assigned to the slot, with this one.
+  /// Room is expected at that time. If false, the time is a guess.
+  bool mRoomExpected = false;
 };
 
-/// The callers that one router assigned when to come, for one service. Each is
-/// given the first time that has room left; where there is none within the time
-/// that it waits, the time with the fewest of them.
+/// The retry times that one router has assigned for one service. Each caller
+/// gets the first time slot with room left. If there is none within the time
+/// that the caller waits, it gets the slot with the fewest callers.
 class RetrySchedule {
  public:
-  /// Gives a caller its time and counts it there.
+  /// Assigns a time to a caller and counts it in that slot.
   AssignedRetry Assign(const RetryScheduleRequest& aRequest);
-  /// Callers that were assigned to come earliest now on.
+  /// Number of callers that were told to retry from aNow on.
   int ExpectedCallers(Millis aNow) const;
 
  private:
   void Forget(Millis aNow);
   int& At(std::int64_t aSlot);
 
-  std::deque<int> mCallersBySlot;  ///< By slot, earliest mFirst on.
-  std::int64_t mFirst = 0;         ///< The slot of the first.
+  std::deque<int> mCallersBySlot;  ///< The first is of slot mFirst.
+  std::int64_t mFirst = 0;
 };
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/limits/router_count.h
+++ b/include/spindleweir/servers/limits/router_count.h
@@ -1,4 +1,5 @@
-/// How many routers share a limit, from what controls tell.
+/// The number of routers that share a limit, from the reports of control
+/// processes.
 #pragma once
 
 #include <deque>
@@ -8,24 +9,26 @@
 namespace spindleweir {
 
 struct RouterCountOptions {
-  /// A smaller number holds once no greater one was told for so long. As long
-  /// as the window of retries: who ended may have spent its share of that.
-  /// Controls that have just started know a part only, for a shorter time.
+  /// A smaller number applies once no greater one was reported for this long.
+  /// It is as long as the retry window, since a router that has ended may have
+  /// spent its share of that window's retries. Control processes that have just
+  /// started know only some of the routers, for a shorter time than this.
   Millis mRetention = 10000;
 };
 
-/// The count of one router. It comes down as well as up: after a start routers
-/// tell two controls within moments and count twice, and a greatest number that
-/// is never taken back makes each router's share too small for good, on all
-/// routers alike. Decisions only: the time comes with each call.
+/// The number of routers as one router knows it. It goes down as well as up:
+/// after a start, routers report to two control processes within moments and
+/// are counted twice. A maximum that never went down would make the shares of
+/// all routers too small for good. The class only decides; the time is passed
+/// to each call.
 class RouterCount {
  public:
   explicit RouterCount(RouterCountOptions aOptions) : mOptions(aOptions) {}
 
-  /// A control told how many there are, by what it knows.
+  /// A control process reported how many routers it knows.
   void OnReport(int aRouters, Millis aNow);
-  /// The greatest number that was told within mRetention before the newest; 1
-  /// before any. While no control tells, it stays.
+  /// The greatest number that was reported within mRetention before the newest
+  /// report; 1 before the first. Without new reports it does not change.
   int Value() const { return mReports.empty() ? 1 : mReports.front().mRouters; }
 
  private:
--- a/include/spindleweir/servers/limits/share_divider.h
+++ b/include/spindleweir/servers/limits/share_divider.h
@@ -1,5 +1,5 @@
-/// Divides each workspace's limits over the routers by how much each of them
-/// is asked, so that the limits hold over all of them together.
+/// Divides each workspace's limits among the routers by their demand, so that
+/// the limits hold for all routers together.
 #pragma once
 
 #include <map>
@@ -11,8 +11,8 @@
 
 namespace spindleweir {
 
-/// How much one router is asked by one workspace: requests in flight, waiting,
-/// and refused in the last second.
+/// A workspace's demand at one router: requests in flight, queued, and refused
+/// in the last second.
 struct WorkspaceDemand {
   std::string mWorkspace;
   double mDemand = 0;
@@ -28,17 +28,18 @@
 class ShareDivider {
  public:
   /// aEvenFraction: the part of each limit that is divided evenly whatever the
-  /// demand, so that a router that is asked for the first time can admit.
+  /// demand, so that a router that gets its first requests can admit some.
   explicit ShareDivider(double aEvenFraction = 0.2)
       : mEvenFraction(aEvenFraction) {}
 
-  /// Replaces this router's local demand.
+  /// Replaces this router's own demand.
   void SetLocal(std::span<const WorkspaceDemand> aDemands);
-  /// Replaces what is known of a peer. A peer that is not heard any more
-  /// keeps its last demand: when cut off, everyone keeps its last share.
+  /// Replaces a peer's demand. A peer that no longer reports retains its last
+  /// demand, so that routers that are cut off from each other all retain their
+  /// last share.
   void UpdateFromPeer(const std::string& aPeer,
                       std::span<const WorkspaceDemand> aDemands);
-  /// The peer is gone for good; the others may take its share.
+  /// The peer is gone for good; the others may use its share.
   void RemovePeer(const std::string& aPeer);
 
   /// This router's share of the workspace's limits, from 0 to 1.
--- a/include/spindleweir/servers/limits/shutdown_admission.h
+++ b/include/spindleweir/servers/limits/shutdown_admission.h
@@ -1,6 +1,7 @@
-/// Which requests a router still takes once it was asked to stop: those that
-/// will have ended when it must. The others go elsewhere at once, unharmed; a
-/// stream that is cut midway costs its caller seconds.
+/// Decides which requests a router still admits once it was asked to stop:
+/// those that will have ended by the time that it must exit. The others go to
+/// another router at once, at no cost; a stream that is cut midway costs its
+/// caller seconds.
 #pragma once
 
 #include <cstddef>
@@ -13,41 +14,42 @@
 namespace spindleweir {
 
 struct ShutdownAdmissionOptions {
-  /// After the signal; what is in flight then is cut.
+  /// Time after the signal at which requests in flight are cut.
   Millis mGrace = 7700;
-  /// Nothing is taken later than this after the signal: it might be cut while
-  /// its upstream runs it.
+  /// Nothing is admitted later than this after the signal: it might be cut
+  /// while its upstream runs it.
   Millis mAdmitWindow = 2800;
-  /// Answers of a service that its usual pace is learnt from.
+  /// Number of a service's latest answers that typical durations are taken
+  /// from.
   std::size_t mMaxSamples = 64;
-  /// The part of them that ended within the usual duration.
+  /// The part of them that ended within the typical duration.
   double mQuantile = 0.95;
 };
 
-/// Decisions only: the time comes with each call.
+/// The class only decides; the time is passed to each call.
 class ShutdownAdmission {
  public:
   explicit ShutdownAdmission(ShutdownAdmissionOptions aOptions)
       : mOptions(aOptions) {}
 
-  /// A request of a service was answered whole after aTook. aTokens: tokens
-  /// that its caller expected, below 1: not told. Long answers end late, so
-  /// that durations alone would tell of the short ones of a process that has
-  /// just started; what each token takes does not.
+  /// Records a request of a service that was answered completely. aTokens: the
+  /// tokens that its caller expected; below 1: not stated. The time per token
+  /// is recorded because long answers end late: the durations of a process that
+  /// has just started would be those of short answers only.
   void Record(const std::string& aService, double aTokens, Millis aTook);
-  /// The signal came.
+  /// The signal to stop was received.
   void Stop(Millis aNow) { mStoppedAt = aNow; }
-  /// aLeft: until its caller, or its route, gives it up.
+  /// aLeft: time until the request's caller, or its route, gives it up.
   bool Admits(const std::string& aService, double aTokens, Millis aLeft,
               Millis aNow) const;
-  /// How long such a request takes; 0: none was answered yet.
+  /// Typical duration of such a request; 0: none has been answered yet.
   Millis TypicalDuration(const std::string& aService, double aTokens) const;
 
  private:
   ShutdownAdmissionOptions mOptions;
-  /// Milliseconds for each token, by service.
+  /// Of the latest answers, by service.
   std::map<std::string, std::deque<double>> mMillisPerToken;
-  Millis mStoppedAt = -1;  ///< -1: not asked to.
+  Millis mStoppedAt = -1;  ///< -1: not asked to stop.
 };
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/limits/typical_time.h
+++ b/include/spindleweir/servers/limits/typical_time.h
@@ -1,4 +1,4 @@
-/// How long requests of a plain service take, from the answers of late.
+/// Typical duration of requests of a plain service, from recent answers.
 #pragma once
 
 #include "spindleweir/core/clock.h"
@@ -6,21 +6,22 @@
 namespace spindleweir {
 
 struct TypicalTimeOptions {
-  /// What was measured holds for this long after the last answer. The time is
-  /// learnt from answers alone, and decides whether more are asked for: held
-  /// for ever, one bad second would keep a router from learning of a better.
+  /// A value expires this long after the last answer. The value is learned from
+  /// answers alone and decides whether more requests are sent: if it did not
+  /// expire, one second of slow answers would keep a router from learning that
+  /// the service is fast again.
   Millis mRetention = 5000;
 };
 
-/// The time of one service at one router. Decisions only: the time comes with
-/// each call.
+/// The duration for one service at one router. The class only decides; the time
+/// is passed to each call.
 class TypicalTime {
  public:
   explicit TypicalTime(TypicalTimeOptions aOptions) : mOptions(aOptions) {}
 
   /// A request was answered after aTook.
   void Record(Millis aTook, Millis aNow);
-  /// The usual time; aExpected where no answer came lately.
+  /// The typical duration; aExpected if there is no recent answer.
   Millis At(Millis aExpected, Millis aNow) const;
 
  private:
--- a/include/spindleweir/servers/limits/upstream_bound.h
+++ b/include/spindleweir/servers/limits/upstream_bound.h
@@ -1,5 +1,6 @@
-/// Whether one more request may go to an upstream of a plain service, where
-/// many routers send to it and hear of bytesEach other's requests late.
+/// Decides whether one more request may be sent to an upstream of a plain
+/// service to which many routers send, each of which learns of the others'
+/// requests late.
 #pragma once
 
 #include <cstddef>
@@ -9,40 +10,41 @@
 
 namespace spindleweir {
 
-/// What runs at one upstream, as one router knows it.
+/// The load of one upstream, as one router knows it.
 struct UpstreamOccupancy {
-  int mSlots = 0;          ///< Requests that it runs at once; 0: not told.
-  double mLocal = 0;       ///< Requests of this router under way there.
-  double mPeers = 0;       ///< Of all peers, as they were told.
-  double mLocalBytes = 0;  ///< Bodies of the own requests.
-  double mBodyBytes = 0;   ///< Of the request that is to be sent.
-  int mRouters = 1;        ///< That send to it.
-  /// Requests a millisecond that this router sends to it.
+  int mSlots = 0;          ///< Requests that it runs at once; 0: not stated.
+  double mLocal = 0;       ///< Requests of this router in progress there.
+  double mPeers = 0;       ///< Those of all other routers, as reported.
+  double mLocalBytes = 0;  ///< Bytes of the local requests' bodies.
+  double mBodyBytes = 0;   ///< Bytes of the body that is to be sent.
+  int mRouters = 1;        ///< Number of routers that send to it.
+  /// Requests per millisecond that this router sends to it.
   double mLocalRate = 0;
-  /// That a request takes there; never "not known": the age of the news in its
-  /// place reserved routers from the first answer that would have told it.
+  /// Typical duration of a request there. It always has a value: with the age
+  /// of the peers' report in its place, routers refused the first requests,
+  /// whose answers would have shown the duration.
   Millis mTypicalTime = 0;
-  Millis mPeerReportAge = 0;  ///< Of mPeers.
+  Millis mPeerReportAge = 0;  ///< Age of mPeers.
 };
 
-/// What an upstream can hold.
+/// The capacity of an upstream.
 struct UpstreamBoundOptions {
-  /// Requests it queues beside those that run, for bytesEach slot: one that has
-  /// more refuses them itself.
+  /// Requests that an upstream queues beside those that it runs, per slot. If
+  /// it has more, it refuses them itself.
   double mQueuePerSlot = 1;
   int mMinQueue = 4;
-  /// Of bodies that it holds at once; 0: not bounded.
+  /// Bytes of request bodies that it holds at once; 0: unlimited.
   double mBodyBytes = 0;
 };
 
-/// Requests that peers sent since the news and that are still under way, by
-/// what this router is asked itself.
+/// Estimates the requests that other routers sent since their last report and
+/// that are still in progress, from this router's own rate.
 double UnreportedRequests(const UpstreamOccupancy& aOccupancy);
 
-/// The decision. Half of the bound is divided evenly: bytesEach router may use
-/// its part whatever it knows, so that this half holds however late the news
-/// is. Beyond that it sends as long as what was told, and what peers probably
-/// sent since, leave room.
+/// Whether the request may be sent. Half of the capacity is divided evenly:
+/// each router may use its part whatever it knows, so this half holds however
+/// late reports are. Beyond its part, a router sends as long as the reported
+/// requests and the estimate of unreported ones leave room.
 bool MaySendTo(const UpstreamOccupancy& aOccupancy,
                const UpstreamBoundOptions& aOptions);
 
--- a/include/spindleweir/servers/limits/workspace_limiter.h
+++ b/include/spindleweir/servers/limits/workspace_limiter.h
@@ -1,5 +1,6 @@
-/// Admission: each workspace's limits, and a bounded queue served in turn by
-/// weight when this router is full.
+/// Admission control: applies each workspace's limits, and queues requests in a
+/// bounded queue that is served by the workspaces' weights while this router is
+/// full.
 #pragma once
 
 #include <cstdint>
@@ -16,38 +17,37 @@
 
 namespace spindleweir {
 
-/// A workspace's limits as they hold on this router: its share of the whole.
+/// A workspace's limits on this router: its share of the limits of all routers.
 struct WorkspaceLimits {
   double mMaximumConcurrent = 0;
   double mRequestsPerSecond = 0;
-  double mWeight = 1;
+  double mWeight = 1;  ///< Of its queue while this router is full.
 };
 
-/// How the limiter is set up.
 struct LimiterOptions {
-  int mMaximumInFlight = 512;        ///< Over all workspaces.
-  std::size_t mMaximumQueue = 1024;  ///< Over all workspaces.
+  int mMaximumInFlight = 512;        ///< Of all workspaces together.
+  std::size_t mMaximumQueue = 1024;  ///< Of all workspaces together.
   Millis mMaximumWait = 2000;        ///< In the queue.
 };
 
-/// A request that asks for admission.
+/// A request for admission.
 struct AdmissionRequest {
-  std::uint64_t mTicket = 0;  ///< The caller's number for it.
+  std::uint64_t mTicket = 0;  ///< Chosen by the user of this class.
   std::string mWorkspace;
-  int mPriority = 0;          ///< Greater goes first within a workspace.
+  int mPriority = 0;          ///< A greater one goes first in a workspace.
   Millis mDeadline = 0;       ///< Absolute; 0: none.
   double mServiceMillis = 0;  ///< Expected time once admitted.
 };
 
-/// What became of a ticket.
+/// The decision about a ticket.
 struct AdmissionOutcome {
   std::uint64_t mTicket = 0;
   ResultCode mCode = ResultCode::kOk;  ///< kOk: admitted.
-  Millis mRetryAfter = 0;              ///< When to come back, if refused.
+  Millis mRetryAfter = 0;              ///< When to retry, if refused.
 };
 
-/// Decides who goes in. Each ticket gets exactly one outcome, unless it is
-/// withdrawn; refusals are given at once.
+/// Decides which requests are admitted. Each ticket gets exactly one outcome,
+/// unless it is withdrawn.
 class WorkspaceLimiter {
  public:
   explicit WorkspaceLimiter(LimiterOptions aOptions);
@@ -55,19 +55,20 @@
   /// Replaces a workspace's limits.
   void SetLimits(const std::string& aWorkspace, const WorkspaceLimits& aLimits);
 
-  /// Asks for a place. Returns the outcome where it is known at once, else
-  /// nothing: it comes from a later Release() or Tick().
+  /// Asks for admission. Returns the outcome if it is known at once; otherwise
+  /// the request is queued, and a later Release() or Tick() returns it.
   std::vector<AdmissionOutcome> Submit(const AdmissionRequest& aRequest,
                                        Millis aNow);
-  /// Gives back the place of an admitted request; returns who goes in.
+  /// An admitted request has ended. Returns the outcomes for queued requests.
   std::vector<AdmissionOutcome> Release(const std::string& aWorkspace,
                                         Millis aNow);
-  /// Takes a waiting ticket back: its caller left.
+  /// Removes a queued ticket, as its caller has left.
   void Withdraw(std::uint64_t aTicket);
-  /// Ends waits that took too long; admits as rates allow.
+  /// Refuses requests that were queued for too long; admits others as far as
+  /// rates allow.
   std::vector<AdmissionOutcome> Tick(Millis aNow);
 
-  /// How much each workspace asks now; those that ask nothing are left out.
+  /// The current demand of each workspace that has any.
   std::vector<WorkspaceDemand> Demands(Millis aNow);
 
   int InFlight() const { return mInFlight; }
@@ -82,11 +83,13 @@
   struct Workspace {
     WorkspaceLimits mLimits;
     int mInFlight = 0;
-    double mTokens = 0;  ///< Of the rate's bucket.
-    Millis mFilledAt = -1;
-    double mVirtualTime = 0;  ///< Work done, by weight.
+    double mTokens = 0;     ///< In the token bucket of the rate.
+    Millis mFilledAt = -1;  ///< -1: never.
+    /// Rises by 1 / mWeight with each admitted request. The queue of the
+    /// workspace with the least value is served next.
+    double mVirtualTime = 0;
     std::deque<QueuedRequest> mQueue;
-    std::deque<Millis> mRefusals;  ///< Of the last second, bounded.
+    std::deque<Millis> mRefusals;  ///< In the last second; bounded.
   };
 
   void Refill(Workspace& aWorkspace, Millis aNow) const;
@@ -104,7 +107,7 @@
   int mInFlight = 0;
   std::size_t mQueued = 0;
   double mVirtualNow = 0;
-  double mServiceMillis = 0;  ///< A moving mean of expected service times.
+  double mServiceMillis = 0;  ///< Moving mean of the expected times.
 };
 
 }  // namespace spindleweir
--- a/servers/limits/advertised_limits.cpp
+++ b/servers/limits/advertised_limits.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr double kMillisPerSecond = 1000;
-/// Limits and demands travel as whole numbers, in thousandths.
+/// Limits and demands are reported as whole numbers, in thousandths.
 constexpr double kThousandths = 1000;
 
 }  // namespace
@@ -25,7 +25,8 @@
   if (isNew) {
     limit.mFirstKnownAt = aNow;
     limit.mAccruedAt = aNow;
-    // Routers that hear of it at the same moment do not send at the same one.
+    // A random start keeps routers that learn of the limit at the same moment
+    // from sending at the same moment.
     limit.mFraction = mOptions.mRandom();
   }
   return limit;
@@ -42,7 +43,8 @@
     mEndedAt.erase(aInstance);
     return changed;
   }
-  // An answer that was on its way when the limit was named says nothing.
+  // An answer to an attempt that began before the limit was known doesn't show
+  // that the limit has ended.
   if (it == mLimits.end() || aBegunAt <= std::max(it->second.mAdvertisedAt,
                                                   it->second.mFirstKnownAt)) {
     return false;
@@ -81,7 +83,8 @@
       mLimits.erase(instance);
       continue;
     }
-    // Those who were reported before it ended tell of it for a while.
+    // Peers go on reporting a limit for a while after it has ended, so a limit
+    // that was seen to end here isn't taken from their reports.
     if (share.mLimitReporters > 0 && !advertisedHere &&
         !mEndedAt.contains(instance)) {
       SetLimit(instance,
@@ -150,9 +153,10 @@
     const double whole = std::floor(aLimit.mFraction);
     aLimit.mFraction -= whole;
     aLimit.mNewestCreditAt = aNow - std::llround(aLimit.mFraction / perMilli);
-    const double max = std::max(
+    const double maxCredits = std::max(
         1.0, perMilli * static_cast<double>(mOptions.mCreditRetention));
-    aLimit.mCredits = static_cast<int>(std::min(max, aLimit.mCredits + whole));
+    aLimit.mCredits =
+        static_cast<int>(std::min(maxCredits, aLimit.mCredits + whole));
   }
   if (aNow - aLimit.mNewestCreditAt > CreditRetention(aLimit)) {
     aLimit.mCredits = 0;
--- a/servers/limits/crash_ledger.cpp
+++ b/servers/limits/crash_ledger.cpp
@@ -9,8 +9,9 @@
 
 namespace {
 
-/// Beyond the number that bars, more crashes tell nothing; a request that
-/// completes again and again is kept from being barred by them.
+/// Crashes per record. More than the number that bars a request add no
+/// information, and the limit keeps a request that completes again and again
+/// from being barred by further crashes.
 constexpr std::size_t kMaxCrashes = 16;
 constexpr std::size_t kMaxDigestLength = 64;
 constexpr std::size_t kMaxIncarnationLength = 300;
@@ -34,8 +35,10 @@
     RequireAge(crash.mAgo);
   }
   if (!usable) {
-    throw Error(ResultCode::kBadHeartbeat,
-                "a record of crashes names too much, or nothing");
+    throw Error(
+        ResultCode::kBadHeartbeat,
+        "crash record needs a digest of 1 to 64 bytes and 1 to 16 crashes, "
+        "each with an incarnation of 1 to 300 bytes");
   }
 }
 
--- a/servers/limits/crash_watch.cpp
+++ b/servers/limits/crash_watch.cpp
@@ -8,13 +8,14 @@
 
 namespace {
 
-/// Of the attempts that one router lost with one crash, those that began last
-/// are told. Requests that crashed engines did so within 0.3 s of their begin
-/// there, while 8 to 116 streams were lost with each.
+/// Only the attempts that began last are recorded of those that one router lost
+/// with a crash. Requests that crash an engine do so within 0.3 s of their
+/// start there, while 8 to 116 streams are lost with each crash.
 constexpr std::size_t kMaxSuspects = 8;
-/// Nobody could look in this time: the process had no processor.
+/// If no probe has succeeded or failed after this time, the process itself got
+/// no processor time, and the lost attempts prove nothing.
 constexpr Millis kPendingProbeTimeout = 3000;
-/// What completed is remembered to excuse a request that others bar.
+/// Completed requests that are stored to excuse those that other processes bar.
 constexpr std::size_t kMaxCompleted = 1024;
 
 }  // namespace
@@ -69,8 +70,8 @@
 
 void CrashWatch::OnRequestCompleted(const std::string& aDigest, Millis aNow) {
   if (mLedger.UnexcusedCrashes(aDigest) > 1) {
-    // One crash alone never bars, and is soon forgotten; word of it would be
-    // told of all that a crash cut off.
+    // A single crash never bars a request and soon expires. Excusing it would
+    // add a report for each request that a crash has cut off.
     mLedger.Excuse(aDigest, aNow, aNow);
   }
   const auto [it, first] = mCompletedAt.insert_or_assign(aDigest, aNow);
--- a/servers/limits/memory_budget.cpp
+++ b/servers/limits/memory_budget.cpp
@@ -6,52 +6,54 @@
 
 namespace {
 
-/// Of a process's memory. The rest is for the process itself (10 MB), the
-/// objects of requests, and what the allocator rounds up and does not give
-/// back: with 3,000 slow callers a router took 2.4 times what it held.
+/// The budget's part of a process's memory. The rest is for the process itself
+/// (10 MB), the objects of requests, and what the allocator rounds up and does
+/// not return: with 3,000 slow callers a router uses 2.4 times what it holds.
 constexpr double kBudgetFraction = 0.4;
-/// As many requests as this have their least side by side: a router takes
-/// 3,000 connections.
+/// The number of requests that can have their minimum at the same time: a
+/// router accepts 3,000 connections.
 constexpr std::size_t kPlannedConnections = 4096;
-/// 8 KB are 6 MB/s at 1.3 ms there and back, 270 KB/s at 30 ms.
+/// 8 KB allow 6 MB/s at a round-trip time of 1.3 ms, and 270 KB/s at 30 ms.
 constexpr std::size_t kMinSocketBuffer = 8 * 1024;
 constexpr std::size_t kMaxSocketBuffer = 64 * 1024;
-/// One read of a connection.
+/// Size of one read of a connection.
 constexpr std::size_t kReadBytes = 4096;
-/// What each request that is read may hold: a head that comes in two pieces.
+/// What each request may hold while it is read: a head that arrives in two
+/// reads.
 constexpr std::size_t kMinRequestBytes = 2 * kReadBytes;
-/// Shares come out of this part of the bound; the rest is for the least of
-/// requests that stalled come: 600 of 24 KB in 64 MB.
+/// The part of the budget that shares are taken from. The rest is for the
+/// minimum of requests that are admitted later: 600 requests of 24 KB in 64 MB.
 constexpr double kSharedFraction = 0.75;
-/// A share is this part of what is free, so that it shrinks as the account
-/// fills and all shares together do not fill it: 64 holders of streams leave
-/// half of the shared part free.
+/// A stream's share is what is free divided by this, so that shares shrink as
+/// the budget fills and all of them together do not fill it: 64 connections
+/// with streams leave half of the shared part free.
 constexpr std::size_t kStreamDivisor = 64;
-/// ForMemory what is collected whole: 3 MB of 48 MB for the first, 100 KB each
-/// for the first 460.
+/// The same for answers that are collected: of 48 MB, 3 MB for the first, and
+/// 100 KB each for the first 460.
 constexpr std::size_t kCollectDivisor = 16;
-/// ForMemory requests that are read: they have to be whole before they are
-/// sent, so that a body of 4 MB must fit into 48 MB even beside others.
+/// The same for requests that are read. They have to be complete before they
+/// are sent, so a body of 4 MB must fit into 48 MB even beside others.
 constexpr std::size_t kBodyDivisor = 4;
-/// An answer that an upstream could not hand over for so long is drained as
-/// far as there is room: upstreams cut one that is unread for some seconds.
+/// An answer that the upstream was unable to send for this long is drained as
+/// far as there is room: upstreams cut answers that are unread for some
+/// seconds.
 constexpr Millis kDrainDelay = 1000;
-/// A half of what is free: a call that is not drained keeps a place at its
-/// upstream from callers that read well.
+/// Half of what is free may be used for draining: a call that is not drained
+/// occupies a slot of its upstream that callers that read fast could use.
 constexpr std::size_t kDrainDivisor = 2;
-/// Who moved less than this in so long stands stalled: 512 B/s. A caller on the
-/// slowest mobile link takes ten times as much; one that takes a byte a second
-/// would keep its memory for a day.
+/// A connection that moves less than kMinProgressBytes in kStallTimeout has
+/// stalled: 512 B/s. A caller on the slowest mobile link reads ten times as
+/// fast; one that reads a byte per second would hold its memory for a day.
 constexpr Millis kStallTimeout = 2000;
 constexpr std::size_t kMinProgressBytes = 1024;
-/// Answers of calls that cannot be sent again are kept so much longer, and
-/// until nearly all of the bound is used.
+/// Answers of calls that may not be sent again are retained for this longer
+/// time, and until this part of the budget is used.
 constexpr Millis kNotRetryableStallTimeout = 8000;
 constexpr double kNotRetryableEvictionLevel = 0.95;
-/// Ended in one look at largest, so that one look stays under a millisecond.
+/// Keeps the time of one tick under a millisecond.
 constexpr std::size_t kMaxEvictionsPerTick = 64;
-/// Who was refused comes back spread over a second; what stands stalled is cut
-/// after two, so that half of them find room.
+/// Refused callers retry after one to two seconds. Stalled connections are
+/// evicted after two, so that half of the callers find room.
 constexpr Millis kMinRetryAfter = 1000;
 constexpr double kRetryAfterSpread = 1000;
 
@@ -171,7 +173,7 @@
   }
   Connection& connection = it->second;
   connection.mProgressBytes += aBytes;
-  // Who took all that there was cannot take more.
+  // A caller that has accepted all there was cannot accept more.
   const bool tookAll =
       connection.mHeld[static_cast<std::size_t>(BufferKind::kUnread)] == 0 &&
       connection.mHeld[static_cast<std::size_t>(BufferKind::kReading)] == 0;
@@ -220,7 +222,7 @@
 }
 
 bool MemoryBudget::Reserve(std::uint64_t aConnection, std::size_t aBytes) {
-  // The last read may bring less than a whole one.
+  // One read more than the body, as a read fills its buffer only in part.
   const std::size_t bytes = aBytes + kReadBytes;
   if (!CanAdmit(aConnection, bytes)) {
     return false;
@@ -298,7 +300,7 @@
 bool MemoryBudget::HasRoomForRead(const Connection& aConnection,
                                   Millis aNow) const {
   if (aConnection.mClass > EvictionClass::kReading) {
-    // Once nothing is read the window fills.
+    // Once reading stops, the socket buffer fills.
     const std::size_t arrived =
         aConnection.mHeld[static_cast<std::size_t>(BufferKind::kArrived)];
     const std::size_t window = arrived > 0 ? 0 : mOptions.mSocketBuffer;
@@ -338,7 +340,7 @@
     return connection.mHeld[static_cast<std::size_t>(BufferKind::kPartial)] <=
            mOptions.mMaxCollected;
   }
-  // Where it may not, nothing is read for a while, and the window fills.
+  // If it may not, reading stops for a while, and the socket buffer fills.
   return connection.mAnswerBytes + mOptions.mSocketBuffer + kReadBytes <=
          PortionOfFree(kCollectDivisor, mOptions.mMaxCollected);
 }
@@ -371,7 +373,7 @@
   };
   switch (aConnection.mClass) {
     case EvictionClass::kNotSent:
-      // It waits for an upstream: that is not its caller's doing.
+      // The connection waits for an upstream, not for its caller.
       return false;
     case EvictionClass::kIdle:
     case EvictionClass::kReading:
@@ -391,8 +393,8 @@
 
 std::vector<std::uint64_t> MemoryBudget::ChooseStalledReader(
     Millis aNow) const {
-  // Requests that wait for each other's room: one has to come back later, so
-  // that the others become whole.
+  // Incomplete requests may wait for each other's room. The largest is evicted,
+  // and its caller has to retry, so that the others can be completed.
   std::uint64_t stalled = 0;
   std::size_t largest = 0;
   for (std::uint64_t id : mWaiting) {
@@ -434,7 +436,8 @@
                          ? !aLeft.mNotRetryable
                          : aLeft.mWeight > aRight.mWeight;
             });
-  // Down to a little room, or the next read of anyone is a cut again.
+  // Evicts until some room is free; otherwise the next read of any connection
+  // would cause an eviction again.
   const std::size_t shared = SharedPart();
   std::size_t over = mCommitted - shared + shared / kCollectDivisor;
   for (const Candidate& candidate : candidates) {
--- a/servers/limits/request_digest.cpp
+++ b/servers/limits/request_digest.cpp
@@ -6,10 +6,11 @@
 
 namespace {
 
-/// 80 bits: callers would need 2^80 trials to meet another's.
+/// 80 bits: a caller would need 2^80 trials to match another's digest.
 constexpr std::size_t kDigits = 20;
 
-/// Behind its length, so that no part can run into the next.
+/// Appends a part after its length, so that different parts cannot give the
+/// same text.
 void Append(std::string& aText, std::string_view aPart) {
   aText += std::to_string(aPart.size());
   aText += ' ';
--- a/servers/limits/retry_detector.cpp
+++ b/servers/limits/retry_detector.cpp
@@ -6,17 +6,19 @@
 
 namespace {
 
-/// How much one request moves what is usual, up and down: it settles a little
-/// under the most that many have, also where six in ten are later tries, and
-/// one caller that has more than all others moves it by a twentieth of that.
+/// Weights of one request in the typical deadline, if it is longer and if it is
+/// shorter. The value settles a little under the longest deadline that many
+/// requests have, even if six in ten are retries, and one caller with a longer
+/// deadline than all others moves it by a twentieth of the difference.
 constexpr double kUpWeight = 0.05;
 constexpr double kDownWeight = 0.005;
-/// One request counts as so many times what is usual at most: what a caller has
-/// left is read from outside, and one that says it has a day would have all
-/// others taken for later tries for a thousand requests.
+/// A deadline counts as at most this multiple of the typical one. Deadlines are
+/// stated by callers: a single one of a day would make all other requests pass
+/// for retries for the next thousand requests.
 constexpr double kMaxRatioToTypical = 2;
-/// A later try comes after a refusal's wait, 0.3 s at least, or after the two
-/// seconds for which callers wait for an event, of 20 s mostly.
+/// A request with less than this part of the typical deadline is a retry. A
+/// retry is sent after the wait of a refusal, at least 0.3 s, or after the 2 s
+/// that callers wait for an event; most deadlines are 20 s.
 constexpr double kFirstAttemptFraction = 0.95;
 
 }  // namespace
--- a/servers/limits/retry_schedule.cpp
+++ b/servers/limits/retry_schedule.cpp
@@ -7,21 +7,21 @@
 
 namespace {
 
-/// The part of the time left that callers wait at latest.
+/// Callers wait for at most their remaining time divided by this.
 constexpr Millis kWaitDivisor = 3;
-/// Callers are assigned within so long where none says what it has left.
+/// Limit for callers that do not state their remaining time.
 constexpr Millis kDefaultMaxWait = 5000;
-/// And within this whatever it says that it has: callers are counted by slots,
-/// and what a caller has left is read earliest outside. A third of a stream's
-/// 20 s is 6.7 s.
+/// Limit whatever remaining time a caller states: it bounds the number of slots
+/// that are stored. A third of a stream's 20 s is 6.7 s.
 constexpr Millis kMaxWait = 10000;
-/// Callers are counted by times of this length: they come a few milliseconds
-/// after they are assigned to, and requests come in such clumps by themselves.
+/// Callers are counted in time slots of this length: they retry a few
+/// milliseconds after the assigned time, and ordinary requests arrive in clumps
+/// of this length too.
 constexpr Millis kSlotLength = 100;
-/// The part of what comes free that returning callers are given: the rest is
-/// for what comes more by chance.
+/// The part of the room that becomes free which is assigned to returning
+/// callers. The rest is for random variation of first requests.
 constexpr double kReturningFraction = 0.7;
-/// The least time in which something comes free that wasn't before.
+/// The shortest time in which room becomes free that wasn't free before.
 constexpr Millis kMinWait = 200;
 
 }  // namespace
@@ -66,7 +66,7 @@
       std::min(std::max(kMinWait, aRequest.mFreeAfter), latest);
   const std::int64_t first = (now + earliest) / kSlotLength;
   const std::int64_t last = std::max(first, (now + latest) / kSlotLength - 1);
-  // Room gathers over the slots: what one cannot use the next one has.
+  // Room that one slot doesn't use is carried over to the next.
   const double each = aRequest.mFreePerMilli * kReturningFraction *
                       static_cast<double>(kSlotLength);
   std::int64_t chosen = first;
@@ -81,14 +81,15 @@
       retry.mRoomExpected = true;
       break;
     }
-    // Of those with as few the last: what comes free is not known, and who came
-    // back in vain lost the last of its attempts.
+    // Of the slots with the fewest callers the last is taken: it is not known
+    // when room becomes free, and a caller that returns too early may lose the
+    // last of its attempts.
     if (fewest < 0 || assigned <= fewest) {
       fewest = assigned;
       chosen = slot;
     }
   }
-  retry.mCallersBySlot = ++At(chosen);
+  retry.mCallersInSlot = ++At(chosen);
   const auto within =
       static_cast<Millis>(aRequest.mRandom * static_cast<double>(kSlotLength));
   retry.mAfter =
--- a/servers/limits/typical_time.cpp
+++ b/servers/limits/typical_time.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// How much one answer moves the mean.
+/// Weight of one answer in the moving mean.
 constexpr double kWeight = 0.05;
 
 }  // namespace
--- a/servers/limits/upstream_bound.cpp
+++ b/servers/limits/upstream_bound.cpp
@@ -6,11 +6,12 @@
 
 namespace {
 
-/// The part of the bound that is divided evenly and holds whatever is known.
-/// The other half is for those who are asked more.
+/// The part of the capacity that is divided evenly, whatever is known of peers.
+/// The other half is for routers with more demand.
 constexpr double kEvenFraction = 0.5;
 
-/// aMax: of what the upstream can hold; the rest in the same unit.
+/// Whether aMore fits beside what this router and its peers have there. aMax:
+/// the upstream's capacity. All are in the same unit, requests or bytes.
 bool Fits(double aMax, double aLocal, double aPeers, double aMore,
           int aRouters) {
   const double routers = std::max(1, aRouters);
@@ -18,8 +19,8 @@
   if (aLocal + aMore <= evenPart) {
     return true;
   }
-  // With more routers than places an evenPart part holds no request: nothing is
-  // reserved free for it.
+  // With more routers than places, an even part is too small for a request, so
+  // nothing is reserved for the peers' parts.
   const double reserved = evenPart < aMore ? 0 : evenPart * (routers - 1);
   return aLocal + std::max(aPeers, reserved) + aMore <= aMax;
 }
@@ -27,8 +28,8 @@
 }  // namespace
 
 double UnreportedRequests(const UpstreamOccupancy& aOccupancy) {
-  // Others are asked as much as this router, and what came has mostly ended
-  // after the usual time.
+  // Peers are assumed to send at the same rate as this router, and requests to
+  // have ended after the typical time.
   const Millis time =
       std::min(aOccupancy.mPeerReportAge, aOccupancy.mTypicalTime);
   return aOccupancy.mLocalRate *
@@ -51,7 +52,7 @@
   if (aOptions.mBodyBytes <= 0) {
     return true;
   }
-  // Others' bytes are not told: their requests count as large as the own.
+  // Peers don't report bytes: their requests count as large as the local ones.
   const double bytesEach = (aOccupancy.mLocalBytes + aOccupancy.mBodyBytes) /
                            (aOccupancy.mLocal + 1);
   return Fits(aOptions.mBodyBytes, aOccupancy.mLocalBytes, peers * bytesEach,
--- a/servers/limits/warm_up_admission.cpp
+++ b/servers/limits/warm_up_admission.cpp
@@ -7,15 +7,15 @@
 
 namespace {
 
-/// So much reading may be under way at a time for each router. A path has six
-/// to ten parts that read one after the other, so that one request at a time
-/// would leave most of them idle; with 200 ms of it the last still meets a
-/// target of 500 ms.
+/// Reading time of the prompts that each router may have in progress. A path
+/// has six to ten stages that read a prompt one after the other, so one request
+/// at a time would leave most of them idle. With 200 ms the last request still
+/// meets a target of 500 ms.
 constexpr Millis kMaxReadBacklog = 200;
-/// The part of the capacity that is dealt out: the rest is for streams that
-/// go on, and for paths that are dealt unevenly.
+/// The part of the capacity that is used for admission. The rest is for streams
+/// in progress, and for an uneven choice of paths.
 constexpr double kAdmittedFraction = 0.7;
-/// Longer than this nobody waits without asking again.
+/// Waiting requests try again at least this often.
 constexpr Millis kPollInterval = 50;
 
 }  // namespace
--- a/servers/limits/workspace_limiter.cpp
+++ b/servers/limits/workspace_limiter.cpp
@@ -8,13 +8,17 @@
 namespace {
 
 constexpr double kMillisPerSecond = 1000;
+/// The burst that is admitted at once is this many seconds of the rate.
 constexpr double kBurstSeconds = 0.5;
 constexpr Millis kMinRetryAfter = 100;
+/// Weight of one request in the moving mean of service times.
 constexpr double kMeanWeight = 0.05;
+/// Refusals count towards a workspace's demand for kRefusalWindow.
 constexpr std::size_t kMaxCountedRefusals = 1024;
 constexpr Millis kRefusalWindow = 1000;
 
-/// How many requests may come at once before the rate holds them.
+/// Capacity of the token bucket: the number of requests that may arrive at once
+/// before the rate limits them.
 double BurstOf(const WorkspaceLimits& aLimits) {
   return std::max(1.0, aLimits.mRequestsPerSecond * kBurstSeconds);
 }
@@ -128,8 +132,8 @@
   if (wait > mOptions.mMaximumWait) {
     return refuse(ResultCode::kOverLimit);
   }
-  // Each workspace may fill only its part of the queue, so that one that
-  // floods leaves room for the others.
+  // Each workspace may fill at most a quarter of the queue, so that one that
+  // sends too much leaves room for the others.
   const std::size_t part = std::max<std::size_t>(1, mOptions.mMaximumQueue / 4);
   if (mQueued >= mOptions.mMaximumQueue || workspace.mQueue.size() >= part) {
     return refuse(ResultCode::kQueueFull);
