--- a/tests/fuzz/advertised_limits_fuzz.cpp
+++ b/tests/fuzz/advertised_limits_fuzz.cpp
@@ -1,5 +1,5 @@
-/// Limits that upstreams name, played at random against an oracle that sees
-/// all answers: what routers know of one upstream, told with the loads.
+/// Fuzzing of advertised limits: what routers know of one upstream, with random
+/// answers and reports, against an oracle that observes all answers.
 #include <rapidcheck.h>
 
 #include <array>
@@ -17,7 +17,7 @@
 
 constexpr std::size_t kRouters = 3;
 constexpr double kPerSecond = 4;
-constexpr Millis kLong = 60000;
+constexpr Millis kEndTimeout = 60000;
 const std::string kUpstream = "a";
 
 AdvertisedLimitsOptions Options() {
@@ -31,36 +31,37 @@
           .mRandom = [] { return 0.5; }};
 }
 
-/// An upstream and the routers that ask it, with all news delivered at once.
-class Play {
+/// An upstream and the routers that send to it. Reports are delivered at once.
+class LimitSimulation {
  public:
-  void Step(int aWhat, Millis aTime) {
+  void Step(int aAction, Millis aTime) {
     mNow += aTime;
-    const auto router = static_cast<std::size_t>(aWhat) % kRouters;
-    switch (aWhat / static_cast<int>(kRouters) % 4) {
+    const auto router = static_cast<std::size_t>(aAction) % kRouters;
+    switch (aAction / static_cast<int>(kRouters) % 4) {
       case 0:
-        Ask(router);
+        SendRequest(router);
         break;
       case 1:
-        mNames = !mNames;
+        mAdvertises = !mAdvertises;
         break;
       case 2:
-        TellOf(router);
+        DeliverReports(router);
         break;
       default:
-        Late(router);
+        DeliverLateAnswer(router);
     }
-    Check();
+    CheckInvariants();
   }
 
-  /// The upstream names none any more, and routers ask on and tell each other.
+  /// Checks that the limit ends on all routers once the upstream advertises
+  /// none, while routers go on sending requests and reports.
   void CheckItEnds() {
-    mNames = false;
+    mAdvertises = false;
     for (int i = 0; i < 100; i++) {
-      mNow += kLong / 100;
+      mNow += kEndTimeout / 100;
       for (std::size_t router = 0; router < kRouters; router++) {
-        Ask(router);
-        TellOf(router);
+        SendRequest(router);
+        DeliverReports(router);
       }
     }
     for (AdvertisedLimits& limits : mLimits) {
@@ -70,8 +71,8 @@
   }
 
  private:
-  /// Where it may, a router asks and is answered a moment later.
-  void Ask(std::size_t aRouter) {
+  /// Sends a request, if the router may, that is answered a millisecond later.
+  void SendRequest(std::size_t aRouter) {
     AdvertisedLimits& limits = mLimits[aRouter];
     if (limits.HeldUpstreams(mNow).contains(kUpstream)) {
       return;
@@ -80,73 +81,73 @@
     limits.OnRequestSent(kUpstream);
     mSent += limited ? 1 : 0;
     const Millis begunAt = mNow++;
-    Answer(aRouter, mNames, begunAt);
+    Answer(aRouter, mAdvertises, begunAt);
   }
 
-  /// An answer comes that was sent before all that are known.
-  void Late(std::size_t aRouter) {
+  /// Delivers an answer to an attempt that began before all others.
+  void DeliverLateAnswer(std::size_t aRouter) {
     (void)mLimits[aRouter].OnAnswer(kUpstream, std::nullopt, 0, mNow);
   }
 
-  void Answer(std::size_t aRouter, bool aNames, Millis aBegunAt) {
+  void Answer(std::size_t aRouter, bool aAdvertises, Millis aBegunAt) {
     (void)mLimits[aRouter].OnAnswer(
-        kUpstream, aNames ? std::optional(kPerSecond) : std::nullopt, aBegunAt,
-        mNow);
-    mNamedLast[aRouter] = aNames;
-    mNamedAt[aRouter] = aNames ? mNow : mNamedAt[aRouter];
-    if (!aNames) {
-      mEndSeenAt = mNow;
+        kUpstream, aAdvertises ? std::optional(kPerSecond) : std::nullopt,
+        aBegunAt, mNow);
+    mAdvertisedLast[aRouter] = aAdvertises;
+    mAdvertisedAt[aRouter] = aAdvertises ? mNow : mAdvertisedAt[aRouter];
+    if (!aAdvertises) {
+      mEndObservedAt = mNow;
     }
   }
 
-  void TellOf(std::size_t aRouter) {
-    LoadShares told;
+  void DeliverReports(std::size_t aRouter) {
+    LoadShares reports;
     for (std::size_t other = 0; other < kRouters; other++) {
       if (other != aRouter) {
-        LoadShares one;
-        mLimits[other].AddReport(one, mNow);
-        told[kUpstream].mInstance = kUpstream;
-        told[kUpstream].Add(one[kUpstream], 1);
+        LoadShares report;
+        mLimits[other].AddReport(report, mNow);
+        reports[kUpstream].mInstance = kUpstream;
+        reports[kUpstream].Add(report[kUpstream], 1);
       }
     }
-    mLimits[aRouter].ApplyPeerReports(told, mNow);
+    mLimits[aRouter].ApplyPeerReports(reports, mNow);
   }
 
-  /// Whom an upstream named a limit to last, and nobody saw it end since, goes
-  /// by it.
-  void Check() {
+  /// A router whose last answer advertised the limit applies it, unless a
+  /// router has observed its end since.
+  void CheckInvariants() {
     for (std::size_t router = 0; router < kRouters; router++) {
-      if (mNamedLast[router] && mNamedAt[router] > mEndSeenAt) {
+      if (mAdvertisedLast[router] && mAdvertisedAt[router] > mEndObservedAt) {
         RC_ASSERT(mLimits[router].LimitOf(kUpstream) == kPerSecond);
       }
     }
-    // Each keeps at most two at once.
-    const double most =
+    // Each router saves up at most two credits.
+    const double maxSent =
         kPerSecond * static_cast<double>(mNow) / 1000 + 2 * kRouters;
-    RC_ASSERT(mSent <= most);
+    RC_ASSERT(mSent <= maxSent);
   }
 
   std::array<AdvertisedLimits, kRouters> mLimits{AdvertisedLimits(Options()),
                                                  AdvertisedLimits(Options()),
                                                  AdvertisedLimits(Options())};
-  std::array<bool, kRouters> mNamedLast{};
-  std::array<Millis, kRouters> mNamedAt{};
-  Millis mEndSeenAt = 0;
+  std::array<bool, kRouters> mAdvertisedLast{};
+  std::array<Millis, kRouters> mAdvertisedAt{};
+  Millis mEndObservedAt = 0;
   Millis mNow = 1;
   int mSent = 0;
-  bool mNames = false;
+  bool mAdvertises = false;
 };
 
 }  // namespace
 
-Test(advertised_limits_fuzz, hold_and_end_as_answers_say) {
-  CHECK(rc::check("as answers say", [] {
-    Play play;
+Test(advertised_limits_fuzz, are_in_force_as_answers_advertise_them) {
+  CHECK(rc::check("limits are in force as answers advertise them", [] {
+    LimitSimulation simulation;
     const auto steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
         rc::gen::pair(rc::gen::inRange(0, 12), rc::gen::inRange(1, 700)));
-    for (const auto& [what, time] : steps) {
-      play.Step(what, time);
+    for (const auto& [action, time] : steps) {
+      simulation.Step(action, time);
     }
-    play.CheckItEnds();
+    simulation.CheckItEnds();
   }));
 }
--- a/tests/fuzz/crash_ledger_fuzz.cpp
+++ b/tests/fuzz/crash_ledger_fuzz.cpp
@@ -1,6 +1,6 @@
-/// Fuzzing of the crash ledger: processes that see crashes and completions and
-/// tell one another late, twice and in any order, against an oracle that knows
-/// all of it at once.
+/// Fuzzing of the crash ledger: processes that observe crashes and completions
+/// and exchange records late, twice and in any order, against an oracle that
+/// knows all of them at once.
 #include <rapidcheck.h>
 
 #include <array>
@@ -17,72 +17,72 @@
 namespace {
 
 constexpr std::size_t kProcesses = 4;
-constexpr int kContents = 3;
+constexpr int kRequests = 3;
 constexpr int kIncarnations = 12;
-constexpr std::size_t kBars = 3;
+constexpr std::size_t kCrashesToBar = 3;
 
-/// A defect that is planted, so that the check is seen to fail.
-enum class Defect { kNone, kCountsWordNotCrashes, kForgetsExcuses };
+/// A defect that is planted to show that the check fails on it.
+enum class Defect { kNone, kCountsMessagesAsCrashes, kDropsExcuses };
 
-class World {
+class ProcessModel {
  public:
-  explicit World(Defect aDefect) : mDefect(aDefect) {}
+  explicit ProcessModel(Defect aDefect) : mDefect(aDefect) {}
 
   void Step(int aDice) {
     const auto process = static_cast<std::size_t>(aDice) % kProcesses;
-    const int rest = aDice / static_cast<int>(kProcesses);
-    const std::string content = "c" + std::to_string(rest % kContents);
-    const int incarnation = rest / kContents % kIncarnations;
+    const int value = aDice / static_cast<int>(kProcesses);
+    const std::string request = "c" + std::to_string(value % kRequests);
+    const int incarnation = value / kRequests % kIncarnations;
     mNow += 10;
-    switch (rest / kContents / kIncarnations % 8) {
+    switch (value / kRequests / kIncarnations % 8) {
       case 0:
       case 1:
       case 2: {
         const std::string name = IncarnationName("u", incarnation);
-        mLedgers[process].RecordCrash(content, name, mNow);
-        mCrashes[content].insert(name);
-        mSeen[process][content].insert(name);
+        mLedgers[process].RecordCrash(request, name, mNow);
+        mCrashes[request].insert(name);
+        mKnown[process][request].insert(name);
         break;
       }
       case 3:
-        // A process excuses what it knows of.
-        mLedgers[process].Excuse(content, mNow, mNow);
-        for (const std::string& name : mSeen[process][content]) {
-          mExcused[content].insert(name);
+        // A process excuses the crashes that it knows.
+        mLedgers[process].Excuse(request, mNow, mNow);
+        for (const std::string& name : mKnown[process][request]) {
+          mExcused[request].insert(name);
         }
         break;
       case 4:
-        Tell(process, (process + 1) % kProcesses, 0);
+        Send(process, (process + 1) % kProcesses, 0);
         break;
       case 5:
-        Tell(process, (process + 2) % kProcesses,
+        Send(process, (process + 2) % kProcesses,
              mLedgers[process].Revision() / 2);
         break;
       default:
-        if (!mLetters.empty()) {
-          Deliver(static_cast<std::size_t>(rest) % mLetters.size());
+        if (!mMessages.empty()) {
+          Deliver(static_cast<std::size_t>(value) % mMessages.size());
         }
         break;
     }
   }
 
-  /// All tell all until nothing is new.
-  bool Agree() {
+  /// Exchanges all records, and checks each ledger against the oracle.
+  bool Converges() {
     for (int round = 0; round < 2; round++) {
       for (std::size_t from = 0; from < kProcesses; from++) {
         for (std::size_t to = 0; to < kProcesses; to++) {
-          Tell(from, to, 0);
-          Deliver(mLetters.size() - 1);
+          Send(from, to, 0);
+          Deliver(mMessages.size() - 1);
         }
       }
     }
-    for (int i = 0; i < kContents; i++) {
-      const std::string content = "c" + std::to_string(i);
+    for (int i = 0; i < kRequests; i++) {
+      const std::string request = "c" + std::to_string(i);
       const std::size_t left =
-          mCrashes[content].size() - mExcused[content].size();
+          mCrashes[request].size() - mExcused[request].size();
       for (const CrashLedger& ledger : mLedgers) {
-        if (ledger.UnexcusedCrashes(content) != left ||
-            ledger.IsBarred(content) != (left >= kBars)) {
+        if (ledger.UnexcusedCrashes(request) != left ||
+            ledger.IsBarred(request) != (left >= kCrashesToBar)) {
           return false;
         }
       }
@@ -91,66 +91,66 @@
   }
 
  private:
-  struct Letter {
+  struct Message {
     std::size_t mTo;
     std::vector<CrashRecord> mRecords;
     Millis mAt;
   };
 
-  void Tell(std::size_t aFrom, std::size_t aTo, std::int64_t aSince) {
-    mLetters.push_back(
+  void Send(std::size_t aFrom, std::size_t aTo, std::int64_t aSince) {
+    mMessages.push_back(
         {aTo, mLedgers[aFrom].ChangesSince(aSince, false, 100, mNow).mRecords,
          mNow});
   }
 
-  /// A letter stays: it may come again.
+  /// Delivers a message. It stays stored, so it may be delivered again.
   void Deliver(std::size_t aWhich) {
-    for (CrashRecord record : mLetters[aWhich].mRecords) {
+    for (CrashRecord record : mMessages[aWhich].mRecords) {
       for (ObservedCrash& crash : record.mCrashes) {
-        crash.mAgo += mNow - mLetters[aWhich].mAt;
-        mSeen[mLetters[aWhich].mTo][record.mRequestDigest].insert(
+        crash.mAgo += mNow - mMessages[aWhich].mAt;
+        mKnown[mMessages[aWhich].mTo][record.mRequestDigest].insert(
             crash.mIncarnation);
-        if (mDefect == Defect::kForgetsExcuses) {
+        if (mDefect == Defect::kDropsExcuses) {
           crash.mExcused = false;
         }
-        if (mDefect == Defect::kCountsWordNotCrashes) {
-          crash.mIncarnation += "+" + std::to_string(mLetters[aWhich].mTo);
+        if (mDefect == Defect::kCountsMessagesAsCrashes) {
+          crash.mIncarnation += "+" + std::to_string(mMessages[aWhich].mTo);
         }
       }
-      mLedgers[mLetters[aWhich].mTo].Merge(record, mNow);
+      mLedgers[mMessages[aWhich].mTo].Merge(record, mNow);
     }
   }
 
   Defect mDefect;
   std::array<CrashLedger, kProcesses> mLedgers;
-  std::vector<Letter> mLetters;
+  std::vector<Message> mMessages;
   Millis mNow = 0;
-  std::map<std::string, std::set<std::string>> mCrashes;  ///< By content.
+  std::map<std::string, std::set<std::string>> mCrashes;  ///< By request.
   std::map<std::string, std::set<std::string>> mExcused;
-  std::array<std::map<std::string, std::set<std::string>>, kProcesses> mSeen;
+  std::array<std::map<std::string, std::set<std::string>>, kProcesses> mKnown;
 };
 
-bool Survives(const std::vector<int>& aDice, Defect aDefect) {
-  World world(aDefect);
+bool HoldsFor(const std::vector<int>& aDice, Defect aDefect) {
+  ProcessModel model(aDefect);
   for (int dice : aDice) {
-    world.Step(dice);
+    model.Step(dice);
   }
-  return world.Agree();
+  return model.Converges();
 }
 
 }  // namespace
 
-Test(crash_ledger_fuzz, all_agree_with_who_saw_everything) {
-  cr_assert(rc::check("any order of word", [] {
+Test(crash_ledger_fuzz, all_processes_converge_to_the_oracle) {
+  cr_assert(rc::check("any order of messages", [] {
     const auto dice = *rc::gen::container<std::vector<int>>(
         200, rc::gen::inRange(0, 1 << 20));
-    RC_ASSERT(Survives(dice, Defect::kNone));
+    RC_ASSERT(HoldsFor(dice, Defect::kNone));
   }));
 }
 
 Test(crash_ledger_fuzz, planted_defects_are_caught) {
   for (const Defect defect :
-       {Defect::kCountsWordNotCrashes, Defect::kForgetsExcuses}) {
+       {Defect::kCountsMessagesAsCrashes, Defect::kDropsExcuses}) {
     std::mt19937 random(3);
     bool caught = false;
     for (int round = 0; round < 100 && !caught; round++) {
@@ -158,7 +158,7 @@
       for (int i = 0; i < 200; i++) {
         dice.push_back(std::uniform_int_distribution<int>(0, 1 << 20)(random));
       }
-      caught = !Survives(dice, defect);
+      caught = !HoldsFor(dice, defect);
     }
     CHECK(caught);
   }
--- a/tests/fuzz/limits_fuzz.cpp
+++ b/tests/fuzz/limits_fuzz.cpp
@@ -1,5 +1,5 @@
-/// Fuzzing of admission against a count: every ticket gets exactly one
-/// outcome, limits hold, and nothing is left over at the end.
+/// Fuzzing of admission against a count of tickets: each ticket gets exactly
+/// one outcome, limits hold, and no ticket is left at the end.
 #include <rapidcheck.h>
 
 #include <map>
@@ -16,9 +16,9 @@
 constexpr int kMaximumInFlight = 6;
 constexpr std::size_t kMaximumQueue = 16;
 
-class World {
+class AdmissionModel {
  public:
-  World()
+  AdmissionModel()
       : mLimiter({.mMaximumInFlight = kMaximumInFlight,
                   .mMaximumQueue = kMaximumQueue,
                   .mMaximumWait = 500}) {
@@ -43,8 +43,8 @@
         request.mPriority = which % 5;
         request.mDeadline = which % 4 == 0 ? mNow + which % 300 : 0;
         request.mServiceMillis = which % 50;
-        mOpen[request.mTicket] = workspace;
-        Take(mLimiter.Submit(request, mNow));
+        mPending[request.mTicket] = workspace;
+        ApplyOutcomes(mLimiter.Submit(request, mNow));
         break;
       }
       case 3:
@@ -52,90 +52,90 @@
         for (const auto& [ticket, name] : mAdmitted) {
           if (name == workspace) {
             mAdmitted.erase(ticket);
-            Take(mLimiter.Release(workspace, mNow));
+            ApplyOutcomes(mLimiter.Release(workspace, mNow));
             break;
           }
         }
         break;
       case 5:
-        if (!mOpen.empty()) {
-          mLimiter.Withdraw(mOpen.begin()->first);
-          mOpen.erase(mOpen.begin());
+        if (!mPending.empty()) {
+          mLimiter.Withdraw(mPending.begin()->first);
+          mPending.erase(mPending.begin());
         }
         break;
       default:
         mNow += which % 60;
-        Take(mLimiter.Tick(mNow));
+        ApplyOutcomes(mLimiter.Tick(mNow));
         break;
     }
-    Judge();
+    CheckInvariants();
   }
 
-  void Take(const std::vector<AdmissionOutcome>& aOutcomes) {
+  void ApplyOutcomes(const std::vector<AdmissionOutcome>& aOutcomes) {
     for (const AdmissionOutcome& outcome : aOutcomes) {
-      const auto it = mOpen.find(outcome.mTicket);
-      mGood = mGood && it != mOpen.end();
-      if (it == mOpen.end()) {
+      const auto it = mPending.find(outcome.mTicket);
+      mValid = mValid && it != mPending.end();
+      if (it == mPending.end()) {
         return;
       }
       if (outcome.mCode == ResultCode::kOk) {
         mAdmitted[outcome.mTicket] = it->second;
       } else {
-        mGood = mGood && outcome.mRetryAfter > 0;
+        mValid = mValid && outcome.mRetryAfter > 0;
       }
-      mOpen.erase(it);
+      mPending.erase(it);
     }
   }
 
-  void Judge() {
+  void CheckInvariants() {
     std::map<std::string, int> counts;
     for (const auto& [ticket, name] : mAdmitted) {
       counts[name]++;
     }
     for (int i = 0; i < 3; i++) {
-      mGood = mGood && counts[NameOf(i)] <= 2 + i &&
-              counts[NameOf(i)] == mLimiter.InFlight(NameOf(i));
+      mValid = mValid && counts[NameOf(i)] <= 2 + i &&
+               counts[NameOf(i)] == mLimiter.InFlight(NameOf(i));
     }
-    mGood = mGood && static_cast<int>(mAdmitted.size()) <= kMaximumInFlight &&
-            mLimiter.Queued() == mOpen.size() &&
-            mLimiter.Queued() <= kMaximumQueue;
+    mValid = mValid && static_cast<int>(mAdmitted.size()) <= kMaximumInFlight &&
+             mLimiter.Queued() == mPending.size() &&
+             mLimiter.Queued() <= kMaximumQueue;
   }
 
-  bool Drains() {
-    for (int i = 0; i < 2000 && !(mOpen.empty() && mAdmitted.empty()); i++) {
+  bool DrainsCompletely() {
+    for (int i = 0; i < 2000 && !(mPending.empty() && mAdmitted.empty()); i++) {
       mNow += 50;
-      Take(mLimiter.Tick(mNow));
+      ApplyOutcomes(mLimiter.Tick(mNow));
       if (!mAdmitted.empty()) {
         const std::string name = mAdmitted.begin()->second;
         mAdmitted.erase(mAdmitted.begin());
-        Take(mLimiter.Release(name, mNow));
+        ApplyOutcomes(mLimiter.Release(name, mNow));
       }
     }
-    return mOpen.empty() && mLimiter.InFlight() == 0;
+    return mPending.empty() && mLimiter.InFlight() == 0;
   }
 
-  bool Good() const { return mGood; }
+  bool IsValid() const { return mValid; }
 
  private:
   WorkspaceLimiter mLimiter;
   Millis mNow = 0;
   std::uint64_t mNextTicket = 1;
-  std::map<std::uint64_t, std::string> mOpen;
+  std::map<std::uint64_t, std::string> mPending;
   std::map<std::uint64_t, std::string> mAdmitted;
-  bool mGood = true;
+  bool mValid = true;
 };
 
 }  // namespace
 
 Test(limits_fuzz, every_ticket_gets_one_outcome_and_limits_hold) {
   cr_assert(rc::check("limits", [] {
-    World world;
+    AdmissionModel model;
     const auto dice = *rc::gen::container<std::vector<int>>(
         1000, rc::gen::inRange(0, 8 * 1024));
     for (int item : dice) {
-      world.Step(item);
+      model.Step(item);
     }
-    RC_ASSERT(world.Good());
-    RC_ASSERT(world.Drains());
+    RC_ASSERT(model.IsValid());
+    RC_ASSERT(model.DrainsCompletely());
   }));
 }
--- a/tests/servers/crash_ledger_test.cpp
+++ b/tests/servers/crash_ledger_test.cpp
@@ -11,7 +11,7 @@
 
 constexpr const char* kDigest = "c";
 
-CrashRecord RecordOf(const CrashLedger& aLedger, Millis aNow) {
+CrashRecord OnlyRecordOf(const CrashLedger& aLedger, Millis aNow) {
   const CrashLedger::Changes changes = aLedger.ChangesSince(0, false, 10, aNow);
   REQUIRE(changes.mRecords.size() == 1);
   return changes.mRecords.front();
@@ -28,28 +28,28 @@
 
 }  // namespace
 
-Test(crash_ledger, counts_over_processes_what_each_saw) {
+Test(crash_ledger, counts_crashes_of_all_processes) {
   CrashLedger one;
   CrashLedger other;
   one.RecordCrash(kDigest, "a@1", 0);
   one.RecordCrash(kDigest, "b@1", 10);
   other.RecordCrash(kDigest, "c@1", 20);
-  SECTION("none of them knows enough alone") {
+  SECTION("no process alone has enough crashes to bar the request") {
     CHECK(!one.IsBarred(kDigest) && !other.IsBarred(kDigest));
     CHECK(!one.HasBarredRequests());
   }
-  SECTION("one that heard the other does, and both then") {
-    CHECK(one.Merge(RecordOf(other, 30), 30));
-    CHECK(other.Merge(RecordOf(one, 30), 30));
+  SECTION("after exchanging records both bar the request") {
+    CHECK(one.Merge(OnlyRecordOf(other, 30), 30));
+    CHECK(other.Merge(OnlyRecordOf(one, 30), 30));
     CHECK(one.IsBarred(kDigest) && other.IsBarred(kDigest));
     CHECK(one.BarredRequests() == 1);
   }
-  SECTION("word that comes twice changes nothing") {
+  SECTION("a record that arrives twice changes nothing") {
     const std::int64_t revision = one.Revision();
-    CHECK(!one.Merge(RecordOf(other, 40), 40));
+    CHECK(!one.Merge(OnlyRecordOf(other, 40), 40));
     CHECK(one.Revision() == revision);
   }
-  SECTION("the same crash seen by two is one crash") {
+  SECTION("a crash that two processes observed counts once") {
     CrashLedger third;
     third.RecordCrash(kDigest, "a@1", 0);
     third.RecordCrash(kDigest, "b@1", 0);
@@ -59,7 +59,7 @@
         50);
     CHECK(third.UnexcusedCrashes(kDigest) == 2);
   }
-  SECTION("the same name started again is another") {
+  SECTION("crashes of different starts of an instance count separately") {
     CrashLedger third;
     for (int start = 1; start <= 3; start++) {
       third.RecordCrash(kDigest, IncarnationName("a", start), start);
@@ -68,25 +68,25 @@
   }
 }
 
-Test(crash_ledger, what_completes_is_excused) {
+Test(crash_ledger, a_completed_request_is_excused) {
   CrashLedger ledger;
   for (int i = 0; i < 3; i++) {
     ledger.RecordCrash(kDigest, IncarnationName("a", i), i * 10);
   }
   REQUIRE(ledger.IsBarred(kDigest));
-  SECTION("of the crashes before it alone") {
+  SECTION("only the crashes before the completion are excused") {
     ledger.Excuse(kDigest, 15, 30);
     CHECK(ledger.UnexcusedCrashes(kDigest) == 1);
     CHECK(!ledger.IsBarred(kDigest));
   }
-  SECTION("for good: the same crashes told again count no more") {
+  SECTION("excused crashes that are received again do not count") {
     ledger.Merge(
         {.mRequestDigest = kDigest,
          .mCrashes = {{.mIncarnation = "a@0"}, {.mIncarnation = "a@1"}}},
         40);
     CHECK(ledger.UnexcusedCrashes(kDigest) == 1);
   }
-  SECTION("others learn of it, routers too") {
+  SECTION("other processes, including routers, receive the excuse") {
     CrashLedger other;
     for (int i = 0; i < 3; i++) {
       other.RecordCrash(kDigest, IncarnationName("a", i), 0);
@@ -96,19 +96,19 @@
     other.Merge(changes.mRecords.front(), 50);
     CHECK(!other.IsBarred(kDigest));
   }
-  SECTION("new crashes bar it again") {
+  SECTION("new crashes bar the request again") {
     ledger.RecordCrash(kDigest, "b@1", 60);
     ledger.RecordCrash(kDigest, "c@1", 60);
     CHECK(ledger.IsBarred(kDigest));
   }
 }
 
-Test(crash_ledger, tells_each_asker_what_it_lacks) {
+Test(crash_ledger, returns_changes_since_a_revision) {
   CrashLedger ledger;
   ledger.RecordCrash("x", "a@1", 0);
   ledger.RecordCrash("y", "a@1", 0);
   ledger.RecordCrash("x", "b@1", 1);
-  SECTION("the oldest change first, and so many at a time") {
+  SECTION("the oldest change comes first, up to the maximum number") {
     const CrashLedger::Changes first = ledger.ChangesSince(0, false, 1, 5);
     REQUIRE(first.mRecords.size() == 1);
     CHECK(first.mRecords.front().mRequestDigest == "y");
@@ -119,14 +119,14 @@
     CHECK(
         ledger.ChangesSince(rest.mUpToRevision, false, 1, 5).mRecords.empty());
   }
-  SECTION("routers only what bars a request, or did") {
+  SECTION("routers receive only requests that are or were barred") {
     CHECK(ledger.ChangesSince(0, true, 10, 5).mRecords.empty());
     ledger.RecordCrash("x", "c@1", 6);
     CHECK(ledger.ChangesSince(0, true, 10, 7).mRecords.size() == 1);
   }
 }
 
-Test(crash_ledger, is_bounded) {
+Test(crash_ledger, is_bounded_in_size_and_time) {
   CrashLedger ledger({.mMaxRequests = 3});
   for (int i = 0; i < 3; i++) {
     ledger.RecordCrash("barred", IncarnationName("a", i), i);
@@ -134,20 +134,20 @@
   for (int i = 0; i < 10; i++) {
     ledger.RecordCrash("s" + std::to_string(i), "b@1", 10 + i);
   }
-  SECTION("the oldest suspects go, what is barred stays") {
+  SECTION("the oldest suspects are removed and barred requests are retained") {
     CHECK(ledger.IsBarred("barred"));
     CHECK(ledger.UnexcusedCrashes("s9") == 1 &&
           ledger.UnexcusedCrashes("s0") == 0);
     CHECK(ledger.ChangesSince(0, false, 100, 20).mRecords.size() == 3);
   }
-  SECTION("suspects are forgotten after minutes, verdicts after an hour") {
+  SECTION("suspects expire after minutes, barred requests after an hour") {
     const CrashLedgerOptions options;
     ledger.RemoveExpired(20 + options.mSuspectRetention);
     CHECK(ledger.UnexcusedCrashes("s9") == 0 && ledger.IsBarred("barred"));
     ledger.RemoveExpired(20 + options.mBarredRetention);
     CHECK(!ledger.HasBarredRequests());
   }
-  SECTION("records that name too much are refused") {
+  SECTION("empty and oversized records are refused") {
     CrashRecord record{.mRequestDigest = kDigest};
     CHECK(CodeThrownBy([&] { RequireUsable(record); }) ==
           ResultCode::kBadHeartbeat);
@@ -159,27 +159,28 @@
   }
 }
 
-Test(crash_watch, tells_a_crash_from_a_lost_connection) {
+Test(crash_watch, distinguishes_a_crash_from_a_lost_connection) {
   CrashWatch watch;
   watch.OnAttemptLost(Attempt(kDigest, "a", 0), 10);
   CHECK(watch.InstancesToProbe(10).contains("a"));
-  SECTION("an upstream that takes connections did not crash") {
+  SECTION("an upstream that accepts connections did not crash") {
     watch.OnUpstreamAlive("a");
     CHECK(watch.OnUpstreamCrashed("a", 20).empty());
     CHECK(watch.Ledger().UnexcusedCrashes(kDigest) == 0);
   }
-  SECTION("one that does not take them counts for what was lost there") {
+  SECTION(
+      "an upstream that does not accept them crashed under its lost attempts") {
     watch.OnAttemptLost(Attempt(kDigest, "a", 0), 30);
     CHECK(watch.OnUpstreamCrashed("a", 40).size() == 1);
     CHECK(watch.Ledger().UnexcusedCrashes(kDigest) == 1);
   }
-  SECTION("what nobody could look at in time does not count") {
+  SECTION("attempts that were not probed in time do not count") {
     watch.OnAttemptLost(Attempt(kDigest, "b", 0), 50);
     CHECK(watch.InstancesToProbe(60000).empty());
   }
 }
 
-Test(crash_watch, suspects_those_that_began_last) {
+Test(crash_watch, suspects_the_latest_attempts) {
   CrashWatch watch;
   for (int i = 0; i < 40; i++) {
     watch.OnAttemptLost(Attempt("old" + std::to_string(i), "a", i), 100);
@@ -193,10 +194,9 @@
         suspects.end());
 }
 
-Test(crash_watch,
-     a_request_that_completed_here_is_no_cause_of_what_came_before) {
+Test(crash_watch, a_completed_request_is_excused_of_earlier_crashes) {
   CrashWatch watch;
-  const auto verdict = [](Millis aAgo) {
+  const auto barringRecord = [](Millis aAgo) {
     CrashRecord record{.mRequestDigest = kDigest};
     for (const char* incarnation : {"a@1", "b@1", "c@1"}) {
       record.mCrashes.push_back({.mIncarnation = incarnation, .mAgo = aAgo});
@@ -204,13 +204,13 @@
     return record;
   };
   watch.OnRequestCompleted(kDigest, 1000);
-  SECTION("word of older crashes bars nothing, and is answered") {
-    watch.ApplyPeerRecord(verdict(500), 1200);
+  SECTION("records of earlier crashes bar nothing and are excused") {
+    watch.ApplyPeerRecord(barringRecord(500), 1200);
     CHECK(!watch.IsBarred(kDigest));
-    CHECK(RecordOf(watch.Ledger(), 1200).mCrashes.front().mExcused);
+    CHECK(OnlyRecordOf(watch.Ledger(), 1200).mCrashes.front().mExcused);
   }
-  SECTION("of newer ones does") {
-    CrashRecord newer = verdict(50);
+  SECTION("records of later crashes bar the request") {
+    CrashRecord newer = barringRecord(50);
     for (ObservedCrash& crash : newer.mCrashes) {
       crash.mIncarnation += "9";
     }
@@ -219,7 +219,7 @@
   }
 }
 
-Test(request_digest, tells_requests_apart_by_what_they_ask) {
+Test(request_digest, differs_if_any_part_differs) {
   const RequestParts parts{
       .mWorkspace = "w", .mHost = "h", .mTarget = "/t", .mBody = "b"};
   const std::string content = RequestDigest(parts);
--- a/tests/servers/limits_test.cpp
+++ b/tests/servers/limits_test.cpp
@@ -16,23 +16,23 @@
   return request;
 }
 
-constexpr WorkspaceLimits kWide{.mMaximumConcurrent = 1000,
-                                .mRequestsPerSecond = 1e6};
+constexpr WorkspaceLimits kUnlimited{.mMaximumConcurrent = 1000,
+                                     .mRequestsPerSecond = 1e6};
 
 }  // namespace
 
-Test(limits, concurrency_of_a_workspace_is_kept) {
+Test(limits, concurrency_of_a_workspace_is_limited) {
   WorkspaceLimiter limiter({});
   limiter.SetLimits("w", {.mMaximumConcurrent = 2, .mRequestsPerSecond = 1e6});
   CHECK(limiter.Submit(Request(1, "w"), 0).size() == 1);
   CHECK(limiter.Submit(Request(2, "w"), 0).size() == 1);
-  SECTION("the third waits and goes in when one ends") {
+  SECTION("the third request is queued and admitted when another ends") {
     CHECK(limiter.Submit(Request(3, "w"), 0).empty());
     const auto out = limiter.Release("w", 1);
     REQUIRE(out.size() == 1);
     CHECK(out[0].mTicket == 3 && out[0].mCode == ResultCode::kOk);
   }
-  SECTION("priority goes first, then who came first") {
+  SECTION("a greater priority is admitted first, then the earlier request") {
     limiter.Submit(Request(4, "w"), 2);
     limiter.Submit(Request(5, "w", 5), 2);
     limiter.Submit(Request(6, "w", 5), 2);
@@ -42,19 +42,19 @@
   }
 }
 
-Test(limits, refusals_come_at_once_and_say_when_to_return) {
+Test(limits, refusals_are_immediate_and_state_a_retry_time) {
   WorkspaceLimiter limiter({.mMaximumQueue = 8, .mMaximumWait = 1000});
   limiter.SetLimits("slow",
                     {.mMaximumConcurrent = 100, .mRequestsPerSecond = 1});
   CHECK(limiter.Submit(Request(1, "slow"), 0)[0].mCode == ResultCode::kOk);
-  SECTION("over the rate") {
+  SECTION("a request over the rate is refused") {
     CHECK(limiter.Submit(Request(2, "slow"), 0).empty());
     const auto out = limiter.Submit(Request(3, "slow"), 0);
     REQUIRE(out.size() == 1);
     CHECK(out[0].mCode == ResultCode::kOverLimit);
     CHECK(out[0].mRetryAfter >= 1000);
   }
-  SECTION("a deadline that cannot be met") {
+  SECTION("a request whose deadline cannot be met is refused") {
     const auto out = limiter.Submit(Request(4, "slow", 0, 5), 0);
     REQUIRE(out.size() == 1);
     CHECK(out[0].mCode == ResultCode::kDeadlineTooShort);
@@ -71,7 +71,7 @@
   }
 }
 
-Test(share_divider, shares_follow_demand_and_add_up) {
+Test(share_divider, shares_follow_demand_and_add_up_to_one) {
   ShareDivider first;
   ShareDivider second;
   const std::vector<WorkspaceDemand> busy = {{"w", 30}};
@@ -83,13 +83,15 @@
   second.UpdateFromPeer("first", busy);
   CHECK(first.Share("w", 2) > second.Share("w", 2));
   CHECK(std::abs(first.Share("w", 2) + second.Share("w", 2) - 1) < 1e-9);
-  SECTION("a router that was not asked can still admit a little") {
+  SECTION("a router without demand has a small share") {
     ShareDivider third;
     third.UpdateFromPeer("first", busy);
     third.UpdateFromPeer("second", calm);
     CHECK(third.Share("w", 3) > 0.05);
   }
-  SECTION("cut off, it keeps its last share; told of a crash, it takes over") {
+  SECTION(
+      "a router that is cut off retains its share, and takes over that of a "
+      "removed peer") {
     const double before = first.Share("w", 2);
     first.SetLocal(busy);
     CHECK(first.Share("w", 2) == before);
@@ -98,7 +100,7 @@
   }
 }
 
-Test(limits, waits_end) {
+Test(limits, time_in_the_queue_is_bounded) {
   WorkspaceLimiter limiter({.mMaximumWait = 1000});
   limiter.SetLimits("w", {.mMaximumConcurrent = 1, .mRequestsPerSecond = 1e6});
   limiter.Submit(Request(1, "w"), 0);
@@ -108,7 +110,7 @@
   CHECK(limiter.Tick(600)[0].mCode == ResultCode::kDeadlineTooShort);
   CHECK(limiter.Tick(1100)[0].mCode == ResultCode::kOverLimit);
   CHECK(limiter.Queued() == 0);
-  SECTION("a caller that left takes no place") {
+  SECTION("a withdrawn request is not admitted") {
     limiter.Submit(Request(4, "w"), 1200);
     limiter.Withdraw(4);
     CHECK(limiter.Release("w", 1300).empty());
@@ -119,10 +121,10 @@
 Test(limits, a_full_router_serves_workspaces_by_weight) {
   WorkspaceLimiter limiter(
       {.mMaximumInFlight = 4, .mMaximumQueue = 4000, .mMaximumWait = 1000000});
-  WorkspaceLimits heavy = kWide;
+  WorkspaceLimits heavy = kUnlimited;
   heavy.mWeight = 3;
   limiter.SetLimits("a", heavy);
-  limiter.SetLimits("b", kWide);
+  limiter.SetLimits("b", kUnlimited);
   std::uint64_t ticket = 1;
   for (; ticket <= 4; ticket++) {
     limiter.Submit(Request(ticket, "a"), 0);
@@ -131,18 +133,18 @@
     limiter.Submit(Request(ticket++, "a"), 0);
     limiter.Submit(Request(ticket++, "b"), 0);
   }
-  int fromA = 4;
-  int fromB = 0;
+  int inFlightA = 4;
+  int inFlightB = 0;
   int servedA = 0;
   int servedB = 0;
   for (int i = 0; i < 400; i++) {
-    const bool endA = fromA > 0 && (i % 4 != 3 || fromB == 0);
-    (endA ? fromA : fromB)--;
+    const bool endsA = inFlightA > 0 && (i % 4 != 3 || inFlightB == 0);
+    (endsA ? inFlightA : inFlightB)--;
     const int before = limiter.InFlight("a");
-    limiter.Release(endA ? "a" : "b", i);
-    const int gained = limiter.InFlight("a") - before + (endA ? 1 : 0);
-    fromA += gained;
-    fromB += 1 - gained;
+    limiter.Release(endsA ? "a" : "b", i);
+    const int gained = limiter.InFlight("a") - before + (endsA ? 1 : 0);
+    inFlightA += gained;
+    inFlightB += 1 - gained;
     servedA += gained;
     servedB += 1 - gained;
   }
--- a/tests/servers/shutdown_admission_test.cpp
+++ b/tests/servers/shutdown_admission_test.cpp
@@ -1,4 +1,4 @@
-/// What a router that stops still takes.
+/// Tests of which requests a router admits while it shuts down.
 #include "spindleweir/servers/limits/shutdown_admission.h"
 
 #include "tests/test_tools.h"
@@ -8,54 +8,57 @@
 namespace {
 
 constexpr Millis kStopAt = 1000;
-constexpr Millis kLongLeft = 20000;
+constexpr Millis kLongTimeLeft = 20000;
 constexpr double kTokens = 200;
 
-ShutdownAdmission Learnt() {
-  ShutdownAdmission intake({.mGrace = 7700});
-  for (int millisEach = 1; millisEach <= 64; millisEach++) {
-    // Whatever they expected, it is what a token takes that is learnt.
-    const double tokens = millisEach % 2 == 0 ? 100 : 300;
-    intake.Record("model", tokens,
-                  static_cast<Millis>(tokens * millisEach / 2));
+ShutdownAdmission WithSamples() {
+  ShutdownAdmission admission({.mGrace = 7700});
+  for (int millisPerToken = 1; millisPerToken <= 64; millisPerToken++) {
+    // The time per token is recorded, so the expected tokens don't matter.
+    const double tokens = millisPerToken % 2 == 0 ? 100 : 300;
+    admission.Record("model", tokens,
+                     static_cast<Millis>(tokens * millisPerToken / 2));
   }
-  intake.Record("plain", 0, 20);
-  return intake;
+  admission.Record("plain", 0, 20);
+  return admission;
 }
 
 }  // namespace
 
-Test(shutdown_admission, before_the_signal_all_is_taken) {
-  CHECK(Learnt().Admits("model", kTokens, kLongLeft, kStopAt));
+Test(shutdown_admission, admits_everything_before_the_signal) {
+  CHECK(WithSamples().Admits("model", kTokens, kLongTimeLeft, kStopAt));
 }
 
-Test(shutdown_admission, after_it_what_ends_in_time_is_taken) {
-  ShutdownAdmission intake = Learnt();
-  CHECK(intake.TypicalDuration("model", kTokens) == 6000);
-  CHECK(intake.TypicalDuration("model", kTokens / 2) == 3000);
-  intake.Stop(kStopAt);
-  CHECK(intake.Admits("model", kTokens, kLongLeft, kStopAt + 1600));
-  SECTION("a stream that usually lasts longer than what is left is not") {
-    CHECK(!intake.Admits("model", kTokens, kLongLeft, kStopAt + 1800));
+Test(shutdown_admission, admits_what_ends_in_time_after_the_signal) {
+  ShutdownAdmission admission = WithSamples();
+  CHECK(admission.TypicalDuration("model", kTokens) == 6000);
+  CHECK(admission.TypicalDuration("model", kTokens / 2) == 3000);
+  admission.Stop(kStopAt);
+  CHECK(admission.Admits("model", kTokens, kLongTimeLeft, kStopAt + 1600));
+  SECTION(
+      "a stream that typically lasts longer than the time left is refused") {
+    CHECK(!admission.Admits("model", kTokens, kLongTimeLeft, kStopAt + 1800));
   }
-  SECTION("but a short one, or where its own time is short, or its route's") {
-    CHECK(intake.Admits("model", kTokens / 2, kLongLeft, kStopAt + 1800));
-    CHECK(intake.Admits("model", kTokens, 1500, kStopAt + 1800));
-    CHECK(intake.Admits("plain", 0, kLongLeft, kStopAt + 2700));
+  SECTION(
+      "a short request, or one whose caller or route waits a short time, is "
+      "admitted") {
+    CHECK(
+        admission.Admits("model", kTokens / 2, kLongTimeLeft, kStopAt + 1800));
+    CHECK(admission.Admits("model", kTokens, 1500, kStopAt + 1800));
+    CHECK(admission.Admits("plain", 0, kLongTimeLeft, kStopAt + 2700));
   }
-  SECTION("and nothing that comes late") {
-    CHECK(!intake.Admits("plain", 0, kLongLeft, kStopAt + 2900));
+  SECTION("requests after the admission window are refused") {
+    CHECK(!admission.Admits("plain", 0, kLongTimeLeft, kStopAt + 2900));
   }
 }
 
-Test(shutdown_admission,
-     what_is_not_known_is_taken_and_old_answers_are_forgotten) {
-  ShutdownAdmission intake = Learnt();
-  intake.Stop(kStopAt);
-  CHECK(intake.Admits("new", kTokens, kLongLeft, kStopAt + 2000));
+Test(shutdown_admission, admits_unknown_services_and_uses_only_recent_answers) {
+  ShutdownAdmission admission = WithSamples();
+  admission.Stop(kStopAt);
+  CHECK(admission.Admits("new", kTokens, kLongTimeLeft, kStopAt + 2000));
   for (int i = 0; i < 64; i++) {
-    intake.Record("model", kTokens, 500);
+    admission.Record("model", kTokens, 500);
   }
-  CHECK(intake.TypicalDuration("model", kTokens) == 500);
-  CHECK(intake.Admits("model", kTokens, kLongLeft, kStopAt + 2700));
+  CHECK(admission.TypicalDuration("model", kTokens) == 500);
+  CHECK(admission.Admits("model", kTokens, kLongTimeLeft, kStopAt + 2700));
 }
