--- a/include/spindleweir/servers/limits/retry_schedule.h
+++ b/include/spindleweir/servers/limits/retry_schedule.h
@@ -39,7 +39,7 @@
  public:
   /// Assigns a time to a caller and counts it in that slot.
   AssignedRetry Assign(const RetryScheduleRequest& aRequest);
-  /// Number of callers that were told to retry from aNow on.
+  /// Number of callers that are scheduled to retry from aNow on.
   int ExpectedCallers(Millis aNow) const;
 
  private:
--- a/servers/limits/crash_ledger.cpp
+++ b/servers/limits/crash_ledger.cpp
@@ -194,9 +194,9 @@
 void CrashLedger::RemoveExpired(Millis aNow) {
   for (auto it = mEntries.begin(); it != mEntries.end();) {
     const auto next = std::next(it);
-    const Millis keep = Bars(it->second) ? mOptions.mBarredRetention
-                                         : mOptions.mSuspectRetention;
-    if (aNow - it->second.mLastAt >= keep) {
+    const Millis retention = Bars(it->second) ? mOptions.mBarredRetention
+                                              : mOptions.mSuspectRetention;
+    if (aNow - it->second.mLastAt >= retention) {
       Erase(it);
     }
     it = next;
--- a/servers/limits/memory_budget.cpp
+++ b/servers/limits/memory_budget.cpp
@@ -129,11 +129,11 @@
 std::size_t MemoryBudget::CommittedOf(const Connection& aConnection) const {
   const std::size_t answer =
       aConnection.mAnswerBytes + IncomingReserve(aConnection);
-  const std::size_t least = aConnection.mClass < EvictionClass::kNotSent
-                                ? 0
-                                : mOptions.mMinPerRequest;
+  const std::size_t minimum = aConnection.mClass < EvictionClass::kNotSent
+                                  ? 0
+                                  : mOptions.mMinPerRequest;
   return std::max(aConnection.mRequestBytes, aConnection.mReservedBytes) +
-         std::max(answer, least);
+         std::max(answer, minimum);
 }
 
 void MemoryBudget::AddCall(std::uint64_t aConnection, int aSign) {
@@ -174,10 +174,10 @@
   Connection& connection = it->second;
   connection.mProgressBytes += aBytes;
   // A caller that has accepted all there was cannot accept more.
-  const bool tookAll =
+  const bool acceptedAll =
       connection.mHeld[static_cast<std::size_t>(BufferKind::kUnread)] == 0 &&
       connection.mHeld[static_cast<std::size_t>(BufferKind::kReading)] == 0;
-  if (connection.mProgressBytes >= kMinProgressBytes || tookAll) {
+  if (connection.mProgressBytes >= kMinProgressBytes || acceptedAll) {
     connection.mProgressBytes = 0;
     connection.mStalledSince = aNow;
   }
@@ -222,7 +222,7 @@
 }
 
 bool MemoryBudget::Reserve(std::uint64_t aConnection, std::size_t aBytes) {
-  // One read more than the body, as a read fills its buffer only in part.
+  // The last read may be short, but MayReadMore() needs room for a full one.
   const std::size_t bytes = aBytes + kReadBytes;
   if (!CanAdmit(aConnection, bytes)) {
     return false;
@@ -274,7 +274,7 @@
 
 std::size_t MemoryBudget::Allowance(const Connection& aConnection,
                                     Millis aNow) const {
-  const Millis waits =
+  const Millis waited =
       aConnection.mWaitingSince < 0 ? 0 : aNow - aConnection.mWaitingSince;
   switch (aConnection.mClass) {
     case EvictionClass::kIdle:
@@ -282,7 +282,7 @@
       return std::max(kMinRequestBytes, FreeShared() / kBodyDivisor);
     case EvictionClass::kNotSent:
     case EvictionClass::kRetryable:
-      return aConnection.mDraining || waits >= kDrainDelay
+      return aConnection.mDraining || waited >= kDrainDelay
                  ? PortionOfFree(kDrainDivisor, mOptions.mMaxCollected)
                  : StreamShare();
     case EvictionClass::kNotRetryable:
@@ -303,8 +303,8 @@
     // Once reading stops, the socket buffer fills.
     const std::size_t arrived =
         aConnection.mHeld[static_cast<std::size_t>(BufferKind::kArrived)];
-    const std::size_t window = arrived > 0 ? 0 : mOptions.mSocketBuffer;
-    return aConnection.mAnswerBytes + window + kReadBytes <=
+    const std::size_t socketBuffer = arrived > 0 ? 0 : mOptions.mSocketBuffer;
+    return aConnection.mAnswerBytes + socketBuffer + kReadBytes <=
            Allowance(aConnection, aNow);
   }
   return aConnection.mRequestBytes + kReadBytes <=
@@ -439,15 +439,17 @@
   // Evicts until some room is free; otherwise the next read of any connection
   // would cause an eviction again.
   const std::size_t shared = SharedPart();
-  std::size_t over = mCommitted - shared + shared / kCollectDivisor;
+  std::size_t excess = mCommitted - shared + shared / kCollectDivisor;
   for (const Candidate& candidate : candidates) {
-    const bool notRetryable = candidate.mNotRetryable && !evictions.empty();
-    if (over == 0 || notRetryable || evictions.size() >= kMaxEvictionsPerTick) {
+    const bool onlyNotRetryableLeft =
+        candidate.mNotRetryable && !evictions.empty();
+    if (excess == 0 || onlyNotRetryableLeft ||
+        evictions.size() >= kMaxEvictionsPerTick) {
       break;
     }
     const std::size_t freed =
         CommittedOf(mConnections.at(candidate.mConnection));
-    over -= std::min(over, freed);
+    excess -= std::min(excess, freed);
     evictions.push_back(candidate.mConnection);
   }
   return evictions;
--- a/servers/limits/retry_schedule.cpp
+++ b/servers/limits/retry_schedule.cpp
@@ -48,9 +48,9 @@
 int RetrySchedule::ExpectedCallers(Millis aNow) const {
   int count = 0;
   for (std::size_t i = 0; i < mCallersBySlot.size(); i++) {
-    const bool comes =
+    const bool expected =
         mFirst + static_cast<std::int64_t>(i) >= aNow / kSlotLength;
-    count += comes ? mCallersBySlot[i] : 0;
+    count += expected ? mCallersBySlot[i] : 0;
   }
   return count;
 }
@@ -67,15 +67,15 @@
   const std::int64_t first = (now + earliest) / kSlotLength;
   const std::int64_t last = std::max(first, (now + latest) / kSlotLength - 1);
   // Room that one slot doesn't use is carried over to the next.
-  const double each = aRequest.mFreePerMilli * kReturningFraction *
-                      static_cast<double>(kSlotLength);
+  const double roomPerSlot = aRequest.mFreePerMilli * kReturningFraction *
+                             static_cast<double>(kSlotLength);
   std::int64_t chosen = first;
   int fewest = -1;
   double room = 0;
   AssignedRetry retry;
   for (std::int64_t slot = first; slot <= last; slot++) {
     const int assigned = At(slot);
-    room += each - assigned;
+    room += roomPerSlot - assigned;
     if (room >= 1) {
       chosen = slot;
       retry.mRoomExpected = true;
@@ -90,10 +90,10 @@
     }
   }
   retry.mCallersInSlot = ++At(chosen);
-  const auto within =
+  const auto offset =
       static_cast<Millis>(aRequest.mRandom * static_cast<double>(kSlotLength));
   retry.mAfter =
-      std::clamp<Millis>(chosen * kSlotLength + within - now, earliest, latest);
+      std::clamp<Millis>(chosen * kSlotLength + offset - now, earliest, latest);
   return retry;
 }
 
--- a/servers/limits/upstream_bound.cpp
+++ b/servers/limits/upstream_bound.cpp
@@ -30,10 +30,10 @@
 double UnreportedRequests(const UpstreamOccupancy& aOccupancy) {
   // Peers are assumed to send at the same rate as this router, and requests to
   // have ended after the typical time.
-  const Millis time =
+  const Millis unreportedMillis =
       std::min(aOccupancy.mPeerReportAge, aOccupancy.mTypicalTime);
   return aOccupancy.mLocalRate *
-         static_cast<double>(std::max<Millis>(0, time)) *
+         static_cast<double>(std::max<Millis>(0, unreportedMillis)) *
          std::max(0, aOccupancy.mRouters - 1);
 }
 
@@ -42,11 +42,11 @@
   if (aOccupancy.mSlots <= 0) {
     return true;
   }
-  const double places =
+  const double capacity =
       aOccupancy.mSlots + std::max(static_cast<double>(aOptions.mMinQueue),
                                    aOptions.mQueuePerSlot * aOccupancy.mSlots);
   const double peers = aOccupancy.mPeers + UnreportedRequests(aOccupancy);
-  if (!Fits(places, aOccupancy.mLocal, peers, 1, aOccupancy.mRouters)) {
+  if (!Fits(capacity, aOccupancy.mLocal, peers, 1, aOccupancy.mRouters)) {
     return false;
   }
   if (aOptions.mBodyBytes <= 0) {
--- a/servers/limits/warm_up_admission.cpp
+++ b/servers/limits/warm_up_admission.cpp
@@ -30,14 +30,16 @@
     if (kind == nullptr || layers <= 0) {
       continue;
     }
-    const double each = EngineModel(aProfile, *kind).ReadMillis(layers, 1);
+    const double millisPerToken =
+        EngineModel(aProfile, *kind).ReadMillis(layers, 1);
     const int to = std::min(engine->mLayers.mTo, aProfile.mLayers);
-    for (int i = std::max(0, engine->mLayers.mFrom); each > 0 && i < to; i++) {
-      byLayer[static_cast<std::size_t>(i)] += 1 / each;
+    for (int i = std::max(0, engine->mLayers.mFrom);
+         millisPerToken > 0 && i < to; i++) {
+      byLayer[static_cast<std::size_t>(i)] += 1 / millisPerToken;
     }
   }
-  const auto least = std::min_element(byLayer.begin(), byLayer.end());
-  return least == byLayer.end() ? 0 : *least;
+  const auto slowest = std::min_element(byLayer.begin(), byLayer.end());
+  return slowest == byLayer.end() ? 0 : *slowest;
 }
 
 bool WarmUpAdmission::MeetsTarget(const WarmUpRequest& aRequest,
@@ -52,10 +54,10 @@
                                  const WarmUpRequest& aRight,
                                  Millis aNow) const {
   const auto rank = [&](const WarmUpRequest& aRequest) {
-    const bool late = !MeetsTarget(aRequest, aNow);
-    return std::tuple(
-        late, aRequest.mPriority,
-        aRequest.mReceivedAt + (late ? aRequest.mWaitLimit : aRequest.mTarget));
+    const bool missesTarget = !MeetsTarget(aRequest, aNow);
+    return std::tuple(missesTarget, aRequest.mPriority,
+                      aRequest.mReceivedAt + (missesTarget ? aRequest.mWaitLimit
+                                                           : aRequest.mTarget));
   };
   return rank(aLeft) < rank(aRight);
 }
@@ -84,8 +86,9 @@
     mWaiting.erase(aRequest);
     return decision;
   }
-  const auto left = static_cast<double>(aFacts.mReceivedAt + aFacts.mWaitLimit);
-  if (turn + read > left) {
+  const auto waitEnd =
+      static_cast<double>(aFacts.mReceivedAt + aFacts.mWaitLimit);
+  if (turn + read > waitEnd) {
     decision.mVerdict = WarmUpVerdict::kRefuse;
     mWaiting.erase(aRequest);
     return decision;
--- a/servers/limits/workspace_limiter.cpp
+++ b/servers/limits/workspace_limiter.cpp
@@ -69,8 +69,9 @@
 }
 
 bool WorkspaceLimiter::HasRoom(const Workspace& aWorkspace) const {
-  const double most = std::max(1.0, aWorkspace.mLimits.mMaximumConcurrent);
-  return aWorkspace.mInFlight + 1 <= most && aWorkspace.mTokens >= 1;
+  const double maxConcurrent =
+      std::max(1.0, aWorkspace.mLimits.mMaximumConcurrent);
+  return aWorkspace.mInFlight + 1 <= maxConcurrent && aWorkspace.mTokens >= 1;
 }
 
 void WorkspaceLimiter::Admit(Workspace& aWorkspace) {
@@ -82,15 +83,16 @@
 }
 
 Millis WorkspaceLimiter::ExpectedWait(const Workspace& aWorkspace) const {
-  const double places =
+  const double slots =
       std::max(1.0, std::min(aWorkspace.mLimits.mMaximumConcurrent,
                              static_cast<double>(mOptions.mMaximumInFlight)));
-  const auto ahead = static_cast<double>(aWorkspace.mQueue.size());
-  const double byPlaces = (ahead + 1) * mServiceMillis / places;
+  const auto queuedAhead = static_cast<double>(aWorkspace.mQueue.size());
+  const double waitBySlots = (queuedAhead + 1) * mServiceMillis / slots;
   const double rate = std::max(aWorkspace.mLimits.mRequestsPerSecond, 1e-6);
-  const double byRate =
-      std::max(0.0, ahead + 1 - aWorkspace.mTokens) * kMillisPerSecond / rate;
-  return static_cast<Millis>(std::max(byPlaces, byRate));
+  const double waitByRate =
+      std::max(0.0, queuedAhead + 1 - aWorkspace.mTokens) * kMillisPerSecond /
+      rate;
+  return static_cast<Millis>(std::max(waitBySlots, waitByRate));
 }
 
 Millis WorkspaceLimiter::RetryAfter(const Workspace& aWorkspace) const {
@@ -119,9 +121,9 @@
   if (MissesDeadline(aRequest, aNow)) {
     return refuse(ResultCode::kDeadlineTooShort);
   }
-  const bool free = workspace.mQueue.empty() && HasRoom(workspace) &&
-                    mInFlight < mOptions.mMaximumInFlight;
-  if (free) {
+  const bool admitNow = workspace.mQueue.empty() && HasRoom(workspace) &&
+                        mInFlight < mOptions.mMaximumInFlight;
+  if (admitNow) {
     Admit(workspace);
     return {{.mTicket = aRequest.mTicket}};
   }
@@ -134,8 +136,10 @@
   }
   // Each workspace may fill at most a quarter of the queue, so that one that
   // sends too much leaves room for the others.
-  const std::size_t part = std::max<std::size_t>(1, mOptions.mMaximumQueue / 4);
-  if (mQueued >= mOptions.mMaximumQueue || workspace.mQueue.size() >= part) {
+  const std::size_t maxQueuedEach =
+      std::max<std::size_t>(1, mOptions.mMaximumQueue / 4);
+  if (mQueued >= mOptions.mMaximumQueue ||
+      workspace.mQueue.size() >= maxQueuedEach) {
     return refuse(ResultCode::kQueueFull);
   }
   Enqueue(workspace, aRequest, aNow);
--- a/tests/servers/memory_test.cpp
+++ b/tests/servers/memory_test.cpp
@@ -131,21 +131,21 @@
     readers.push_back(OpenConnection(budget, EvictionClass::kReading));
   }
   // Reads for each in turn, so that all stop before they are complete.
-  for (bool further = true; further;) {
-    further = false;
+  for (bool progress = true; progress;) {
+    progress = false;
     for (const std::uint64_t reader : readers) {
       if (budget.MayReadMore(reader, 0)) {
         held[reader] += kRead;
         budget.SetHeld(reader, BufferKind::kReading, held[reader]);
-        further = true;
+        progress = true;
       }
     }
   }
   CHECK(budget.WaitingConnections() == readers.size());
   CHECK(budget.Tick(1000).mEvict.empty());
-  const MemoryActions orders = budget.Tick(2500);
-  REQUIRE(orders.mEvict.size() == 1);
-  budget.Close(orders.mEvict.front());
+  const MemoryActions actions = budget.Tick(2500);
+  REQUIRE(actions.mEvict.size() == 1);
+  budget.Close(actions.mEvict.front());
   CHECK(!budget.Tick(2550).mResume.empty());
 }
 
@@ -165,9 +165,9 @@
   const std::size_t before = Fill(budget, slow, 2 * kMb);
   CHECK(before <= budget.Options().mMaxUnread);
   CHECK(budget.Tick(500).mResume.empty());
-  const MemoryActions orders = budget.Tick(1100);
-  CHECK(orders.mResume == std::vector<std::uint64_t>{slow});
-  CHECK(orders.mEvict.empty());
+  const MemoryActions actions = budget.Tick(1100);
+  CHECK(actions.mResume == std::vector<std::uint64_t>{slow});
+  CHECK(actions.mEvict.empty());
   CHECK(Fill(budget, slow, 2 * kMb, 1100) > before);
 }
 
@@ -205,8 +205,8 @@
 Test(memory_budget, committed_bytes_stay_under_the_limit_under_random_load) {
   for (unsigned seed = 1; seed <= 20; seed++) {
     std::mt19937 random(seed);
-    const auto draw = [&random](int aMost) {
-      return std::uniform_int_distribution<int>(0, aMost)(random);
+    const auto draw = [&random](int aMax) {
+      return std::uniform_int_distribution<int>(0, aMax)(random);
     };
     MemoryBudget budget(MemoryBudgetOptions::ForMemory(6 * kMb));
     /// What a connection holds: bytes of a request that is read, or of an
@@ -215,57 +215,59 @@
       BufferKind mKind;
       std::size_t mBytes = 0;
     };
-    std::map<std::uint64_t, Held> model;
+    std::map<std::uint64_t, Held> heldByConnection;
     Millis now = 0;
     for (int step = 0; step < 4000; step++) {
       now += draw(20);
       const std::uint64_t connection =
-          model.empty() ? 0
-                        : std::next(model.begin(),
-                                    draw(static_cast<int>(model.size()) - 1))
-                              ->first;
-      const int act = draw(9);
-      if (act <= 2 || connection == 0) {
+          heldByConnection.empty()
+              ? 0
+              : std::next(heldByConnection.begin(),
+                          draw(static_cast<int>(heldByConnection.size()) - 1))
+                    ->first;
+      const int action = draw(9);
+      if (action <= 2 || connection == 0) {
         const std::uint64_t added = budget.Open(now);
         if (!budget.CanAdmit(added, 0)) {
           budget.Close(added);
           continue;
         }
-        const auto claim = static_cast<EvictionClass>(1 + draw(3));
-        budget.SetEvictionClass(added, claim, now);
-        model[added] = {claim == EvictionClass::kReading ? BufferKind::kReading
-                                                         : BufferKind::kUnread};
-        if (claim == EvictionClass::kReading && draw(1) == 0) {
+        const auto evictionClass = static_cast<EvictionClass>(1 + draw(3));
+        budget.SetEvictionClass(added, evictionClass, now);
+        heldByConnection[added] = {evictionClass == EvictionClass::kReading
+                                       ? BufferKind::kReading
+                                       : BufferKind::kUnread};
+        if (evictionClass == EvictionClass::kReading && draw(1) == 0) {
           (void)budget.Reserve(added, static_cast<std::size_t>(draw(200000)));
         }
-      } else if (act <= 7) {
+      } else if (action <= 7) {
         if (budget.MayReadMore(connection, now)) {
-          Held& held = model[connection];
+          Held& held = heldByConnection[connection];
           held.mBytes += kRead;
           budget.SetHeld(connection, held.mKind, held.mBytes);
         }
-      } else if (act == 8) {
-        Held& held = model[connection];
+      } else if (action == 8) {
+        Held& held = heldByConnection[connection];
         held.mBytes = 0;
         budget.SetHeld(connection, held.mKind, 0);
         budget.RecordProgress(connection, kRead, now);
       } else {
         budget.Close(connection);
-        model.erase(connection);
+        heldByConnection.erase(connection);
       }
       for (const std::uint64_t evicted : budget.Tick(now).mEvict) {
         budget.Close(evicted);
-        model.erase(evicted);
+        heldByConnection.erase(evicted);
       }
       std::size_t held = 0;
-      for (const auto& [id, one] : model) {
-        held += one.mBytes;
+      for (const auto& [id, item] : heldByConnection) {
+        held += item.mBytes;
       }
       REQUIRE(budget.Held() == held);
       REQUIRE(budget.Held() <= budget.Committed());
       REQUIRE(budget.Committed() <= budget.Options().mMaxBytes);
     }
-    for (const auto& [id, one] : model) {
+    for (const auto& [id, item] : heldByConnection) {
       budget.Close(id);
     }
     CHECK(budget.Held() == 0 && budget.Committed() == 0);
@@ -299,9 +301,9 @@
     view.mLocalRate = aRate;
     view.mTypicalTime = 100;
     view.mPeerReportAge = mDelay;
-    const bool may = MaySendTo(view, {});
-    mInFlight[aRouter] += may ? 1 : 0;
-    return may;
+    const bool maySend = MaySendTo(view, {});
+    mInFlight[aRouter] += maySend ? 1 : 0;
+    return maySend;
   }
 
   /// Lets a millisecond pass.
@@ -396,13 +398,13 @@
     SECTION("requests are served if too many routers are counted") {
       CHECK(LargeFleet{.mReportedRouters = 342}.RefusedFraction(seed) < 0.01);
     }
-    SECTION(
-        "an estimate by the age of the report refuses maxInFlight requests") {
-      const EstimateOptions oldEstimate{.mUsesExpectedTime = false,
-                                        .mExcludesCurrentRequest = false};
-      CHECK(LargeFleet{.mEstimate = oldEstimate}.RefusedFraction(seed) > 0.5);
+    SECTION("an estimate by the age of the report refuses most requests") {
+      const EstimateOptions reportAgeEstimate{.mUsesExpectedTime = false,
+                                              .mExcludesCurrentRequest = false};
+      CHECK(LargeFleet{.mEstimate = reportAgeEstimate}.RefusedFraction(seed) >
+            0.5);
       const LargeFleet overcounted{.mReportedRouters = 342,
-                                   .mEstimate = oldEstimate};
+                                   .mEstimate = reportAgeEstimate};
       CHECK(overcounted.RefusedFraction(seed) > 0.99);
     }
   }
