--- a/bench/capacity_slopes.cpp
+++ b/bench/capacity_slopes.cpp
@@ -158,10 +158,10 @@
     int probes = 0;
     MemberTableOptions options;
     options.mId = ids[0];
-    options.mProbe = [&probes](const std::string&, const std::string&) {
+    options.mSendProbe = [&probes](const std::string&, const std::string&) {
       probes++;
     };
-    options.mChanged = [](const MemberUpdate&) {};
+    options.mOnStateChange = [](const MemberUpdate&) {};
     MemberTable table(options, 0);
     table.SetMembers(ids, 0);
     Print(aOptions, "member in a table of " + std::to_string(count),
@@ -176,7 +176,7 @@
     const double cpu = CpuMicros();
     for (Millis now = 0; now < 60000; now += 50) {
       table.Tick(now);
-      table.Gossip();
+      table.NextGossip();
     }
     Print(aOptions, "a minute of ticks with " + std::to_string(count),
           CpuMicros() - cpu, "us");
--- a/bench/control_costs.cpp
+++ b/bench/control_costs.cpp
@@ -102,7 +102,7 @@
   void FillRegistry() {
     Time("all engines become known", 1, [this] {
       for (int i = 0; i < mEngines; i++) {
-        mRegistry.Beat(Engine(i), 1000);
+        mRegistry.ApplyHeartbeat(Engine(i), 1000);
       }
     });
   }
@@ -112,22 +112,22 @@
       for (int i = 0; i < mEngines; i++) {
         UpstreamRecord record = Engine(i);
         record.mSequence = 2;
-        mRegistry.Beat(record, 2200);
+        mRegistry.ApplyHeartbeat(record, 2200);
       }
     });
     std::string text;
     Time("one heartbeat of each, told to another control", 1, [&] {
-      text = DumpJson(ToJson(
-          BeatTable::Of(mRegistry.BeatsSince(0, mRegistry.Revision(), 2300))));
+      text = DumpJson(ToJson(HeartbeatTable::Of(
+          mRegistry.HeartbeatsSince(0, mRegistry.Revision(), 2300))));
     });
     UpstreamRegistry other;
     for (const UpstreamRecord& record : mRegistry.ChangedSince(0, 2300)) {
       other.Merge(record, 2300);
     }
     Time("the same, read there", 1, [&] {
-      for (const UpstreamBeat& beat :
-           FromJson<BeatTable>(ParseJson(text)).Beats()) {
-        other.Touch(beat, 2400);
+      for (const UpstreamHeartbeat& beat :
+           FromJson<HeartbeatTable>(ParseJson(text)).Heartbeats()) {
+        other.MergeHeartbeat(beat, 2400);
       }
     });
     Time("a check for silence", 10, [this] { mRegistry.Expire(9999, 3000); });
@@ -144,11 +144,11 @@
       }
     });
     UpstreamFeed feed{UpstreamFeedOptions{}};
-    feed.Since(mRegistry, 0, 2300);
+    feed.UpdatesSince(mRegistry, 0, 2300);
     Time("the list of all, for one more asker", 10,
-         [&] { feed.Since(mRegistry, 0, 2310); });
+         [&] { feed.UpdatesSince(mRegistry, 0, 2310); });
     Time("nothing new for one asker", 10,
-         [&] { feed.Since(mRegistry, mRegistry.Revision(), 2320); });
+         [&] { feed.UpdatesSince(mRegistry, mRegistry.Revision(), 2320); });
   }
 
   void Loads() {
--- a/daemons/bad_words.cpp
+++ b/daemons/bad_words.cpp
@@ -17,8 +17,9 @@
   const std::string labels = std::string("at=\"") + aAt + "\",cause=\"" +
                              std::string(InfoOf(aWhy.Code()).mName) + "\"";
   mCounters.Add("bad_upstream_words", labels);
-  const BadWordPace::Turn turn = mPaces[labels].Note(SteadyNow());
-  if (!turn.mLogs) {
+  const InvalidMessageLogLimiter::Decision turn =
+      mPaces[labels].OnInvalidMessage(SteadyNow());
+  if (!turn.mShouldLog) {
     return;
   }
   LogLine(LogLevel::kWarning, "upstream_word_left_out")
@@ -26,10 +27,10 @@
       .Add("instance", aInstance.substr(0, kShown))
       .Add("code", static_cast<int>(aWhy.Code()))
       .Add("why", std::string(aWhy.what()).substr(0, kShown))
-      .Add("not_logged", turn.mNotLogged);
+      .Add("not_logged", turn.mSuppressed);
 }
 
-BadRowHook BadWords::At(const char* aAt) {
+InvalidRowHook BadWords::At(const char* aAt) {
   return [this, aAt](const std::string& aInstance, const Error& aWhy) {
     Note(aAt, aInstance, aWhy);
   };
@@ -52,21 +53,21 @@
 }
 
 std::vector<UpstreamRecord> BadWords::Unpack(const char* aAt,
-                                             const UpstreamNews& aNews) {
+                                             const UpstreamUpdate& aNews) {
   return RowsOf<std::vector<UpstreamRecord>>(aAt, [&] {
-    RequireAge(aNews.mAgo);
+    RequireAge(aNews.mAge);
     std::vector<UpstreamRecord> records = UnpackUpstreams(aNews.mText, At(aAt));
     for (UpstreamRecord& record : records) {
-      record.mHeardAgo += aNews.mAgo;
+      record.mLastSeenAgo += aNews.mAge;
     }
     return records;
   });
 }
 
-std::vector<UpstreamBeat> BadWords::Beats(const char* aAt,
-                                          const Json::Value& aTable) {
-  return RowsOf<std::vector<UpstreamBeat>>(
-      aAt, [&] { return ReadBeats(aTable, At(aAt)); });
+std::vector<UpstreamHeartbeat> BadWords::Beats(const char* aAt,
+                                               const Json::Value& aTable) {
+  return RowsOf<std::vector<UpstreamHeartbeat>>(
+      aAt, [&] { return ReadHeartbeats(aTable, At(aAt)); });
 }
 
 LoadShares BadWords::Loads(const char* aAt, std::string_view aPacked) {
--- a/daemons/bad_words.h
+++ b/daemons/bad_words.h
@@ -25,13 +25,14 @@
   /// aAt: where it came in: "heartbeat", "news", "loads", "disk", "report".
   void Note(const char* aAt, const std::string& aInstance, const Error& aWhy);
   /// The same as a hook.
-  BadRowHook At(const char* aAt);
+  InvalidRowHook At(const char* aAt);
   /// The rows of a list that can be used; none where it cannot be read at all.
   std::vector<UpstreamRecord> Unpack(const char* aAt, std::string_view aPacked);
   /// The same of records as they were some time ago, with their ages of now.
   std::vector<UpstreamRecord> Unpack(const char* aAt,
-                                     const UpstreamNews& aNews);
-  std::vector<UpstreamBeat> Beats(const char* aAt, const Json::Value& aTable);
+                                     const UpstreamUpdate& aNews);
+  std::vector<UpstreamHeartbeat> Beats(const char* aAt,
+                                       const Json::Value& aTable);
   LoadShares Loads(const char* aAt, std::string_view aPacked);
 
  private:
@@ -40,7 +41,7 @@
   Rows RowsOf(const char* aAt, const std::function<Rows()>& aRead);
 
   Counters& mCounters;
-  std::map<std::string, BadWordPace> mPaces;  ///< By labels.
+  std::map<std::string, InvalidMessageLogLimiter> mPaces;  ///< By labels.
 };
 
 }  // namespace spindleweir
--- a/daemons/control/crash_store.cpp
+++ b/daemons/control/crash_store.cpp
@@ -38,7 +38,7 @@
 }  // namespace
 
 void CrashStore::Load(CrashLedger& aLedger, Millis aNow,
-                      const BadRowHook& aOnBad) {
+                      const InvalidRowHook& aOnBad) {
   const std::string kept = ReadFile(mPath).value_or("");
   const std::size_t n = kept.find(kAfterDigest);
   if (n == std::string::npos ||
@@ -66,8 +66,8 @@
     return;
   }
   KeptCrashes kept;
-  const CrashLedger::Changes all =
-      aLedger.ChangesSince(0, true, std::numeric_limits<std::size_t>::max(), aNow);
+  const CrashLedger::Changes all = aLedger.ChangesSince(
+      0, true, std::numeric_limits<std::size_t>::max(), aNow);
   for (const CrashRecord& record : all.mRecords) {
     kept.mRows.push_back(ToJson(record));
   }
--- a/daemons/control/crash_store.h
+++ b/daemons/control/crash_store.h
@@ -16,7 +16,7 @@
   explicit CrashStore(std::string aPath) : mPath(std::move(aPath)) {}
 
   /// Takes what the file has; one that is torn, or none, is nothing.
-  void Load(CrashLedger& aLedger, Millis aNow, const BadRowHook& aOnBad);
+  void Load(CrashLedger& aLedger, Millis aNow, const InvalidRowHook& aOnBad);
   /// Writes the file where other requests are barred than it says. A disk that
   /// refuses is tried again two seconds later.
   void Save(const CrashLedger& aLedger, Millis aNow);
--- a/daemons/control/inventory.cpp
+++ b/daemons/control/inventory.cpp
@@ -23,7 +23,7 @@
   mContext.mDispatcher.On(rpc_method::kPing,
                           [this](const Json::Value& aMessage) {
                             const auto state = FromJson<PeerState>(aMessage);
-                            for (const LeavingWord& word : state.mLeaving) {
+                            for (const LeaveNotice& word : state.mLeaving) {
                               mWords.Add(word);
                             }
                             return ToJson(OwnState());
@@ -37,7 +37,7 @@
   state.mZone = mContext.mOptions.mZone;
   state.mVersion = mVersion();
   state.mReady = true;
-  state.mLeaving = mWords.Words();
+  state.mLeaving = mWords.Notices();
   return state;
 }
 
@@ -54,7 +54,7 @@
   }
   mWords.Retain(mView.Names(), SteadyNow());
   for (const EngineReport& report : Engines()) {
-    mWords.Seen(report.mEngine, report.mIncarnation);
+    mWords.OnSeen(report.mEngine, report.mIncarnation);
   }
 }
 
--- a/daemons/control/layer_placer.cpp
+++ b/daemons/control/layer_placer.cpp
@@ -174,7 +174,7 @@
   std::vector<std::string> controls = {mContext.mOptions.mId};
   if (aOrders.size() > kOwnOrders) {
     for (const ControlInfo& info :
-         mSync.Directory().Lately(kHeardWithin, SteadyNow())) {
+         mSync.Directory().SeenWithin(kHeardWithin, SteadyNow())) {
       if (info.mId != mContext.mOptions.mId) {
         controls.push_back(info.mId);
       }
--- a/daemons/control/sync_service.cpp
+++ b/daemons/control/sync_service.cpp
@@ -6,7 +6,7 @@
 #include "spindleweir/core/json_codec.h"
 #include "spindleweir/core/log.h"
 #include "spindleweir/core/packing.h"
-#include "spindleweir/servers/membership/ask_schedule.h"
+#include "spindleweir/servers/membership/poll_schedule.h"
 #include "spindleweir/servers/membership/voter_plan.h"
 
 namespace spindleweir {
@@ -118,10 +118,10 @@
   answer.mSelf = Self();
   answer.mLife = mLife;
   const bool fromControl = !aQuestion.mControl.mId.empty();
-  const Asker asker{.mIsNear = aQuestion.mTellsLoads > 0,
-                    .mHearsNear = aQuestion.mHearsNear};
-  if (fromControl ? IsToldControls(aQuestion, now) : TellsControls(asker)) {
-    answer.mControls = mDirectory.Lately(kControlsTold, now);
+  const PollingRouter asker{.mIsNearest = aQuestion.mTellsLoads > 0,
+                            .mNearestAnswers = aQuestion.mHearsNear};
+  if (fromControl ? IsToldControls(aQuestion, now) : SendsControlList(asker)) {
+    answer.mControls = mDirectory.SeenWithin(kControlsTold, now);
     answer.mLeader = mLog.Raft().Leader();
     answer.mTerm = mLog.Raft().Term();
   }
@@ -239,7 +239,7 @@
 void SyncService::Remember(const SyncQuestion& aQuestion) {
   const Millis now = SteadyNow();
   if (!aQuestion.mControl.mId.empty()) {
-    mDirectory.Heard(aQuestion.mControl, now);
+    mDirectory.OnSeen(aQuestion.mControl, now);
     return;
   }
   TakeCrashes(aQuestion.mCrashes, aQuestion.mProcess);
@@ -355,9 +355,9 @@
         aAnswer.mOwnRouters, now);
     source.mLoadsNumber = aAnswer.mLoadsNumber;
   }
-  mDirectory.Heard(aAnswer.mSelf, now);
+  mDirectory.OnSeen(aAnswer.mSelf, now);
   for (const ControlInfo& info : aAnswer.mControls) {
-    mDirectory.Heard(info, now);
+    mDirectory.OnSeen(info, now);
   }
   mUpstreams.Take(aAnswer, source.mId);
   source.mCrashRevision = aAnswer.mCrashRevision;
@@ -380,7 +380,7 @@
   if (!mLog.Raft().Leads()) {
     return;
   }
-  VoterQuestion question;
+  VoterPlanInput question;
   question.mSelf = mContext.mOptions.mId;
   question.mVoters = mLog.Raft().Voters();
   question.mDirectory = &mDirectory;
--- a/daemons/control/upstream_intake.cpp
+++ b/daemons/control/upstream_intake.cpp
@@ -4,7 +4,7 @@
 
 #include "spindleweir/core/json_codec.h"
 #include "spindleweir/core/log.h"
-#include "spindleweir/servers/membership/ask_schedule.h"
+#include "spindleweir/servers/membership/poll_schedule.h"
 
 namespace spindleweir {
 
@@ -43,11 +43,11 @@
       mDirectory(aDirectory),
       mKnowsService(std::move(aKnowsService)),
       mStore(aContext.mOptions.mData + "/upstreams"),
-      mTakers({.mOwnBeats = aContext.mOptions.mOwnBeats}) {
+      mTakers({.mMaxLocalHeartbeats = aContext.mOptions.mOwnBeats}) {
   if (aRestores) {
     Restore();
   }
-  mRegistry.OnSuccessor([this](const UpstreamRecord& aRecord) {
+  mRegistry.SetSuccessorHook([this](const UpstreamRecord& aRecord) {
     mContext.mCounters.Add("upstreams_restarted");
     LogChanged("upstream_restarted", aRecord);
   });
@@ -74,7 +74,8 @@
 
 void UpstreamIntake::Asked(const SyncQuestion& aQuestion) {
   const Millis now = SteadyNow();
-  mTakers.Asked(aQuestion.mProcess, aQuestion.mZone, aQuestion.mTakesAt, now);
+  mTakers.OnPolled(aQuestion.mProcess, aQuestion.mZone, aQuestion.mTakesAt,
+                   now);
   if (!aQuestion.mTakenUpstreams.empty()) {
     for (const UpstreamRecord& record :
          mContext.mBadWords.Unpack("news", aQuestion.mTakenUpstreams)) {
@@ -83,23 +84,23 @@
       }
     }
   }
-  for (const UpstreamBeat& beat :
+  for (const UpstreamHeartbeat& beat :
        mContext.mBadWords.Beats("news", aQuestion.mTakenBeats)) {
-    mRegistry.Touch(beat, now);
+    mRegistry.MergeHeartbeat(beat, now);
   }
 }
 
 void UpstreamIntake::Take(const SyncAnswer& aAnswer, const std::string& aBy) {
   const Millis now = SteadyNow();
-  for (const UpstreamNews& news : aAnswer.mNewsOfUpstreams) {
+  for (const UpstreamUpdate& news : aAnswer.mNewsOfUpstreams) {
     for (const UpstreamRecord& record :
          mContext.mBadWords.Unpack("news", news)) {
       mRegistry.Merge(record, now, aBy);
     }
   }
-  for (const UpstreamBeat& beat :
+  for (const UpstreamHeartbeat& beat :
        mContext.mBadWords.Beats("news", aAnswer.mBeats)) {
-    mRegistry.Touch(beat, now, aBy);
+    mRegistry.MergeHeartbeat(beat, now, aBy);
   }
 }
 
@@ -109,24 +110,24 @@
   const std::int64_t known =
       aQuestion.mKnows == aLife ? aQuestion.mRevision : 0;
   const bool fromControl = !aQuestion.mControl.mId.empty();
-  const Asker asker{.mIsNear = aQuestion.mTellsLoads > 0,
-                    .mHearsNear = aQuestion.mHearsNear};
-  FeedAnswer feed{.mNews = {}, .mRevision = known};
-  if (fromControl || TellsUpstreams(asker, mRegistry.Size())) {
-    feed = mFeed.Since(mRegistry, known, now);
+  const PollingRouter asker{.mIsNearest = aQuestion.mTellsLoads > 0,
+                            .mNearestAnswers = aQuestion.mHearsNear};
+  FeedUpdates feed{.mUpdates = {}, .mRevision = known};
+  if (fromControl || SendsUpstreamChanges(asker, mRegistry.Size())) {
+    feed = mFeed.UpdatesSince(mRegistry, known, now);
   }
   aAnswer.mRevision = feed.mRevision;
-  aAnswer.mNewsOfUpstreams = std::move(feed.mNews);
+  aAnswer.mNewsOfUpstreams = std::move(feed.mUpdates);
   if (fromControl) {
     const std::set<std::string> hears(aQuestion.mHears.begin(),
                                       aQuestion.mHears.end());
-    aAnswer.mBeats = ToJson(
-        BeatTable::Of(mRegistry.BeatsSince(known, feed.mRevision, now, hears)));
+    aAnswer.mBeats = ToJson(HeartbeatTable::Of(
+        mRegistry.HeartbeatsSince(known, feed.mRevision, now, hears)));
   }
   const std::vector<SilentUpstream> silent = ReadRows<SilentUpstream>(
       aQuestion.mSilent, mContext.mBadWords.At("news"));
   aAnswer.mNotSilent =
-      WriteRows(mRegistry.HeardLater(silent, SilentAfter(), now));
+      WriteRows(mRegistry.SeenLaterThan(silent, SilentAfter(), now));
 }
 
 Millis UpstreamIntake::SilentAfter() const {
@@ -141,28 +142,28 @@
         .Add("instance", record.mInstance)
         .Add("address", record.mAddress)
         .Add("sequence", static_cast<Json::Int64>(record.mSequence))
-        .Add("heard_ago_ms", static_cast<Json::Int64>(record.mHeardAgo));
+        .Add("heard_ago_ms", static_cast<Json::Int64>(record.mLastSeenAgo));
   }
 }
 
 void UpstreamIntake::Beat(const UpstreamRecord& aRecord,
                           const BeatDone& aDone) {
   const UpstreamRecord* before = mRegistry.Find(aRecord.mInstance);
-  const bool strange = before == nullptr && !Ends(aRecord.mState) &&
+  const bool strange = before == nullptr && !IsLeavingOrGone(aRecord.mState) &&
                        !mKnowsService(aRecord.mService);
   if (strange) {
     throw Error(ResultCode::kUnknownService, aRecord.mService);
   }
   const bool leaves = aRecord.mState == UpstreamState::kLeaving &&
-                      (before == nullptr || !Ends(before->mState) ||
+                      (before == nullptr || !IsLeavingOrGone(before->mState) ||
                        before->mStart < aRecord.mStart);
-  if (mRegistry.Beat(aRecord, SteadyNow())) {
+  if (mRegistry.ApplyHeartbeat(aRecord, SteadyNow())) {
     LogChanged("upstream_changed", aRecord);
   }
   if (!leaves) {
     aDone({.mAccepted = true,
-           .mLaterAt =
-               mTakers.Take(aRecord.mInstance, aRecord.mZone, SteadyNow())});
+           .mLaterAt = mTakers.OnHeartbeat(aRecord.mInstance, aRecord.mZone,
+                                           SteadyNow())});
     return;
   }
   Tell(aRecord.mInstance, aDone);
@@ -170,13 +171,14 @@
 
 void UpstreamIntake::Leave(const std::string& aInstance, const BeatDone& aDone,
                            std::int64_t aStart) {
-  const LeaveOutcome outcome = mRegistry.Leave(aInstance, SteadyNow(), aStart);
+  const LeaveOutcome outcome =
+      mRegistry.ApplyLeave(aInstance, SteadyNow(), aStart);
   if (outcome == LeaveOutcome::kInDoubt) {
     mContext.mCounters.Add("leaves_in_doubt");
     aDone({.mAccepted = false, .mLaterAt = ""});
     return;
   }
-  if (outcome == LeaveOutcome::kKnown) {
+  if (outcome == LeaveOutcome::kAlreadyKnown) {
     aDone({});
     return;
   }
@@ -197,7 +199,8 @@
     }
   };
   bool told = false;
-  for (const ControlInfo& info : mDirectory.Lately(kToldWithin, SteadyNow())) {
+  for (const ControlInfo& info :
+       mDirectory.SeenWithin(kToldWithin, SteadyNow())) {
     if (info.mId == mContext.mOptions.mId) {
       continue;
     }
--- a/daemons/control/upstream_intake.h
+++ b/daemons/control/upstream_intake.h
@@ -10,7 +10,7 @@
 #include "daemons/control/upstream_store.h"
 #include "spindleweir/daemons/beat_answer.h"
 #include "spindleweir/daemons/sync_messages.h"
-#include "spindleweir/servers/membership/taker_choice.h"
+#include "spindleweir/servers/membership/collector_choice.h"
 
 namespace spindleweir {
 
@@ -61,7 +61,7 @@
   ServiceHook mKnowsService;
   UpstreamRegistry mRegistry;
   UpstreamStore mStore;
-  TakerChoice mTakers;
+  CollectorChoice mTakers;
   UpstreamFeed mFeed{UpstreamFeedOptions{}};
 };
 
--- a/daemons/control/upstream_store.cpp
+++ b/daemons/control/upstream_store.cpp
@@ -31,7 +31,7 @@
 }  // namespace
 
 std::size_t UpstreamStore::Load(UpstreamRegistry& aRegistry, Millis aNow,
-                                const BadRowHook& aOnBad) const {
+                                const InvalidRowHook& aOnBad) const {
   const std::string kept = ReadFile(mPath).value_or("");
   const std::size_t n = kept.find(kAfterDigest);
   if (n == std::string::npos ||
@@ -56,14 +56,14 @@
 
 void UpstreamStore::Save(const UpstreamRegistry& aRegistry, Millis aNow) {
   const bool due = mTriedAt < 0 || aNow - mTriedAt >= kSaveEvery;
-  if (!due || aRegistry.NewestChange() == mSaved) {
+  if (!due || aRegistry.LastChangeRevision() == mSaved) {
     return;
   }
   mTriedAt = aNow;
   const std::string text = PackUpstreams(ReadyOf(aRegistry));
   try {
     ReplaceFile(mPath, DigestOf(text) + kAfterDigest + text);
-    mSaved = aRegistry.NewestChange();
+    mSaved = aRegistry.LastChangeRevision();
   } catch (const Error& error) {
     LogLine(LogLevel::kWarning, "upstreams_not_kept")
         .Add("code", static_cast<int>(error.Code()))
--- a/daemons/control/upstream_store.h
+++ b/daemons/control/upstream_store.h
@@ -22,7 +22,7 @@
   /// nothing, and a row that cannot be used is left out. Returns how many
   /// upstreams that were.
   std::size_t Load(UpstreamRegistry& aRegistry, Millis aNow,
-                   const BadRowHook& aOnBad = {}) const;
+                   const InvalidRowHook& aOnBad = {}) const;
   /// Writes the file where the registry changed since, at most each two
   /// seconds. A disk that refuses is tried again then.
   void Save(const UpstreamRegistry& aRegistry, Millis aNow);
--- a/daemons/relay/beat_relay.cpp
+++ b/daemons/relay/beat_relay.cpp
@@ -37,14 +37,14 @@
     aDone({.mAccepted = false, .mLaterAt = ""});
     return;
   }
-  const bool strange = !Ends(aRecord.mState) &&
+  const bool strange = !IsLeavingOrGone(aRecord.mState) &&
                        mContext.mRegistry.Find(aRecord.mInstance) == nullptr &&
                        !mContext.KnowsService(aRecord.mService);
   if (strange) {
     throw Error(ResultCode::kUnknownService, aRecord.mService);
   }
   mContext.mCounters.Add("heartbeats_taken");
-  if (mContext.mTaker.Beat(aRecord, SteadyNow())) {
+  if (mContext.mTaker.ApplyHeartbeat(aRecord, SteadyNow())) {
     TellFirst(aRecord, aDone);
     return;
   }
@@ -54,7 +54,7 @@
 void BeatRelay::Leave(const std::string& aInstance, const BeatDone& aDone,
                       std::int64_t aStart) {
   const UpstreamRecord* record =
-      mContext.mTaker.Leave(aInstance, SteadyNow(), aStart);
+      mContext.mTaker.ApplyLeave(aInstance, SteadyNow(), aStart);
   if (record == nullptr) {
     aDone({.mAccepted = false, .mLaterAt = ""});
     return;
--- a/daemons/relay/relay_answer.cpp
+++ b/daemons/relay/relay_answer.cpp
@@ -75,7 +75,8 @@
 
 void RelayRequest::TakeLeaving(bool aLeaves) {
   const UpstreamRecord* record = mContext.mRegistry.Find(mAttempt->mInstance);
-  if (!aLeaves || record == nullptr || !IsCurrent() || Ends(record->mState)) {
+  if (!aLeaves || record == nullptr || !IsCurrent() ||
+      IsLeavingOrGone(record->mState)) {
     return;
   }
   LogLine(LogLevel::kInfo, "leaving_said")
--- a/daemons/relay/relay_attempt.cpp
+++ b/daemons/relay/relay_attempt.cpp
@@ -209,7 +209,7 @@
     return false;
   }
   const UpstreamRecord* record = mContext.mRegistry.Find(mAttempt->mInstance);
-  return record != nullptr && IsCurrent() && !Ends(record->mState) &&
+  return record != nullptr && IsCurrent() && !IsLeavingOrGone(record->mState) &&
          !mContext.mRests.IsActive(mAttempt->mInstance, SteadyNow()) &&
          Remaining() > 0 && !IsBarred();
 }
--- a/daemons/relay/relay_context.cpp
+++ b/daemons/relay/relay_context.cpp
@@ -69,7 +69,7 @@
       mRandom(std::random_device{}()),
       mStartedAt(SteadyNow()) {
   mDirectory.SetSeeds(mOptions.mSeeds);
-  mRegistry.OnSuccessor([this](const UpstreamRecord& aSuccessor) {
+  mRegistry.SetSuccessorHook([this](const UpstreamRecord& aSuccessor) {
     ForgetPredecessor(aSuccessor);
   });
 }
@@ -344,8 +344,8 @@
 const std::vector<const UpstreamRecord*>& RelayContext::ReadyEngines(
     const std::string& aService) {
   ServicePaths& paths = mPaths[aService];
-  if (paths.mReadyOf != mRegistry.NewestChange()) {
-    paths.mReadyOf = mRegistry.NewestChange();
+  if (paths.mReadyOf != mRegistry.LastChangeRevision()) {
+    paths.mReadyOf = mRegistry.LastChangeRevision();
     paths.mReady = mRegistry.OfService(aService);
     std::erase_if(paths.mReady, [](const UpstreamRecord* aRecord) {
       return aRecord->mState != UpstreamState::kReady;
--- a/daemons/relay/relay_context.h
+++ b/daemons/relay/relay_context.h
@@ -20,8 +20,8 @@
 #include "spindleweir/servers/limits/router_count.h"
 #include "spindleweir/servers/limits/shutdown_admission.h"
 #include "spindleweir/servers/limits/typical_time.h"
-#include "spindleweir/servers/membership/beat_taker.h"
 #include "spindleweir/servers/membership/control_directory.h"
+#include "spindleweir/servers/membership/heartbeat_collector.h"
 #include "spindleweir/servers/membership/upstream_registry.h"
 #include "spindleweir/servers/routes/configuration_lease.h"
 #include "spindleweir/servers/routes/route_table.h"
@@ -156,7 +156,7 @@
   ConfigurationLease mLease;
   ControlDirectory mDirectory;
   UpstreamRegistry mRegistry;
-  BeatTaker mTaker;
+  HeartbeatCollector mTaker;
   EngineSlowdowns mPaces;
   AdvertisedLimits mLimits;
   BackoffPeriods mRests;
--- a/daemons/relay/sync_link.cpp
+++ b/daemons/relay/sync_link.cpp
@@ -45,23 +45,23 @@
          SteadyNow() - mNearAt < kFreshPeriods * it->second.mPeriod;
 }
 
-AskedControl SyncLink::Asked(const std::string& aAddress) {
+PolledControl SyncLink::Asked(const std::string& aAddress) {
   const Source& source = mSources[aAddress];
-  return {.mPeriod = source.mPeriod,
+  return {.mInterval = source.mPeriod,
           .mFailures = source.mFailures,
           .mWasRefused = source.mWasRefused,
-          .mIsNear = aAddress == mNear,
-          .mIsFirst = mContext.Table() == nullptr,
-          .mHearsNear = NearIsFresh(),
+          .mIsNearest = aAddress == mNear,
+          .mLacksConfiguration = mContext.Table() == nullptr,
+          .mNearestAnswers = NearIsFresh(),
           .mCosts = mContext.mOptions.mCosts,
           .mLacksLease = LacksLease(),
-          .mRouters = mContext.Routers(),
-          .mSpread = source.mSpread};
+          .mRouterCount = mContext.Routers(),
+          .mJitter = source.mSpread};
 }
 
 void SyncLink::Step() {
   const Millis now = SteadyNow();
-  SourceQuestion question;
+  SourceChoiceInput question;
   question.mDirectory = &mContext.mDirectory;
   question.mProcess = mProcess;
   question.mZone = mContext.mOptions.mZone;
@@ -76,13 +76,13 @@
   for (const Endpoint& address : mControls) {
     const Source& source = mSources[address.Text()];
     if (!source.mAsking &&
-        now - source.mAskedAt >= AskAgainAfter(Asked(address.Text()))) {
+        now - source.mAskedAt >= NextPollDelay(Asked(address.Text()))) {
       Ask(address);
     }
   }
   if (now - mForgotAt >= kForgetPeriod) {
     mForgotAt = now;
-    mContext.mRegistry.ForgetEnded(now);
+    mContext.mRegistry.RemoveEnded(now);
     mContext.mCrashes.RemoveExpired(now);
     mContext.mLimits.RetainKnown([this](const std::string& aInstance) {
       return mContext.mRegistry.Find(aInstance) != nullptr;
@@ -101,11 +101,12 @@
 
 std::int64_t SyncLink::AddBeats(const Source& aSource,
                                 SyncQuestion& aQuestion) {
-  const TakenBeats untold = mContext.mTaker.Untold(aSource.mLife, SteadyNow());
+  const CollectedHeartbeats untold =
+      mContext.mTaker.Unreported(aSource.mLife, SteadyNow());
   if (!untold.mChanged.empty()) {
     aQuestion.mTakenUpstreams = PackUpstreams(untold.mChanged);
   }
-  aQuestion.mTakenBeats = ToJson(BeatTable::Of(untold.mBeats));
+  aQuestion.mTakenBeats = ToJson(HeartbeatTable::Of(untold.mHeartbeats));
   return untold.mNumber;
 }
 
@@ -146,7 +147,7 @@
   question.mRevision = source.mRevision;
   question.mConfiguration =
       mContext.Table() == nullptr ? 0 : mContext.Table()->Version();
-  question.mSilent = WriteRows(mContext.mRegistry.Silent());
+  question.mSilent = WriteRows(mContext.mRegistry.SilentUpstreams());
   question.mHearsNear = mNearAt > 0 && SteadyNow() - mNearAt < kNearHeard;
   question.mTakesAt = mContext.mStopping ? "" : mContext.mOptions.mTakesAt;
   const std::string life = source.mLife;
@@ -160,7 +161,7 @@
   }
   const std::int64_t crashes = AddCrashes(source, question);
   const Millis askedAt = source.mAskedAt;
-  const Millis timeout = AskTimeout(Asked(aAddress.Text()));
+  const Millis timeout = PollTimeout(Asked(aAddress.Text()));
   mContext.mRpc.Call(aAddress, rpc_method::kSync, ToJson(question), timeout,
                      [this, aAddress, askedAt, life, beats,
                       crashes](const RpcResult& aResult) {
@@ -172,7 +173,7 @@
                        const auto answer =
                            FromJson<SyncAnswer>(aResult.mAnswer);
                        if (beats > 0 && answer.mLife == life) {
-                         mContext.mTaker.Told(life, beats);
+                         mContext.mTaker.Acknowledge(life, beats);
                        }
                        if (answer.mLife == life) {
                          mSources[aAddress.Text()].mCrashesTold = crashes;
@@ -242,11 +243,11 @@
     LogLine(LogLevel::kInfo, "control_regained")
         .Add("address", aAddress.Text());
   }
-  mContext.mDirectory.Heard(aAnswer.mSelf, now);
+  mContext.mDirectory.OnSeen(aAnswer.mSelf, now);
   for (const ControlInfo& info : aAnswer.mControls) {
-    mContext.mDirectory.Heard(info, now);
+    mContext.mDirectory.OnSeen(info, now);
   }
-  for (const UpstreamNews& news : aAnswer.mNewsOfUpstreams) {
+  for (const UpstreamUpdate& news : aAnswer.mNewsOfUpstreams) {
     for (const UpstreamRecord& record :
          mContext.mBadWords.Unpack("news", news)) {
       TakeUpstream(record, aAnswer.mSelf.mId);
--- a/daemons/relay/sync_link.h
+++ b/daemons/relay/sync_link.h
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "daemons/relay/relay_context.h"
-#include "spindleweir/servers/membership/ask_schedule.h"
+#include "spindleweir/servers/membership/poll_schedule.h"
 #include "spindleweir/servers/routing/reported_loads.h"
 
 namespace spindleweir {
@@ -56,7 +56,7 @@
   /// Whether the nearest control answers as often as it is asked.
   bool NearIsFresh() const;
   /// What decides when one is asked again.
-  AskedControl Asked(const std::string& aAddress);
+  PolledControl Asked(const std::string& aAddress);
 
   RelayContext& mContext;
   std::string mProcess;
--- a/daemons/router/peer_link.cpp
+++ b/daemons/router/peer_link.cpp
@@ -32,11 +32,11 @@
       mMembers(
           [this, &aContext] {
             MemberTableOptions options = MakeMemberOptions(aContext);
-            options.mProbe = [this](const std::string& aTarget,
-                                    const std::string& aVia) {
+            options.mSendProbe = [this](const std::string& aTarget,
+                                        const std::string& aVia) {
               Probe(aTarget, aVia);
             };
-            options.mChanged = [this](const MemberUpdate& aUpdate) {
+            options.mOnStateChange = [this](const MemberUpdate& aUpdate) {
               LogLine(LogLevel::kInfo, "member")
                   .Add("id", aUpdate.mId)
                   .Add("state", NameOf(aUpdate.mState));
@@ -68,7 +68,8 @@
     return Json::Value(Json::objectValue);
   });
   aDispatcher.On(rpc_method::kAnswered, [this](const Json::Value& aMessage) {
-    mMembers.Answered(FromJson<IndirectProbe>(aMessage).mTarget, SteadyNow());
+    mMembers.OnProbeAnswered(FromJson<IndirectProbe>(aMessage).mTarget,
+                             SteadyNow());
     return Json::Value(Json::objectValue);
   });
   aDispatcher.On(rpc_method::kGetConfiguration,
@@ -111,16 +112,16 @@
   state.mZone = mContext.mOptions.mZone;
   state.mVersion = mContext.Accepted().mVersion;
   state.mReady = mContext.mReady;
-  state.mUpdates = mMembers.Gossip();
-  state.mLeaving = mContext.mLeaving.Words();
+  state.mUpdates = mMembers.NextGossip();
+  state.mLeaving = mContext.mLeaving.Notices();
   state.mDemands = mContext.mLimiter.Demands(SteadyNow());
   return state;
 }
 
 void PeerLink::Learn(const PeerState& aState) {
-  mMembers.Learn(aState.mUpdates, SteadyNow());
+  mMembers.ApplyUpdates(aState.mUpdates, SteadyNow());
   bool news = false;
-  for (const LeavingWord& word : aState.mLeaving) {
+  for (const LeaveNotice& word : aState.mLeaving) {
     news = mContext.AddLeavingWord(word, aState.mFrom) || news;
   }
   if (news) {
@@ -154,7 +155,7 @@
                      kProbeTimeout, [this, aTarget](const RpcResult& aResult) {
                        mToAskFirst.erase(aTarget);
                        if (aResult.mOk) {
-                         mMembers.Answered(aTarget, SteadyNow());
+                         mMembers.OnProbeAnswered(aTarget, SteadyNow());
                          Learn(FromJson<PeerState>(aResult.mAnswer));
                        }
                      });
--- a/daemons/router/router_context.cpp
+++ b/daemons/router/router_context.cpp
@@ -113,7 +113,7 @@
     if (upstream.mReportedAt < 0) {
       continue;
     }
-    mLeaving.Seen(vm, report.mIncarnation);
+    mLeaving.OnSeen(vm, report.mIncarnation);
     if (report.mLeaving) {
       AddLeavingWord({vm, report.mIncarnation}, "its own word");
     }
@@ -128,7 +128,7 @@
   mView.SetLeaving(mLeaving.Vms());
 }
 
-bool RouterContext::AddLeavingWord(const LeavingWord& aWord,
+bool RouterContext::AddLeavingWord(const LeaveNotice& aWord,
                                    const std::string& aBy) {
   const bool news = mLeaving.Add(aWord);
   if (news) {
--- a/daemons/router/router_context.h
+++ b/daemons/router/router_context.h
@@ -41,7 +41,7 @@
   /// Brings who leaves from all sources into the view.
   void RefreshLeaving();
   /// Takes a word; true where it is news.
-  bool AddLeavingWord(const LeavingWord& aWord, const std::string& aBy);
+  bool AddLeavingWord(const LeaveNotice& aWord, const std::string& aBy);
 
   std::string NextRequestId();
   double Random();
--- a/daemons/router/stewardship.cpp
+++ b/daemons/router/stewardship.cpp
@@ -90,7 +90,7 @@
   const std::vector<EngineReport> engines =
       mContext.mView.LiveEngines(zone, kDeadAfter, mContext.mLoop.RunningNow());
   for (const EngineReport& engine : engines) {
-    mHolder->SawEpoch(engine.mEpoch);
+    mHolder->OnEpochSeen(engine.mEpoch);
   }
   if (!holds || mContext.Accepted().mVersion == 0 ||
       !mContext.mView.Complete(zone, mContext.mLoop.RunningNow())) {
--- a/include/spindleweir/daemons/control_daemon.h
+++ b/include/spindleweir/daemons/control_daemon.h
@@ -35,7 +35,7 @@
   std::vector<Endpoint> mSeeds;      ///< RPC addresses of some controls.
   bool mFirstStart = false;          ///< Of the whole deployment.
   Millis mHeartbeatInterval = 1200;  ///< Of upstreams.
-  /// Heartbeats a second that it takes itself; see TakerChoiceOptions.
+  /// Heartbeats a second that it takes itself; see CollectorChoiceOptions.
   int mOwnBeats = 50;
   RetryAllowanceOptions mRetries;  ///< As the routers have them.
   DocumentProtocol mDocuments;
--- a/include/spindleweir/daemons/peer_messages.h
+++ b/include/spindleweir/daemons/peer_messages.h
@@ -36,7 +36,7 @@
   std::int64_t mVersion = 0;  ///< Of its configuration.
   bool mReady = false;
   std::vector<MemberUpdate> mUpdates;
-  std::vector<LeavingWord> mLeaving;
+  std::vector<LeaveNotice> mLeaving;
   std::vector<WorkspaceDemand> mDemands;  ///< At the sender; routers only.
 
   template <class Codec>
--- a/include/spindleweir/daemons/sync_messages.h
+++ b/include/spindleweir/daemons/sync_messages.h
@@ -74,7 +74,8 @@
   /// "IP:PORT" where a router takes heartbeats; empty: it takes none.
   std::string mTakesAt;
   std::string mTakenUpstreams;  ///< Those with news: see PackUpstreams.
-  Json::Value mTakenBeats;      ///< Of the others: a BeatTable, see ReadBeats.
+  Json::Value
+      mTakenBeats;  ///< Of the others: a HeartbeatTable, see ReadHeartbeats.
   /// The number of the loads that were heard last from who is asked.
   std::int64_t mKnowsLoads = 0;
   /// Of the loads that are told; 0: none are. They replace what was told.
@@ -116,8 +117,8 @@
   std::string mLeader;  ///< Id of the leader it follows; empty: none.
   std::int64_t mTerm = 0;
   std::int64_t mRevision = 0;
-  std::vector<UpstreamNews> mNewsOfUpstreams;  ///< Those that changed.
-  /// To another control: heartbeats that changed nothing, a BeatTable.
+  std::vector<UpstreamUpdate> mNewsOfUpstreams;  ///< Those that changed.
+  /// To another control: heartbeats that changed nothing, a HeartbeatTable.
   Json::Value mBeats;
   /// Heard here later than who asks knows, though it holds them for silent:
   /// rows of UpstreamRecord.
--- a/include/spindleweir/servers/limits/crash_ledger.h
+++ b/include/spindleweir/servers/limits/crash_ledger.h
@@ -54,7 +54,7 @@
 /// Parses the records of a message. Invalid ones are left out and passed to
 /// aOnBad.
 std::vector<CrashRecord> ReadCrashes(const std::vector<Json::Value>& aRows,
-                                     const BadRowHook& aOnBad);
+                                     const InvalidRowHook& aOnBad);
 
 /// When a request is barred, and for how long records are stored.
 struct CrashLedgerOptions {
--- a/include/spindleweir/servers/membership/taker_choice.h
+++ b/include/spindleweir/servers/membership/collector_choice.h
@@ -9,31 +9,32 @@
 namespace spindleweir {
 
 /// When a control hands heartbeats on.
-struct TakerChoiceOptions {
+struct CollectorChoiceOptions {
   /// Heartbeats a second that a control takes itself; with more it names a
   /// router for the later ones. At 0.15 ms of a core each, 50 are 0.0075 of
   /// one. 0: names one always; below 0: never.
-  int mOwnBeats = 50;
+  int mMaxLocalHeartbeats = 50;
   /// A router that did not ask for so long is not named: one that is lost
   /// would cost its upstreams a second until they call control again. Those
   /// that ask a control of another zone do so each 2 s at 300 routers.
-  Millis mAskedWithin = 2500;
+  Millis mPollWindow = 2500;
 };
 
 /// The choice of one control. Time comes with each call.
-class TakerChoice {
+class CollectorChoice {
  public:
-  explicit TakerChoice(TakerChoiceOptions aOptions) : mOptions(aOptions) {}
+  explicit CollectorChoice(CollectorChoiceOptions aOptions)
+      : mOptions(aOptions) {}
 
   /// A router asked that takes heartbeats at an address; empty: it takes none.
-  void Asked(const std::string& aProcess, const std::string& aZone,
-             const std::string& aTakesAt, Millis aNow);
+  void OnPolled(const std::string& aProcess, const std::string& aZone,
+                const std::string& aTakesAt, Millis aNow);
   /// This control took a heartbeat. Returns the address for the later ones of
   /// this upstream, "IP:PORT"; empty: here. The same upstream gets the same
   /// router as long as that asks, and the upstreams of a lost one spread over
   /// all others of the zone.
-  std::string Take(const std::string& aInstance, const std::string& aZone,
-                   Millis aNow);
+  std::string OnHeartbeat(const std::string& aInstance,
+                          const std::string& aZone, Millis aNow);
   /// Whether routers take heartbeats at present, so that what is heard has come
   /// over one process more.
   bool Delegates(Millis aNow) const;
@@ -47,7 +48,7 @@
 
   bool HasMany(Millis aNow);
 
-  TakerChoiceOptions mOptions;
+  CollectorChoiceOptions mOptions;
   std::map<std::string, Taker> mTakers;  ///< By process.
   Millis mSecondBegan = 0;
   int mInSecond = 0;      ///< Heartbeats since then.
--- a/include/spindleweir/servers/membership/control_directory.h
+++ b/include/spindleweir/servers/membership/control_directory.h
@@ -17,15 +17,15 @@
 struct ControlInfo {
   std::string mId;
   std::string mZone;
-  std::string mOperator;  ///< "IP:PORT" for operators.
-  Millis mHeardAgo = 0;   ///< When sent.
+  std::string mOperator;    ///< "IP:PORT" for operators.
+  Millis mLastSeenAgo = 0;  ///< When sent.
 
   template <class Codec>
   void Fields(Codec& aCodec) {
     aCodec.Sparse("id", mId);
     aCodec.Sparse("zone", mZone);
     aCodec.Sparse("operator", mOperator);
-    aCodec.Sparse("heard_ago_ms", mHeardAgo);
+    aCodec.Sparse("heard_ago_ms", mLastSeenAgo);
   }
 };
 
@@ -40,24 +40,24 @@
   /// Sets the addresses that are asked whoever answers there.
   void SetSeeds(std::vector<Endpoint> aSeeds);
   /// A control was heard, or heard of.
-  void Heard(const ControlInfo& aInfo, Millis aNow);
+  void OnSeen(const ControlInfo& aInfo, Millis aNow);
   /// The addresses to ask: seeds and all that were heard of lately.
   std::vector<Endpoint> Addresses(Millis aNow) const;
   /// Those heard of within aWithin.
-  std::vector<ControlInfo> Lately(Millis aWithin, Millis aNow) const;
+  std::vector<ControlInfo> SeenWithin(Millis aWithin, Millis aNow) const;
   const ControlInfo* Find(const std::string& aId) const;
   /// The zone of who was heard last at an address; empty: not known.
   std::string ZoneAt(const Endpoint& aAddress) const;
   /// Milliseconds since a control was heard of; -1: never.
-  Millis Silence(const std::string& aId, Millis aNow) const;
+  Millis TimeSinceSeen(const std::string& aId, Millis aNow) const;
   /// Whether another control answers at the address of this one.
-  bool Replaced(const std::string& aId) const;
+  bool IsReplaced(const std::string& aId) const;
 
  private:
   struct Item {
     ControlInfo mInfo;
     Endpoint mAddress;  ///< Read from the id once.
-    Millis mHeardAt = 0;
+    Millis mLastSeenAt = 0;
   };
 
   std::vector<Endpoint> mSeeds;
--- a/include/spindleweir/servers/membership/member_table.h
+++ b/include/spindleweir/servers/membership/member_table.h
@@ -49,9 +49,9 @@
   std::uint64_t mSeed = 1;
   /// Sends a probe to a member; through another one where aVia is not empty.
   std::function<void(const std::string& aTarget, const std::string& aVia)>
-      mProbe;
+      mSendProbe;
   /// Told of each change of state.
-  std::function<void(const MemberUpdate&)> mChanged;
+  std::function<void(const MemberUpdate&)> mOnStateChange;
 };
 
 /// The members as one process sees them.
@@ -63,11 +63,11 @@
   void SetMembers(const std::vector<std::string>& aIds, Millis aNow);
   void Tick(Millis aNow);
   /// A probe of that member, direct or not, was answered.
-  void Answered(const std::string& aId, Millis aNow);
+  void OnProbeAnswered(const std::string& aId, Millis aNow);
   /// Takes updates that came with a message.
-  void Learn(std::span<const MemberUpdate> aUpdates, Millis aNow);
+  void ApplyUpdates(std::span<const MemberUpdate> aUpdates, Millis aNow);
   /// The updates to send with a message.
-  std::vector<MemberUpdate> Gossip();
+  std::vector<MemberUpdate> NextGossip();
 
   /// Whether the member is alive or only suspected.
   bool IsUsable(const std::string& aId) const;
--- a/include/spindleweir/servers/membership/source_choice.h
+++ b/include/spindleweir/servers/membership/source_choice.h
@@ -14,7 +14,7 @@
 namespace spindleweir {
 
 /// What a router chooses by.
-struct SourceQuestion {
+struct SourceChoiceInput {
   const ControlDirectory* mDirectory = nullptr;
   std::string mProcess;  ///< Spreads the routers over the controls.
   std::string mZone;     ///< Of the router.
@@ -22,12 +22,12 @@
   std::map<std::string, Millis> mFailedAt;
   Millis mNow = 0;
   /// One that failed so lately is asked only where too few others are left.
-  Millis mAvoidFor = 3000;
-  std::size_t mMost = 3;  ///< Controls asked at a time.
+  Millis mFailureAvoidance = 3000;
+  std::size_t mMaxSources = 3;  ///< Controls asked at a time.
 };
 
 /// The addresses to ask, the one that is told of loads first: one of the own
 /// zone where there is one, then of as many other zones as there are.
-std::vector<Endpoint> ChooseSources(const SourceQuestion& aQuestion);
+std::vector<Endpoint> ChooseSources(const SourceChoiceInput& aQuestion);
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/membership/steward_lease.h
+++ b/include/spindleweir/servers/membership/steward_lease.h
@@ -85,7 +85,7 @@
   void Tick(Millis aNow);
   void Handle(const LeaseReply& aReply, Millis aNow);
   /// An epoch seen at an engine or a peer: the next one is greater.
-  void SawEpoch(std::int64_t aEpoch);
+  void OnEpochSeen(std::int64_t aEpoch);
   /// Gives the lease back at a planned stop.
   void Release(Millis aNow);
 
--- a/include/spindleweir/servers/membership/upstream_check.h
+++ b/include/spindleweir/servers/membership/upstream_check.h
@@ -16,7 +16,7 @@
 /// header, the address is no "IP:PORT", or a number is out of range. Of one
 /// that is gone only the instance is looked at: nothing else may be known.
 void RequireUsable(const UpstreamRecord& aRecord);
-void RequireUsable(const UpstreamBeat& aBeat);
+void RequireUsable(const UpstreamHeartbeat& aBeat);
 void RequireUsable(const SilentUpstream& aSilent);
 /// A name of an instance, as it can stand in a header.
 void RequireInstance(std::string_view aInstance);
@@ -26,22 +26,22 @@
 void RequireAge(Millis aAge);
 
 /// Called for each row that is left out.
-using BadRowHook =
+using InvalidRowHook =
     std::function<void(const std::string& aInstance, const Error& aWhy)>;
 
 /// Whether word that is left out is logged: one line in ten seconds for each
 /// kind, whatever the number, so that a writer gone wrong fills no disk.
-class BadWordPace {
+class InvalidMessageLogLimiter {
  public:
-  struct Turn {
-    bool mLogs = false;
-    int mNotLogged = 0;  ///< Since the last line.
+  struct Decision {
+    bool mShouldLog = false;
+    int mSuppressed = 0;  ///< Since the last line.
   };
-  Turn Note(Millis aNow);
+  Decision OnInvalidMessage(Millis aNow);
 
  private:
   Millis mLoggedAt = -1;
-  int mNotLogged = 0;
+  int mSuppressed = 0;
 };
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/membership/upstream_feed.h
+++ b/include/spindleweir/servers/membership/upstream_feed.h
@@ -11,21 +11,21 @@
 namespace spindleweir {
 
 /// Records as they were some time ago.
-struct UpstreamNews {
+struct UpstreamUpdate {
   std::string mText;  ///< See PackUpstreams.
-  Millis mAgo = 0;    ///< Since it was true.
+  Millis mAge = 0;    ///< UpdatesSince it was true.
 
   template <class Codec>
   void Fields(Codec& aCodec) {
     aCodec.Required("text", mText);
-    aCodec.Field("ago_ms", mAgo);
+    aCodec.Field("ago_ms", mAge);
   }
 };
 
 /// What one asker lacks.
-struct FeedAnswer {
-  std::vector<UpstreamNews> mNews;  ///< In order.
-  std::int64_t mRevision = 0;       ///< That is known with them.
+struct FeedUpdates {
+  std::vector<UpstreamUpdate> mUpdates;  ///< In order.
+  std::int64_t mRevision = 0;            ///< That is known with them.
 };
 
 /// How often a feed writes.
@@ -33,11 +33,11 @@
   /// Changes are packed at most this often, and in as many milliseconds as
   /// there are so many rows; an asker gets none in between. Looking for them
   /// goes through all rows: 0.03 ms for 3,000.
-  Millis mEvery = 20;
+  Millis mBatchInterval = 20;
   int mRowsEachMilli = 30;
   /// The list of all is packed anew at most this often, and as many
   /// milliseconds as it has rows, for those that know nothing.
-  Millis mAllEvery = 500;
+  Millis mFullListInterval = 500;
 };
 
 /// The feed of one control process. The load that it answers: 3,000 engines
@@ -48,8 +48,8 @@
   explicit UpstreamFeed(UpstreamFeedOptions aOptions) : mOptions(aOptions) {}
 
   /// What an asker that knows revision aKnown lacks; 0: knows nothing.
-  FeedAnswer Since(const UpstreamRegistry& aRegistry, std::int64_t aKnown,
-                   Millis aNow);
+  FeedUpdates UpdatesSince(const UpstreamRegistry& aRegistry,
+                           std::int64_t aKnown, Millis aNow);
 
  private:
   /// Records that changed after mFrom, up to mTo.
@@ -64,7 +64,7 @@
   void Note(const UpstreamRegistry& aRegistry, Millis aNow);
   void PackAll(const UpstreamRegistry& aRegistry, Millis aNow);
   /// Adds what came after aKnown.
-  void Add(std::int64_t aKnown, Millis aNow, FeedAnswer& aAnswer) const;
+  void Add(std::int64_t aKnown, Millis aNow, FeedUpdates& aAnswer) const;
 
   UpstreamFeedOptions mOptions;
   std::deque<Batch> mBatches;
--- a/include/spindleweir/servers/membership/upstream_registry.h
+++ b/include/spindleweir/servers/membership/upstream_registry.h
@@ -54,8 +54,8 @@
   UpstreamState mState = UpstreamState::kReady;
   std::int64_t mSequence = 0;  ///< Of the newest heartbeat.
   LayerRange mLayers;
-  bool mBusy = false;    ///< An order is under way, as far as is known.
-  Millis mHeardAgo = 0;  ///< Since the newest heartbeat, when sent.
+  bool mBusy = false;       ///< An order is under way, as far as is known.
+  Millis mLastSeenAgo = 0;  ///< Since the newest heartbeat, when sent.
 
   template <class Codec>
   void Fields(Codec& aCodec) {
@@ -72,7 +72,7 @@
     aCodec.Required("sequence", mSequence);
     aCodec.Field("layers", mLayers);
     aCodec.Field("busy", mBusy);
-    aCodec.Field("heard_ago_ms", mHeardAgo);
+    aCodec.Field("heard_ago_ms", mLastSeenAgo);
   }
 };
 
@@ -81,13 +81,13 @@
 bool SameForRouters(const UpstreamRecord& aLeft, const UpstreamRecord& aRight);
 
 /// Whether it takes no new work any more.
-bool Ends(UpstreamState aState);
+bool IsLeavingOrGone(UpstreamState aState);
 
 /// A heartbeat that told nothing new.
-struct UpstreamBeat {
+struct UpstreamHeartbeat {
   std::string mInstance;
   std::int64_t mSequence = 0;
-  Millis mHeardAgo = 0;     ///< When sent.
+  Millis mLastSeenAgo = 0;  ///< When sent.
   std::int64_t mStart = 0;  ///< See UpstreamRecord.
 };
 
@@ -95,12 +95,12 @@
 /// one that tells no start ends none that began so lately under a name that was
 /// known. Who leaves right after such a start is not acknowledged for that
 /// long.
-inline constexpr Millis kLeaveDoubt = 5000;
+inline constexpr Millis kLeaveDoubtWindow = 5000;
 
 /// What became of word that an upstream has left for good.
 enum class LeaveOutcome {
-  kEnded,  ///< The incarnation is gone now.
-  kKnown,  ///< It was known as gone, or has a successor.
+  kEnded,         ///< The incarnation is gone now.
+  kAlreadyKnown,  ///< It was known as gone, or has a successor.
   /// It tells no start, and the incarnation that is known has just begun: the
   /// word may be a late one of its predecessor. Nothing changed, and it must
   /// not be acknowledged; who still wants to leave says so again.
@@ -134,15 +134,17 @@
   /// its name: what is remembered of the instance holds no more. The registry
   /// must not be changed meanwhile.
   using SuccessorHook = std::function<void(const UpstreamRecord&)>;
-  void OnSuccessor(SuccessorHook aHook) { mOnSuccessor = std::move(aHook); }
+  void SetSuccessorHook(SuccessorHook aHook) {
+    mSuccessorHook = std::move(aHook);
+  }
 
   /// Takes a heartbeat; one that was overtaken changes nothing. Returns
   /// whether the record is new or changed for routers.
-  bool Beat(const UpstreamRecord& aRecord, Millis aNow);
+  bool ApplyHeartbeat(const UpstreamRecord& aRecord, Millis aNow);
   /// The incarnation has left; its later heartbeats count for nothing. Word
   /// that tells no start ends the one that is known.
-  LeaveOutcome Leave(const std::string& aInstance, Millis aNow,
-                     std::int64_t aStart = 0);
+  LeaveOutcome ApplyLeave(const std::string& aInstance, Millis aNow,
+                          std::int64_t aStart = 0);
   /// Takes what another registry knows. aToldBy: the control process that it
   /// is of; empty: a router that took the heartbeat, which counts as heard
   /// here.
@@ -151,19 +153,19 @@
   /// Takes a heartbeat that another process heard and that told it nothing new.
   /// Returns whether the record changed for routers: one held for silent is
   /// ready again. An instance that is not known changes nothing.
-  bool Touch(const UpstreamBeat& aBeat, Millis aNow,
-             const std::string& aToldBy = "");
+  bool MergeHeartbeat(const UpstreamHeartbeat& aBeat, Millis aNow,
+                      const std::string& aToldBy = "");
   /// Marks those silent that were not heard for aSilence, and forgets those
   /// that are gone or silent for long. Returns those that are silent now.
   std::vector<UpstreamRecord> Expire(Millis aSilence, Millis aNow);
   /// For who hears of changes only: forgets those that are not ready and were
   /// not heard for long.
-  void ForgetEnded(Millis aNow);
+  void RemoveEnded(Millis aNow);
 
   /// The revision of the newest word.
   std::int64_t Revision() const { return mRevision; }
   /// The revision of the newest that was more than a heartbeat.
-  std::int64_t NewestChange() const { return mNewestChange; }
+  std::int64_t LastChangeRevision() const { return mLastChangeRevision; }
   /// The records changed after a revision.
   std::vector<UpstreamRecord> ChangedSince(std::int64_t aRevision,
                                            Millis aNow) const;
@@ -172,14 +174,14 @@
   /// not be known before what it told. Left out, too, are those that were told
   /// here by controls that who asks hears itself (aHears): told on by each of
   /// five, 2,500 heartbeats a second took a third of a control.
-  std::vector<UpstreamBeat> BeatsSince(
+  std::vector<UpstreamHeartbeat> HeartbeatsSince(
       std::int64_t aRevision, std::int64_t aKnown, Millis aNow,
       const std::set<std::string>& aHears = {}) const;
 
-  std::vector<SilentUpstream> Silent() const;
+  std::vector<SilentUpstream> SilentUpstreams() const;
   /// Those of a list that were heard here later than the list knows, and
   /// within aWithin: where control is split, heartbeats reach either part.
-  std::vector<UpstreamRecord> HeardLater(
+  std::vector<UpstreamRecord> SeenLaterThan(
       const std::vector<SilentUpstream>& aSilent, Millis aWithin,
       Millis aNow) const;
 
@@ -242,8 +244,8 @@
   /// Instances by address, so that a successor is found without a search.
   std::map<std::string, std::set<std::string>> mAtAddress;
   std::int64_t mRevision = 0;
-  std::int64_t mNewestChange = 0;
-  SuccessorHook mOnSuccessor;
+  std::int64_t mLastChangeRevision = 0;
+  SuccessorHook mSuccessorHook;
 };
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/membership/upstream_table.h
+++ b/include/spindleweir/servers/membership/upstream_table.h
@@ -30,12 +30,12 @@
   std::vector<int> mTos;
   std::vector<int> mBusy;  ///< 0 or 1.
   std::vector<std::int64_t> mSequences;
-  std::vector<std::int64_t> mHeardAgo;  ///< Milliseconds.
+  std::vector<std::int64_t> mLastSeenAgo;  ///< Milliseconds.
   /// Empty: none are told, as by processes of the former version.
   std::vector<std::int64_t> mStarts;
 
   static UpstreamTable Of(const std::vector<UpstreamRecord>& aRecords);
-  std::vector<UpstreamRecord> Records(const BadRowHook& aOnBad = {}) const;
+  std::vector<UpstreamRecord> Records(const InvalidRowHook& aOnBad = {}) const;
   /// Throws kBadField.
   UpstreamRecord RecordAt(std::size_t aRow) const;
 
@@ -53,45 +53,46 @@
     aCodec.Required("tos", mTos);
     aCodec.Required("busy", mBusy);
     aCodec.Required("sequences", mSequences);
-    aCodec.Required("heard_ago_ms", mHeardAgo);
+    aCodec.Required("heard_ago_ms", mLastSeenAgo);
     aCodec.Field("starts", mStarts);
   }
 };
 
 /// Heartbeats that changed nothing, by columns.
-struct BeatTable {
+struct HeartbeatTable {
   std::vector<std::string> mInstances;
   std::vector<std::int64_t> mSequences;
-  std::vector<std::int64_t> mHeardAgo;  ///< Milliseconds.
-  std::vector<std::int64_t> mStarts;    ///< As in UpstreamTable.
+  std::vector<std::int64_t> mLastSeenAgo;  ///< Milliseconds.
+  std::vector<std::int64_t> mStarts;       ///< As in UpstreamTable.
 
-  static BeatTable Of(const std::vector<UpstreamBeat>& aBeats);
-  std::vector<UpstreamBeat> Beats(const BadRowHook& aOnBad = {}) const;
+  static HeartbeatTable Of(const std::vector<UpstreamHeartbeat>& aBeats);
+  std::vector<UpstreamHeartbeat> Heartbeats(
+      const InvalidRowHook& aOnBad = {}) const;
 
   template <class Codec>
   void Fields(Codec& aCodec) {
     aCodec.Sparse("instances", mInstances);
     aCodec.Sparse("sequences", mSequences);
-    aCodec.Sparse("heard_ago_ms", mHeardAgo);
+    aCodec.Sparse("heard_ago_ms", mLastSeenAgo);
     aCodec.Sparse("starts", mStarts);
   }
 };
 
 /// The heartbeats of a table in a message; none where there is no table. Throws
 /// kBadField where it is none at all.
-std::vector<UpstreamBeat> ReadBeats(const Json::Value& aTable,
-                                    const BadRowHook& aOnBad = {});
+std::vector<UpstreamHeartbeat> ReadHeartbeats(
+    const Json::Value& aTable, const InvalidRowHook& aOnBad = {});
 
 /// Records as one text. Throws, on the way back, kDataCorrupt, kMalformedJson
 /// or kBadField where a text is no table at all.
 std::string PackUpstreams(const std::vector<UpstreamRecord>& aRecords);
 std::vector<UpstreamRecord> UnpackUpstreams(std::string_view aPacked,
-                                            const BadRowHook& aOnBad = {});
+                                            const InvalidRowHook& aOnBad = {});
 
 /// Rows of a list in a message, each an object.
 template <class T>
 std::vector<T> ReadRows(const std::vector<Json::Value>& aRows,
-                        const BadRowHook& aOnBad = {}) {
+                        const InvalidRowHook& aOnBad = {}) {
   std::vector<T> read;
   read.reserve(aRows.size());
   for (const Json::Value& row : aRows) {
--- a/include/spindleweir/servers/membership/voter_plan.h
+++ b/include/spindleweir/servers/membership/voter_plan.h
@@ -10,21 +10,21 @@
 namespace spindleweir {
 
 /// What a leader decides by.
-struct VoterQuestion {
+struct VoterPlanInput {
   std::string mSelf;
   std::vector<std::string> mVoters;
   const ControlDirectory* mDirectory = nullptr;
   Millis mNow = 0;
   /// A voter silent for so long is replaced, where another is there.
-  Millis mSilence = 6000;
+  Millis mSilenceTimeout = 6000;
   /// A candidate must have been heard within this time.
-  Millis mFresh = 1500;
-  std::size_t mMostVoters = 7;
+  Millis mCandidateWindow = 1500;
+  std::size_t mMaxVoters = 7;
 };
 
 /// The voters after the next step; the same as now where none is due. A voter
 /// that lost its disk, or is silent for long, leaves only when another takes
 /// its place; candidates join while an odd number results.
-std::vector<std::string> NextVoters(const VoterQuestion& aQuestion);
+std::vector<std::string> NextVoters(const VoterPlanInput& aQuestion);
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/routing/load_aggregator.h
+++ b/include/spindleweir/servers/routing/load_aggregator.h
@@ -94,7 +94,7 @@
 /// Returns the table without its invalid rows: those with an invalid instance
 /// name or a negative number, and those beyond the end of a shorter column.
 /// Each of them is passed to aOnBad.
-LoadTable UsableRows(const LoadTable& aTable, const BadRowHook& aOnBad);
+LoadTable UsableRows(const LoadTable& aTable, const InvalidRowHook& aOnBad);
 
 /// Serializes load shares for transfer between processes; "" stands for no
 /// shares.
@@ -102,7 +102,8 @@
 /// Parses the result of PackLoads(). Throws kDataCorrupt, kBadJson or kBadField
 /// if the text is malformed. With a hook, invalid rows are passed to the hook
 /// and left out instead.
-LoadShares UnpackLoads(std::string_view aPacked, const BadRowHook& aOnBad = {});
+LoadShares UnpackLoads(std::string_view aPacked,
+                       const InvalidRowHook& aOnBad = {});
 
 /// Serialized load shares, as they are returned to any number of pollers.
 struct PackedLoads {
--- a/servers/limits/crash_ledger.cpp
+++ b/servers/limits/crash_ledger.cpp
@@ -43,7 +43,7 @@
 }
 
 std::vector<CrashRecord> ReadCrashes(const std::vector<Json::Value>& aRows,
-                                     const BadRowHook& aOnBad) {
+                                     const InvalidRowHook& aOnBad) {
   std::vector<CrashRecord> records;
   for (const Json::Value& row : aRows) {
     try {
--- a/servers/membership/taker_choice.cpp
+++ b/servers/membership/collector_choice.cpp
@@ -1,4 +1,4 @@
-#include "spindleweir/servers/membership/taker_choice.h"
+#include "spindleweir/servers/membership/collector_choice.h"
 
 #include <algorithm>
 
@@ -15,38 +15,40 @@
 
 }  // namespace
 
-void TakerChoice::Asked(const std::string& aProcess, const std::string& aZone,
-                        const std::string& aTakesAt, Millis aNow) {
+void CollectorChoice::OnPolled(const std::string& aProcess,
+                               const std::string& aZone,
+                               const std::string& aTakesAt, Millis aNow) {
   if (aTakesAt.empty()) {
     mTakers.erase(aProcess);
     return;
   }
   mTakers[aProcess] = {aZone, aTakesAt, aNow};
   std::erase_if(mTakers, [&](const auto& aItem) {
-    return aNow - aItem.second.mAskedAt > mOptions.mAskedWithin;
+    return aNow - aItem.second.mAskedAt > mOptions.mPollWindow;
   });
 }
 
-bool TakerChoice::HasMany(Millis aNow) {
+bool CollectorChoice::HasMany(Millis aNow) {
   if (aNow - mSecondBegan >= kSecond) {
     mInLastSecond = aNow - mSecondBegan < 2 * kSecond ? mInSecond : 0;
     mInSecond = 0;
     mSecondBegan = aNow;
   }
   mInSecond++;
-  return mOptions.mOwnBeats >= 0 &&
-         std::max(mInSecond, mInLastSecond) > mOptions.mOwnBeats;
+  return mOptions.mMaxLocalHeartbeats >= 0 &&
+         std::max(mInSecond, mInLastSecond) > mOptions.mMaxLocalHeartbeats;
 }
 
-std::string TakerChoice::Take(const std::string& aInstance,
-                              const std::string& aZone, Millis aNow) {
+std::string CollectorChoice::OnHeartbeat(const std::string& aInstance,
+                                         const std::string& aZone,
+                                         Millis aNow) {
   if (!HasMany(aNow)) {
     return "";
   }
   const Taker* chosen = nullptr;
   std::uint64_t highest = 0;
   for (const auto& [process, taker] : mTakers) {
-    const bool asks = aNow - taker.mAskedAt <= mOptions.mAskedWithin;
+    const bool asks = aNow - taker.mAskedAt <= mOptions.mPollWindow;
     const std::uint64_t weight = FastHash(aInstance + " " + taker.mAddress);
     if (asks && taker.mZone == aZone &&
         (chosen == nullptr || weight > highest)) {
@@ -61,7 +63,7 @@
   return chosen->mAddress;
 }
 
-bool TakerChoice::Delegates(Millis aNow) const {
+bool CollectorChoice::Delegates(Millis aNow) const {
   return mNamedAt >= 0 && aNow - mNamedAt < kNamedCounts;
 }
 
--- a/servers/membership/control_directory.cpp
+++ b/servers/membership/control_directory.cpp
@@ -29,7 +29,7 @@
   mSeeds = std::move(aSeeds);
 }
 
-void ControlDirectory::Heard(const ControlInfo& aInfo, Millis aNow) {
+void ControlDirectory::OnSeen(const ControlInfo& aInfo, Millis aNow) {
   if (aInfo.mId.empty()) {
     return;
   }
@@ -39,12 +39,12 @@
     it = mItems.emplace(aInfo.mId, Item{.mAddress = address}).first;
   }
   Item& item = it->second;
-  const Millis at = aNow - aInfo.mHeardAgo;
-  if (item.mInfo.mId.empty() || at >= item.mHeardAt) {
+  const Millis at = aNow - aInfo.mLastSeenAgo;
+  if (item.mInfo.mId.empty() || at >= item.mLastSeenAt) {
     item.mInfo = aInfo;
-    item.mInfo.mHeardAgo = 0;
+    item.mInfo.mLastSeenAgo = 0;
   }
-  item.mHeardAt = std::max(item.mHeardAt, at);
+  item.mLastSeenAt = std::max(item.mLastSeenAt, at);
 }
 
 std::vector<Endpoint> ControlDirectory::Addresses(Millis aNow) const {
@@ -52,20 +52,20 @@
   for (const auto& [id, item] : mItems) {
     const bool known = std::find(addresses.begin(), addresses.end(),
                                  item.mAddress) != addresses.end();
-    if (!known && aNow - item.mHeardAt < kForgotten) {
+    if (!known && aNow - item.mLastSeenAt < kForgotten) {
       addresses.push_back(item.mAddress);
     }
   }
   return addresses;
 }
 
-std::vector<ControlInfo> ControlDirectory::Lately(Millis aWithin,
-                                                  Millis aNow) const {
+std::vector<ControlInfo> ControlDirectory::SeenWithin(Millis aWithin,
+                                                      Millis aNow) const {
   std::vector<ControlInfo> controls;
   for (const auto& [id, item] : mItems) {
-    if (aNow - item.mHeardAt <= aWithin) {
+    if (aNow - item.mLastSeenAt <= aWithin) {
       controls.push_back(item.mInfo);
-      controls.back().mHeardAgo = aNow - item.mHeardAt;
+      controls.back().mLastSeenAgo = aNow - item.mLastSeenAt;
     }
   }
   return controls;
@@ -79,7 +79,8 @@
 std::string ControlDirectory::ZoneAt(const Endpoint& aAddress) const {
   const Item* newest = nullptr;
   for (const auto& [id, item] : mItems) {
-    const bool newer = newest == nullptr || item.mHeardAt > newest->mHeardAt;
+    const bool newer =
+        newest == nullptr || item.mLastSeenAt > newest->mLastSeenAt;
     if (newer && item.mAddress == aAddress) {
       newest = &item;
     }
@@ -87,17 +88,18 @@
   return newest == nullptr ? "" : newest->mInfo.mZone;
 }
 
-Millis ControlDirectory::Silence(const std::string& aId, Millis aNow) const {
+Millis ControlDirectory::TimeSinceSeen(const std::string& aId,
+                                       Millis aNow) const {
   const auto it = mItems.find(aId);
-  return it == mItems.end() ? -1 : aNow - it->second.mHeardAt;
+  return it == mItems.end() ? -1 : aNow - it->second.mLastSeenAt;
 }
 
-bool ControlDirectory::Replaced(const std::string& aId) const {
+bool ControlDirectory::IsReplaced(const std::string& aId) const {
   const auto own = mItems.find(aId);
   const Endpoint address = AddressOfControl(aId);
   return std::any_of(mItems.begin(), mItems.end(), [&](const auto& aItem) {
-    const bool newer =
-        own == mItems.end() || aItem.second.mHeardAt > own->second.mHeardAt;
+    const bool newer = own == mItems.end() ||
+                       aItem.second.mLastSeenAt > own->second.mLastSeenAt;
     return aItem.first != aId && newer && aItem.second.mAddress == address;
   });
 }
--- a/servers/membership/beat_taker.cpp
+++ b/servers/membership/heartbeat_collector.cpp
@@ -1,4 +1,4 @@
-#include "spindleweir/servers/membership/beat_taker.h"
+#include "spindleweir/servers/membership/heartbeat_collector.h"
 
 #include <tuple>
 
@@ -11,7 +11,8 @@
 
 }  // namespace
 
-bool BeatTaker::Beat(const UpstreamRecord& aRecord, Millis aNow) {
+bool HeartbeatCollector::ApplyHeartbeat(const UpstreamRecord& aRecord,
+                                        Millis aNow) {
   const auto [it, fresh] = mItems.try_emplace(aRecord.mInstance);
   Item& item = it->second;
   const UpstreamRecord before = item.mRecord;
@@ -29,18 +30,19 @@
   }
   item.mRecord = aRecord;
   item.mHeardAt = aNow;
-  return Ends(aRecord.mState) && (fresh || follows || !Ends(before.mState));
+  return IsLeavingOrGone(aRecord.mState) &&
+         (fresh || follows || !IsLeavingOrGone(before.mState));
 }
 
-const UpstreamRecord* BeatTaker::Leave(const std::string& aInstance,
-                                       Millis aNow, std::int64_t aStart) {
+const UpstreamRecord* HeartbeatCollector::ApplyLeave(
+    const std::string& aInstance, Millis aNow, std::int64_t aStart) {
   const auto it = mItems.find(aInstance);
   if (it == mItems.end()) {
     return nullptr;
   }
   Item& item = it->second;
   const bool doubtful =
-      item.mFollowsAt >= 0 && aNow - item.mFollowsAt < kLeaveDoubt;
+      item.mFollowsAt >= 0 && aNow - item.mFollowsAt < kLeaveDoubtWindow;
   const bool means = aStart == 0 ? !doubtful : aStart == item.mRecord.mStart;
   if (!means) {
     return nullptr;
@@ -52,31 +54,33 @@
   return &item.mRecord;
 }
 
-void BeatTaker::Forget(Millis aNow) {
+void HeartbeatCollector::Forget(Millis aNow) {
   std::erase_if(mItems, [aNow](const auto& aItem) {
     return aNow - aItem.second.mHeardAt > kKept;
   });
 }
 
-TakenBeats BeatTaker::Untold(const std::string& aLife, Millis aNow) {
+CollectedHeartbeats HeartbeatCollector::Unreported(const std::string& aLife,
+                                                   Millis aNow) {
   Forget(aNow);
   const std::int64_t known = aLife == mToldLife ? mTold : 0;
-  TakenBeats untold;
+  CollectedHeartbeats untold;
   untold.mNumber = mNumber;
   for (const auto& [instance, item] : mItems) {
     const Millis ago = aNow - item.mHeardAt;
     if (item.mChanged > known) {
       untold.mChanged.push_back(item.mRecord);
-      untold.mChanged.back().mHeardAgo = ago;
+      untold.mChanged.back().mLastSeenAgo = ago;
     } else if (item.mHeard > known) {
-      untold.mBeats.push_back(
+      untold.mHeartbeats.push_back(
           {instance, item.mRecord.mSequence, ago, item.mRecord.mStart});
     }
   }
   return untold;
 }
 
-void BeatTaker::Told(const std::string& aLife, std::int64_t aNumber) {
+void HeartbeatCollector::Acknowledge(const std::string& aLife,
+                                     std::int64_t aNumber) {
   mToldLife = aLife;
   mTold = aNumber;
 }
--- a/servers/membership/leaving_set.cpp
+++ b/servers/membership/leaving_set.cpp
@@ -17,14 +17,14 @@
   std::erase_if(mKnownAt, [this, aNow](const auto& aItem) {
     const bool gone = aNow - aItem.second > kForgetAfter;
     if (gone) {
-      mWords.erase(aItem.first);
+      mNotices.erase(aItem.first);
       mSeen.erase(aItem.first);
     }
     return gone;
   });
 }
 
-bool LeavingSet::Add(const LeavingWord& aWord) {
+bool LeavingSet::Add(const LeaveNotice& aWord) {
   if (!mKnownAt.contains(aWord.mVm) && !mSeen.contains(aWord.mVm)) {
     return false;
   }
@@ -36,26 +36,26 @@
   if (incarnation < newest) {
     return false;
   }
-  const auto it = mWords.find(aWord.mVm);
-  if (it != mWords.end() && it->second >= incarnation) {
+  const auto it = mNotices.find(aWord.mVm);
+  if (it != mNotices.end() && it->second >= incarnation) {
     return false;
   }
-  mWords[aWord.mVm] = incarnation;
+  mNotices[aWord.mVm] = incarnation;
   return true;
 }
 
-void LeavingSet::Seen(const std::string& aVm, std::int64_t aIncarnation) {
+void LeavingSet::OnSeen(const std::string& aVm, std::int64_t aIncarnation) {
   std::int64_t& newest = mSeen[aVm];
   newest = std::max(newest, aIncarnation);
-  const auto it = mWords.find(aVm);
-  if (it == mWords.end()) {
+  const auto it = mNotices.find(aVm);
+  if (it == mNotices.end()) {
     return;
   }
   if (it->second == 0) {
     // The word came before any report: it is about the first one seen.
     it->second = newest;
   } else if (it->second < newest) {
-    mWords.erase(it);
+    mNotices.erase(it);
   }
 }
 
@@ -64,20 +64,20 @@
 }
 
 bool LeavingSet::Contains(const std::string& aVm) const {
-  return mDrained.contains(aVm) || mWords.contains(aVm);
+  return mDrained.contains(aVm) || mNotices.contains(aVm);
 }
 
 std::set<std::string> LeavingSet::Vms() const {
   std::set<std::string> vms = mDrained;
-  for (const auto& [vm, incarnation] : mWords) {
+  for (const auto& [vm, incarnation] : mNotices) {
     vms.insert(vm);
   }
   return vms;
 }
 
-std::vector<LeavingWord> LeavingSet::Words() const {
-  std::vector<LeavingWord> words;
-  for (const auto& [vm, incarnation] : mWords) {
+std::vector<LeaveNotice> LeavingSet::Notices() const {
+  std::vector<LeaveNotice> words;
+  for (const auto& [vm, incarnation] : mNotices) {
     words.push_back({vm, incarnation});
   }
   return words;
--- a/servers/membership/member_table.cpp
+++ b/servers/membership/member_table.cpp
@@ -80,7 +80,7 @@
   if (!mProbed.empty()) {
     // A copy: the answer may come at once and clear the member.
     const std::string target = mProbed;
-    mOptions.mProbe(target, "");
+    mOptions.mSendProbe(target, "");
   }
 }
 
@@ -96,7 +96,7 @@
   const auto most = static_cast<std::size_t>(mOptions.mIndirect);
   helpers.resize(std::min(helpers.size(), most));
   for (const std::string& helper : helpers) {
-    mOptions.mProbe(mProbed, helper);
+    mOptions.mSendProbe(mProbed, helper);
   }
 }
 
@@ -115,7 +115,7 @@
   return target;
 }
 
-void MemberTable::Answered(const std::string& aId, Millis aNow) {
+void MemberTable::OnProbeAnswered(const std::string& aId, Millis aNow) {
   if (mProbed == aId) {
     mProbed.clear();
   }
@@ -127,10 +127,11 @@
   // is enough here.
   it->second.mState = MemberState::kAlive;
   it->second.mSuspectSince = aNow;
-  mOptions.mChanged({aId, MemberState::kAlive, it->second.mIncarnation});
+  mOptions.mOnStateChange({aId, MemberState::kAlive, it->second.mIncarnation});
 }
 
-void MemberTable::Learn(std::span<const MemberUpdate> aUpdates, Millis aNow) {
+void MemberTable::ApplyUpdates(std::span<const MemberUpdate> aUpdates,
+                               Millis aNow) {
   for (const MemberUpdate& update : aUpdates) {
     if (update.mId == mOptions.mId) {
       const bool wrong = update.mState != MemberState::kAlive &&
@@ -158,7 +159,7 @@
   member.mIncarnation = aIncarnation;
   if (changed) {
     member.mSuspectSince = aNow;
-    mOptions.mChanged({aId, aState, aIncarnation});
+    mOptions.mOnStateChange({aId, aState, aIncarnation});
   }
   Spread({aId, aState, aIncarnation});
 }
@@ -170,7 +171,7 @@
   mRumours.push_back({aUpdate, mOptions.mRepeats});
 }
 
-std::vector<MemberUpdate> MemberTable::Gossip() {
+std::vector<MemberUpdate> MemberTable::NextGossip() {
   // The least told go first.
   std::stable_sort(mRumours.begin(), mRumours.end(),
                    [](const Rumour& aLeft, const Rumour& aRight) {
--- a/servers/membership/ask_schedule.cpp
+++ b/servers/membership/poll_schedule.cpp
@@ -1,4 +1,4 @@
-#include "spindleweir/servers/membership/ask_schedule.h"
+#include "spindleweir/servers/membership/poll_schedule.h"
 
 #include <algorithm>
 
@@ -52,9 +52,9 @@
 constexpr std::size_t kToldByAll = 400;
 
 /// How often a control that is not the nearest is asked.
-Millis OthersPeriod(const AskedControl& aControl, Millis aPeriod) {
+Millis OthersPeriod(const PolledControl& aControl, Millis aPeriod) {
   const auto least = static_cast<Millis>(kOthersFactor * aPeriod);
-  if (!aControl.mHearsNear) {
+  if (!aControl.mNearestAnswers) {
     return least;
   }
   const double factor =
@@ -69,32 +69,34 @@
 }
 
 /// Of the period, for a router that may not act.
-double LackingFactor(const AskedControl& aControl, Millis aPeriod) {
-  const double least = aControl.mRouters * kLackingEachRouter;
+double LackingFactor(const PolledControl& aControl, Millis aPeriod) {
+  const double least = aControl.mRouterCount * kLackingEachRouter;
   const double near =
       std::max(kLackingFactor, least / static_cast<double>(aPeriod));
-  return aControl.mIsNear ? near : near * kLackingOthers;
+  return aControl.mIsNearest ? near : near * kLackingOthers;
 }
 
 /// Whether so few routers ask that controls have time for more. One that has
 /// just started does not know: all of 300 that did took themselves for the only
 /// one, asked thrice as often as usual, and no control got to a configuration.
-bool AsksSooner(const AskedControl& aControl) {
-  return aControl.mRouters > 1 && aControl.mRouters <= kMostAskingSooner;
+bool AsksSooner(const PolledControl& aControl) {
+  return aControl.mRouterCount > 1 &&
+         aControl.mRouterCount <= kMostAskingSooner;
 }
 
 }  // namespace
 
-Millis AskAgainAfter(const AskedControl& aControl) {
+Millis NextPollDelay(const PolledControl& aControl) {
   if (aControl.mWasRefused && aControl.mLacksLease) {
     return kAfterRefusal;
   }
-  const Millis period = aControl.mPeriod > 0 ? aControl.mPeriod : kFirstPeriod;
+  const Millis period =
+      aControl.mInterval > 0 ? aControl.mInterval : kFirstPeriod;
   const int backOff = BackOff(aControl.mFailures);
   const double spread =
-      backOff == 1 ? 1 : kLeastSpread + (1 - kLeastSpread) * aControl.mSpread;
+      backOff == 1 ? 1 : kLeastSpread + (1 - kLeastSpread) * aControl.mJitter;
   double usual = static_cast<double>(
-      aControl.mIsNear ? period : OthersPeriod(aControl, period));
+      aControl.mIsNearest ? period : OthersPeriod(aControl, period));
   if (aControl.mLacksLease && AsksSooner(aControl)) {
     const double lacking =
         static_cast<double>(period) * LackingFactor(aControl, period);
@@ -103,16 +105,17 @@
   return static_cast<Millis>(usual * backOff * spread);
 }
 
-bool TellsUpstreams(const Asker& aAsker, std::size_t aUpstreams) {
-  return aUpstreams <= kToldByAll || aAsker.mIsNear || !aAsker.mHearsNear;
+bool SendsUpstreamChanges(const PollingRouter& aAsker, std::size_t aUpstreams) {
+  return aUpstreams <= kToldByAll || aAsker.mIsNearest ||
+         !aAsker.mNearestAnswers;
 }
 
-bool TellsControls(const Asker& aAsker) {
-  return aAsker.mIsNear || !aAsker.mHearsNear;
+bool SendsControlList(const PollingRouter& aAsker) {
+  return aAsker.mIsNearest || !aAsker.mNearestAnswers;
 }
 
-Millis AskTimeout(const AskedControl& aControl) {
-  return aControl.mIsFirst
+Millis PollTimeout(const PolledControl& aControl) {
+  return aControl.mLacksConfiguration
              ? std::min(kTimeout, kFirstTimeout * BackOff(aControl.mFailures))
              : kTimeout;
 }
--- a/servers/membership/source_choice.cpp
+++ b/servers/membership/source_choice.cpp
@@ -18,21 +18,22 @@
   std::uint64_t mHash = 0;
 };
 
-Candidate Describe(const SourceQuestion& aQuestion, const Endpoint& aAddress) {
+Candidate Describe(const SourceChoiceInput& aQuestion,
+                   const Endpoint& aAddress) {
   Candidate candidate;
   candidate.mAddress = aAddress;
   candidate.mZone = aQuestion.mDirectory->ZoneAt(aAddress);
   const std::string text = aAddress.Text();
   const auto it = aQuestion.mFailedAt.find(text);
   candidate.mFails = it != aQuestion.mFailedAt.end() &&
-                     aQuestion.mNow - it->second < aQuestion.mAvoidFor;
+                     aQuestion.mNow - it->second < aQuestion.mFailureAvoidance;
   candidate.mHash = FastHash(aQuestion.mProcess + " " + text);
   return candidate;
 }
 
 }  // namespace
 
-std::vector<Endpoint> ChooseSources(const SourceQuestion& aQuestion) {
+std::vector<Endpoint> ChooseSources(const SourceChoiceInput& aQuestion) {
   const std::vector<Endpoint> all =
       aQuestion.mDirectory->Addresses(aQuestion.mNow);
   std::vector<Candidate> left;
@@ -42,7 +43,7 @@
   }
   std::set<std::string> taken;
   std::vector<Endpoint> chosen;
-  while (chosen.size() < aQuestion.mMost && !left.empty()) {
+  while (chosen.size() < aQuestion.mMaxSources && !left.empty()) {
     const bool first = chosen.empty();
     const auto rank = [&](const Candidate& aCandidate) {
       const bool own = aCandidate.mZone == aQuestion.mZone;
--- a/servers/membership/steward_lease.cpp
+++ b/servers/membership/steward_lease.cpp
@@ -76,7 +76,7 @@
 }
 
 void LeaseHolder::Handle(const LeaseReply& aReply, Millis aNow) {
-  SawEpoch(aReply.mEpoch);
+  OnEpochSeen(aReply.mEpoch);
   const bool mine = aReply.mRound == mRound && aReply.mEpoch == mEpoch;
   if (!mine || !aReply.mGranted || mReleased) {
     return;
@@ -101,7 +101,7 @@
               .mRelease = true});
 }
 
-void LeaseHolder::SawEpoch(std::int64_t aEpoch) {
+void LeaseHolder::OnEpochSeen(std::int64_t aEpoch) {
   mSeenEpoch = std::max(mSeenEpoch, aEpoch);
 }
 
--- a/servers/membership/upstream_check.cpp
+++ b/servers/membership/upstream_check.cpp
@@ -93,7 +93,7 @@
 
 void RequireUsable(const UpstreamRecord& aRecord) {
   RequireOrder(aRecord);
-  RequireAge(aRecord.mHeardAgo);
+  RequireAge(aRecord.mLastSeenAgo);
   if (aRecord.mState < UpstreamState::kReady ||
       aRecord.mState > UpstreamState::kGone) {
     Refuse("the state is not known");
@@ -117,23 +117,24 @@
   RequireAddress(aRecord.mAddress);
 }
 
-void RequireUsable(const UpstreamBeat& aBeat) {
+void RequireUsable(const UpstreamHeartbeat& aBeat) {
   RequireOrder(aBeat);
-  RequireAge(aBeat.mHeardAgo);
+  RequireAge(aBeat.mLastSeenAgo);
 }
 
 void RequireUsable(const SilentUpstream& aSilent) {
   RequireOrder(aSilent);
 }
 
-BadWordPace::Turn BadWordPace::Note(Millis aNow) {
+InvalidMessageLogLimiter::Decision InvalidMessageLogLimiter::OnInvalidMessage(
+    Millis aNow) {
   if (mLoggedAt >= 0 && aNow - mLoggedAt < kLogEvery) {
-    mNotLogged++;
+    mSuppressed++;
     return {};
   }
   mLoggedAt = aNow;
-  const Turn turn{.mLogs = true, .mNotLogged = mNotLogged};
-  mNotLogged = 0;
+  const Decision turn{.mShouldLog = true, .mSuppressed = mSuppressed};
+  mSuppressed = 0;
   return turn;
 }
 
--- a/servers/membership/upstream_feed.cpp
+++ b/servers/membership/upstream_feed.cpp
@@ -17,7 +17,8 @@
 
 void UpstreamFeed::Note(const UpstreamRegistry& aRegistry, Millis aNow) {
   const std::int64_t revision = aRegistry.Revision();
-  if (revision == mAt || (mNotedAt >= 0 && aNow - mNotedAt < mOptions.mEvery)) {
+  if (revision == mAt ||
+      (mNotedAt >= 0 && aNow - mNotedAt < mOptions.mBatchInterval)) {
     return;
   }
   const std::vector<UpstreamRecord> changed = aRegistry.ChangedSince(mAt, aNow);
@@ -42,7 +43,7 @@
 
 void UpstreamFeed::PackAll(const UpstreamRegistry& aRegistry, Millis aNow) {
   const Millis kept =
-      std::max(mOptions.mAllEvery, static_cast<Millis>(mAll.mRows));
+      std::max(mOptions.mFullListInterval, static_cast<Millis>(mAll.mRows));
   const bool follows = mAll.mTo >= mDroppedTo;
   if (mAll.mMadeAt >= 0 && follows && aNow - mAll.mMadeAt < kept) {
     return;
@@ -55,18 +56,18 @@
 }
 
 void UpstreamFeed::Add(std::int64_t aKnown, Millis aNow,
-                       FeedAnswer& aAnswer) const {
+                       FeedUpdates& aAnswer) const {
   for (const Batch& batch : mBatches) {
     if (batch.mTo > aKnown) {
-      aAnswer.mNews.push_back({batch.mText, aNow - batch.mMadeAt});
+      aAnswer.mUpdates.push_back({batch.mText, aNow - batch.mMadeAt});
     }
   }
 }
 
-FeedAnswer UpstreamFeed::Since(const UpstreamRegistry& aRegistry,
-                               std::int64_t aKnown, Millis aNow) {
+FeedUpdates UpstreamFeed::UpdatesSince(const UpstreamRegistry& aRegistry,
+                                       std::int64_t aKnown, Millis aNow) {
   Note(aRegistry, aNow);
-  FeedAnswer answer;
+  FeedUpdates answer;
   answer.mRevision = mAt;
   if (aKnown >= mAt) {
     return answer;
@@ -74,7 +75,7 @@
   std::int64_t known = aKnown;
   if (known < mDroppedTo) {
     PackAll(aRegistry, aNow);
-    answer.mNews.push_back({mAll.mText, aNow - mAll.mMadeAt});
+    answer.mUpdates.push_back({mAll.mText, aNow - mAll.mMadeAt});
     known = mAll.mTo;
   }
   Add(known, aNow, answer);
--- a/servers/membership/upstream_registry.cpp
+++ b/servers/membership/upstream_registry.cpp
@@ -35,21 +35,22 @@
          aLeft.mService == aRight.mService && aLeft.mSlots == aRight.mSlots;
 }
 
-bool Ends(UpstreamState aState) {
+bool IsLeavingOrGone(UpstreamState aState) {
   return aState == UpstreamState::kLeaving || aState == UpstreamState::kGone;
 }
 
-bool UpstreamRegistry::Beat(const UpstreamRecord& aRecord, Millis aNow) {
+bool UpstreamRegistry::ApplyHeartbeat(const UpstreamRecord& aRecord,
+                                      Millis aNow) {
   return Take(aRecord, aNow, "", aNow);
 }
 
 bool UpstreamRegistry::Merge(const UpstreamRecord& aRecord, Millis aNow,
                              const std::string& aToldBy) {
-  return Take(aRecord, aNow - aRecord.mHeardAgo, aToldBy, aNow);
+  return Take(aRecord, aNow - aRecord.mLastSeenAgo, aToldBy, aNow);
 }
 
-bool UpstreamRegistry::Touch(const UpstreamBeat& aBeat, Millis aNow,
-                             const std::string& aToldBy) {
+bool UpstreamRegistry::MergeHeartbeat(const UpstreamHeartbeat& aBeat,
+                                      Millis aNow, const std::string& aToldBy) {
   const auto it = mItems.find(aBeat.mInstance);
   if (it == mItems.end()) {
     return false;
@@ -63,7 +64,7 @@
     return false;
   }
   heard.mRecord.mSequence = aBeat.mSequence;
-  heard.mHeardAt = std::max(heard.mHeardAt, aNow - aBeat.mHeardAgo);
+  heard.mHeardAt = std::max(heard.mHeardAt, aNow - aBeat.mLastSeenAgo);
   heard.mToldBy = aToldBy;
   if (waits) {
     return false;
@@ -78,7 +79,7 @@
 }
 
 void UpstreamRegistry::Changed(Item& aItem) {
-  aItem.mChangedAt = mNewestChange = ++mRevision;
+  aItem.mChangedAt = mLastChangeRevision = ++mRevision;
   aItem.mTouchedAt = mRevision;
 }
 
@@ -88,10 +89,12 @@
   const UpstreamRecord& before = aHeard.mRecord;
   if (aWord.mSequence > before.mSequence) {
     // Whoever leaves does not come back before its next start.
-    const bool back = Ends(before.mState) && aWord.mState < before.mState;
+    const bool back =
+        IsLeavingOrGone(before.mState) && aWord.mState < before.mState;
     return back ? before.mState : aWord.mState;
   }
-  const bool ends = Ends(aWord.mState) && aWord.mState > before.mState;
+  const bool ends =
+      IsLeavingOrGone(aWord.mState) && aWord.mState > before.mState;
   // Only who has heard as much may say that it is silent. When that was is
   // known the less well the more processes it went through.
   const bool silent = aWord.mState == UpstreamState::kSilent &&
@@ -191,10 +194,11 @@
   // One process did not tell the start of the same incarnation, and another
   // does: one that starts again counts anew.
   const bool learnt = before.mRecord.mStart == 0 &&
-                      !Ends(before.mRecord.mState) &&
+                      !IsLeavingOrGone(before.mRecord.mState) &&
                       aRecord.mSequence > before.mRecord.mSequence;
   const bool follows = !unknown && !learnt;
-  const bool left = unknown && aHeardAt <= aItem.mLeftUnknownAt + kLeaveDoubt;
+  const bool left =
+      unknown && aHeardAt <= aItem.mLeftUnknownAt + kLeaveDoubtWindow;
   if (follows && before.mHeardAt > aHeardAt) {
     waiting = before;
   }
@@ -209,8 +213,8 @@
   if (left) {
     aItem.mRecord.mState = UpstreamState::kGone;
   }
-  if (follows && mOnSuccessor) {
-    mOnSuccessor(aItem.mRecord);
+  if (follows && mSuccessorHook) {
+    mSuccessorHook(aItem.mRecord);
   }
   return true;
 }
@@ -250,8 +254,8 @@
   here.insert(aRecord.mInstance);
 }
 
-LeaveOutcome UpstreamRegistry::Leave(const std::string& aInstance, Millis aNow,
-                                     std::int64_t aStart) {
+LeaveOutcome UpstreamRegistry::ApplyLeave(const std::string& aInstance,
+                                          Millis aNow, std::int64_t aStart) {
   if (aStart == 0) {
     return LeaveUnnamed(aInstance, aNow);
   }
@@ -271,11 +275,11 @@
   }
   if (aStart < item.mRecord.mStart) {
     TakeOlder(item, gone, aNow, "");
-    return LeaveOutcome::kKnown;
+    return LeaveOutcome::kAlreadyKnown;
   }
   item.mHeardAt = aNow;
   if (item.mRecord.mState == UpstreamState::kGone) {
-    return LeaveOutcome::kKnown;
+    return LeaveOutcome::kAlreadyKnown;
   }
   End(item);
   return LeaveOutcome::kEnded;
@@ -291,12 +295,12 @@
     End(item);
     return LeaveOutcome::kEnded;
   }
-  if (item.mFollows && aSaidAt - item.mFirstAt < kLeaveDoubt) {
+  if (item.mFollows && aSaidAt - item.mFirstAt < kLeaveDoubtWindow) {
     return LeaveOutcome::kInDoubt;
   }
   item.mHeardAt = std::max(item.mHeardAt, aSaidAt);
   if (item.mRecord.mState == UpstreamState::kGone) {
-    return LeaveOutcome::kKnown;
+    return LeaveOutcome::kAlreadyKnown;
   }
   End(item);
   return LeaveOutcome::kEnded;
@@ -321,14 +325,14 @@
       item.mRecord.mState = UpstreamState::kSilent;
       Changed(item);
       fell.push_back(item.mRecord);
-      fell.back().mHeardAgo = silent;
+      fell.back().mLastSeenAgo = silent;
     }
     ++it;
   }
   return fell;
 }
 
-void UpstreamRegistry::ForgetEnded(Millis aNow) {
+void UpstreamRegistry::RemoveEnded(Millis aNow) {
   for (auto it = mItems.begin(); it != mItems.end();) {
     const bool ready = it->second.mRecord.mState == UpstreamState::kReady;
     it = !ready && Drop(it->second, aNow) ? mItems.erase(it) : std::next(it);
@@ -342,13 +346,13 @@
   Forget(aItem.mRecord);
   if (!aItem.mWaiting || aNow - aItem.mWaiting->mHeardAt > kEndedKept) {
     // Who keeps pointers to records looks at this.
-    mNewestChange = ++mRevision;
+    mLastChangeRevision = ++mRevision;
     return true;
   }
   Begin(aItem, Heard(*aItem.mWaiting));
   aItem.mFollows = true;
-  if (mOnSuccessor) {
-    mOnSuccessor(aItem.mRecord);
+  if (mSuccessorHook) {
+    mSuccessorHook(aItem.mRecord);
   }
   return false;
 }
@@ -370,16 +374,16 @@
   for (const auto& [instance, item] : mItems) {
     if (item.mChangedAt > aRevision) {
       records.push_back(item.mRecord);
-      records.back().mHeardAgo = aNow - item.mHeardAt;
+      records.back().mLastSeenAgo = aNow - item.mHeardAt;
     }
   }
   return records;
 }
 
-std::vector<UpstreamBeat> UpstreamRegistry::BeatsSince(
+std::vector<UpstreamHeartbeat> UpstreamRegistry::HeartbeatsSince(
     std::int64_t aRevision, std::int64_t aKnown, Millis aNow,
     const std::set<std::string>& aHears) const {
-  std::vector<UpstreamBeat> beats;
+  std::vector<UpstreamHeartbeat> beats;
   for (const auto& [instance, item] : mItems) {
     const bool due = item.mTouchedAt > aRevision && item.mChangedAt <= aKnown;
     const bool known = !item.mToldBy.empty() && aHears.contains(item.mToldBy);
@@ -391,7 +395,7 @@
   return beats;
 }
 
-std::vector<SilentUpstream> UpstreamRegistry::Silent() const {
+std::vector<SilentUpstream> UpstreamRegistry::SilentUpstreams() const {
   std::vector<SilentUpstream> silent;
   for (const auto& [instance, item] : mItems) {
     if (item.mRecord.mState == UpstreamState::kSilent) {
@@ -401,7 +405,7 @@
   return silent;
 }
 
-std::vector<UpstreamRecord> UpstreamRegistry::HeardLater(
+std::vector<UpstreamRecord> UpstreamRegistry::SeenLaterThan(
     const std::vector<SilentUpstream>& aSilent, Millis aWithin,
     Millis aNow) const {
   std::vector<UpstreamRecord> records;
@@ -417,7 +421,7 @@
                        aNow - item.mHeardAt <= aWithin;
     if (later) {
       records.push_back(item.mRecord);
-      records.back().mHeardAgo = aNow - item.mHeardAt;
+      records.back().mLastSeenAgo = aNow - item.mHeardAt;
     }
   }
   return records;
--- a/servers/membership/upstream_table.cpp
+++ b/servers/membership/upstream_table.cpp
@@ -59,7 +59,7 @@
   return {std::min({aColumns.size()...}), std::max({aColumns.size()...})};
 }
 
-void TellBad(const BadRowHook& aOnBad, const std::string& aInstance,
+void TellBad(const InvalidRowHook& aOnBad, const std::string& aInstance,
              const Error& aWhy) {
   if (!aOnBad) {
     throw aWhy;
@@ -67,7 +67,7 @@
   aOnBad(aInstance, aWhy);
 }
 
-void TellShort(const BadRowHook& aOnBad, const RowCount& aCount,
+void TellShort(const InvalidRowHook& aOnBad, const RowCount& aCount,
                const std::vector<std::string>& aInstances) {
   for (std::size_t i = aCount.mWhole; i < aCount.mAny; i++) {
     TellBad(aOnBad, i < aInstances.size() ? aInstances[i] : "",
@@ -122,7 +122,7 @@
     table.mTos.push_back(record.mLayers.mTo);
     table.mBusy.push_back(record.mBusy ? 1 : 0);
     table.mSequences.push_back(record.mSequence);
-    table.mHeardAgo.push_back(record.mHeardAgo);
+    table.mLastSeenAgo.push_back(record.mLastSeenAgo);
     table.mStarts.push_back(record.mStart);
   }
   DropIfNone(table.mStarts);
@@ -144,16 +144,16 @@
           .mSequence = mSequences[aRow],
           .mLayers = {mFroms[aRow], mTos[aRow]},
           .mBusy = mBusy[aRow] != 0,
-          .mHeardAgo = mHeardAgo[aRow]};
+          .mLastSeenAgo = mLastSeenAgo[aRow]};
 }
 
 std::vector<UpstreamRecord> UpstreamTable::Records(
-    const BadRowHook& aOnBad) const {
+    const InvalidRowHook& aOnBad) const {
   const std::vector<std::int64_t>& starts =
       mStarts.empty() ? mSequences : mStarts;
   const RowCount count =
       CountRows(mInstances, mAddresses, mServices, mZones, mKinds, mSlots,
-                mStates, mFroms, mTos, mBusy, mSequences, mHeardAgo, starts);
+                mStates, mFroms, mTos, mBusy, mSequences, mLastSeenAgo, starts);
   std::vector<UpstreamRecord> records;
   records.reserve(count.mWhole);
   for (std::size_t i = 0; i < count.mWhole; i++) {
@@ -169,27 +169,30 @@
   return records;
 }
 
-BeatTable BeatTable::Of(const std::vector<UpstreamBeat>& aBeats) {
-  BeatTable table;
-  for (const UpstreamBeat& beat : aBeats) {
+HeartbeatTable HeartbeatTable::Of(
+    const std::vector<UpstreamHeartbeat>& aBeats) {
+  HeartbeatTable table;
+  for (const UpstreamHeartbeat& beat : aBeats) {
     table.mInstances.push_back(beat.mInstance);
     table.mSequences.push_back(beat.mSequence);
-    table.mHeardAgo.push_back(beat.mHeardAgo);
+    table.mLastSeenAgo.push_back(beat.mLastSeenAgo);
     table.mStarts.push_back(beat.mStart);
   }
   DropIfNone(table.mStarts);
   return table;
 }
 
-std::vector<UpstreamBeat> BeatTable::Beats(const BadRowHook& aOnBad) const {
+std::vector<UpstreamHeartbeat> HeartbeatTable::Heartbeats(
+    const InvalidRowHook& aOnBad) const {
   const std::vector<std::int64_t>& starts =
       mStarts.empty() ? mSequences : mStarts;
-  const RowCount count = CountRows(mInstances, mSequences, mHeardAgo, starts);
-  std::vector<UpstreamBeat> beats;
+  const RowCount count =
+      CountRows(mInstances, mSequences, mLastSeenAgo, starts);
+  std::vector<UpstreamHeartbeat> beats;
   beats.reserve(count.mWhole);
   for (std::size_t i = 0; i < count.mWhole; i++) {
-    const UpstreamBeat beat{mInstances[i], mSequences[i], mHeardAgo[i],
-                            StartAt(mStarts, i)};
+    const UpstreamHeartbeat beat{mInstances[i], mSequences[i], mLastSeenAgo[i],
+                                 StartAt(mStarts, i)};
     try {
       RequireUsable(beat);
       beats.push_back(beat);
@@ -201,12 +204,12 @@
   return beats;
 }
 
-std::vector<UpstreamBeat> ReadBeats(const Json::Value& aTable,
-                                    const BadRowHook& aOnBad) {
+std::vector<UpstreamHeartbeat> ReadHeartbeats(const Json::Value& aTable,
+                                              const InvalidRowHook& aOnBad) {
   if (aTable.isNull()) {
     return {};
   }
-  return ReadTable<BeatTable>(aTable).Beats(aOnBad);
+  return ReadTable<HeartbeatTable>(aTable).Heartbeats(aOnBad);
 }
 
 std::string PackUpstreams(const std::vector<UpstreamRecord>& aRecords) {
@@ -214,7 +217,7 @@
 }
 
 std::vector<UpstreamRecord> UnpackUpstreams(std::string_view aPacked,
-                                            const BadRowHook& aOnBad) {
+                                            const InvalidRowHook& aOnBad) {
   const std::string text = Unpack(aPacked, kMostUnpacked);
   return ReadTable<UpstreamTable>(ParseJson(text)).Records(aOnBad);
 }
--- a/servers/membership/voter_plan.cpp
+++ b/servers/membership/voter_plan.cpp
@@ -12,17 +12,18 @@
 
 /// The voter that should leave first, or empty: one whose disk is gone, else
 /// the one that was silent for longest.
-std::string Lost(const VoterQuestion& aQuestion) {
+std::string Lost(const VoterPlanInput& aQuestion) {
   std::string lost;
-  Millis longest = aQuestion.mSilence;
+  Millis longest = aQuestion.mSilenceTimeout;
   for (const std::string& id : aQuestion.mVoters) {
     if (id == aQuestion.mSelf) {
       continue;
     }
-    if (aQuestion.mDirectory->Replaced(id)) {
+    if (aQuestion.mDirectory->IsReplaced(id)) {
       return id;
     }
-    const Millis silent = aQuestion.mDirectory->Silence(id, aQuestion.mNow);
+    const Millis silent =
+        aQuestion.mDirectory->TimeSinceSeen(id, aQuestion.mNow);
     if (silent > longest) {
       longest = silent;
       lost = id;
@@ -33,12 +34,12 @@
 
 }  // namespace
 
-std::vector<std::string> NextVoters(const VoterQuestion& aQuestion) {
+std::vector<std::string> NextVoters(const VoterPlanInput& aQuestion) {
   std::vector<std::string> candidates;
-  for (const ControlInfo& info :
-       aQuestion.mDirectory->Lately(aQuestion.mFresh, aQuestion.mNow)) {
+  for (const ControlInfo& info : aQuestion.mDirectory->SeenWithin(
+           aQuestion.mCandidateWindow, aQuestion.mNow)) {
     const bool usable = !Contains(aQuestion.mVoters, info.mId) &&
-                        !aQuestion.mDirectory->Replaced(info.mId);
+                        !aQuestion.mDirectory->IsReplaced(info.mId);
     if (usable) {
       candidates.push_back(info.mId);
     }
@@ -56,7 +57,7 @@
     return voters;
   }
   const bool room = even || (candidates.size() >= 2 &&
-                             voters.size() + 2 <= aQuestion.mMostVoters);
+                             voters.size() + 2 <= aQuestion.mMaxVoters);
   if (room) {
     voters.push_back(candidates.front());
   }
--- a/servers/routing/load_aggregator.cpp
+++ b/servers/routing/load_aggregator.cpp
@@ -135,7 +135,7 @@
   return table.mInstances.empty() ? "" : Pack(DumpJson(ToJson(table)));
 }
 
-LoadShares UnpackLoads(std::string_view aPacked, const BadRowHook& aOnBad) {
+LoadShares UnpackLoads(std::string_view aPacked, const InvalidRowHook& aOnBad) {
   if (aPacked.empty()) {
     return {};
   }
--- a/servers/routing/load_check.cpp
+++ b/servers/routing/load_check.cpp
@@ -30,7 +30,7 @@
 
   /// Returns for each row whether it is valid; passes the invalid ones to
   /// aOnBad.
-  std::vector<bool> Usable(const BadRowHook& aOnBad) const {
+  std::vector<bool> Usable(const InvalidRowHook& aOnBad) const {
     std::vector<bool> usable(mMaxRows, false);
     for (std::size_t i = 0; i < mMaxRows; i++) {
       try {
@@ -87,7 +87,7 @@
 
 }  // namespace
 
-LoadTable UsableRows(const LoadTable& aTable, const BadRowHook& aOnBad) {
+LoadTable UsableRows(const LoadTable& aTable, const InvalidRowHook& aOnBad) {
   LoadTable table = aTable;
   RowCheck check;
   table.Fields(check);
@@ -97,7 +97,8 @@
   return table;
 }
 
-LoadTable ReadLoadTable(const Json::Value& aTable, const BadRowHook& aOnBad) {
+LoadTable ReadLoadTable(const Json::Value& aTable,
+                        const InvalidRowHook& aOnBad) {
   LoadTable table;
   LooseColumns columns(aTable);
   table.Fields(columns);
--- a/servers/routing/load_check.h
+++ b/servers/routing/load_check.h
@@ -9,6 +9,7 @@
 
 /// Returns the valid rows of a table and passes the others to aOnBad. Throws
 /// kBadField if aTable is not a table.
-LoadTable ReadLoadTable(const Json::Value& aTable, const BadRowHook& aOnBad);
+LoadTable ReadLoadTable(const Json::Value& aTable,
+                        const InvalidRowHook& aOnBad);
 
 }  // namespace spindleweir
--- a/tests/daemons/crashing_request_test.cpp
+++ b/tests/daemons/crashing_request_test.cpp
@@ -166,7 +166,7 @@
 
 Test(crash_store, keeps_what_is_barred_and_nothing_else) {
   const TemporaryFolder folder;
-  const BadRowHook noBad = [](const std::string&, const Error&) {
+  const InvalidRowHook noBad = [](const std::string&, const Error&) {
     cr_assert_fail("a row cannot be used");
   };
   CrashLedger before;
--- a/tests/daemons/incarnation_test.cpp
+++ b/tests/daemons/incarnation_test.cpp
@@ -213,11 +213,11 @@
                                            .mService = "s",
                                            .mAddress = "10.0.0.1:80",
                                            .mZone = "z",
-                                           .mHeardAgo = 40}});
-  const auto read = words.Unpack("news", UpstreamNews{text, 30});
+                                           .mLastSeenAgo = 40}});
+  const auto read = words.Unpack("news", UpstreamUpdate{text, 30});
   REQUIRE(read.size() == 1);
-  CHECK(read[0].mHeardAgo == 70);
+  CHECK(read[0].mLastSeenAgo == 70);
   for (const Millis age : {std::numeric_limits<Millis>::max(), Millis{-1}}) {
-    CHECK(words.Unpack("news", UpstreamNews{text, age}).empty());
+    CHECK(words.Unpack("news", UpstreamUpdate{text, age}).empty());
   }
 }
--- a/tests/daemons/restart_test.cpp
+++ b/tests/daemons/restart_test.cpp
@@ -43,9 +43,9 @@
 Test(restart, the_file_of_upstreams_is_a_start_and_no_promise) {
   const TemporaryFolder folder;
   UpstreamRegistry before;
-  before.Beat(Record("1", UpstreamState::kReady), 0);
-  before.Beat(Record("2", UpstreamState::kReady), 0);
-  before.Beat(Record("3", UpstreamState::kLeaving), 0);
+  before.ApplyHeartbeat(Record("1", UpstreamState::kReady), 0);
+  before.ApplyHeartbeat(Record("2", UpstreamState::kReady), 0);
+  before.ApplyHeartbeat(Record("3", UpstreamState::kLeaving), 0);
   UpstreamStore store(folder.Path("upstreams"));
   store.Save(before, 100);
   UpstreamRegistry after;
@@ -57,24 +57,24 @@
   SECTION("one that does not report is silent after the usual time") {
     UpstreamRecord beat = Record("1", UpstreamState::kReady);
     beat.mSequence = 8;
-    after.Beat(beat, 6000);
+    after.ApplyHeartbeat(beat, 6000);
     CHECK(after.Expire(3600, 8601).size() == 1);
     CHECK(after.Find("2")->mState == UpstreamState::kSilent);
   }
   SECTION("a new incarnation at an address ends the one of the file") {
     UpstreamRecord next = Record("1b", UpstreamState::kReady);
     next.mAddress = "10.0.0.1:1";
-    after.Beat(next, 9000);
+    after.ApplyHeartbeat(next, 9000);
     CHECK(after.Find("1")->mState == UpstreamState::kGone);
   }
   SECTION("it is written again only where something changed") {
     UpstreamRecord beat = Record("1", UpstreamState::kReady);
     beat.mSequence = 9;
-    before.Beat(beat, 4000);
+    before.ApplyHeartbeat(beat, 4000);
     std::filesystem::remove(folder.Path("upstreams"));
     store.Save(before, 9000);
     CHECK(!ReadFile(folder.Path("upstreams")).has_value());
-    before.Leave("2", 9500);
+    before.ApplyLeave("2", 9500);
     store.Save(before, 12000);
     UpstreamRegistry last;
     CHECK(UpstreamStore(folder.Path("upstreams")).Load(last, 12000) == 1);
--- a/tests/fuzz/parsers_fuzzer.cpp
+++ b/tests/fuzz/parsers_fuzzer.cpp
@@ -129,7 +129,7 @@
   }
 }
 
-const BadRowHook kNoted = [](const std::string&, const Error&) {};
+const InvalidRowHook kNoted = [](const std::string&, const Error&) {};
 
 void ReadUpstreamTable(std::string_view aBytes) {
   RequireAll(UnpackUpstreams(Pack(aBytes), kNoted));
@@ -205,7 +205,8 @@
         ReadUpstreamRows(bytes);
         break;
       default:
-        RequireAll(FromJson<BeatTable>(ParseJson(bytes)).Beats(kNoted));
+        RequireAll(
+            FromJson<HeartbeatTable>(ParseJson(bytes)).Heartbeats(kNoted));
         break;
     }
   } catch (const Error&) {
--- a/tests/fuzz/registry_fuzz.cpp
+++ b/tests/fuzz/registry_fuzz.cpp
@@ -116,7 +116,7 @@
         for (int i = 0; i < kControls; i++) {
           At(i).Expire(kSilence, mNow);
         }
-        At(kControls).ForgetEnded(mNow);
+        At(kControls).RemoveEnded(mNow);
         break;
       default:
         Deliver(which);
@@ -147,7 +147,7 @@
       for (int i = 0; i < kControls; i++) {
         At(i).Expire(kSilence, mNow);
       }
-      At(kControls).ForgetEnded(mNow);
+      At(kControls).RemoveEnded(mNow);
       Judge();
     }
     for (int i = 0; i < kRegistries; i++) {
@@ -265,7 +265,7 @@
       return;
     }
     Given(aControl, record.mInstance, record.mStart, mNow,
-          aLetter.mLeaves || Ends(record.mState));
+          aLetter.mLeaves || IsLeavingOrGone(record.mState));
     if (mDefect == Defect::kNoStarts) {
       record.mStart = 0;
     }
@@ -274,13 +274,13 @@
       record.mStart = Lives(0).back().mStart;
     }
     if (!aLetter.mLeaves) {
-      registry.Beat(record, mNow);
+      registry.ApplyHeartbeat(record, mNow);
       return;
     }
     const UpstreamRecord* known = registry.Find(record.mInstance);
     const bool newest = mDefect == Defect::kLeaveEndsNewest && known != nullptr;
-    registry.Leave(record.mInstance, mNow,
-                   newest ? known->mStart : record.mStart);
+    registry.ApplyLeave(record.mInstance, mNow,
+                        newest ? known->mStart : record.mStart);
   }
 
   /// A leave without a start: whoever is known ends, but nobody that this
@@ -290,7 +290,7 @@
     // It counts as word of whoever is known.
     mHanded[{aRecord.mInstance, registry.Find(aRecord.mInstance)->mStart}] =
         mNow;
-    if (registry.Leave(aRecord.mInstance, mNow) != LeaveOutcome::kEnded) {
+    if (registry.ApplyLeave(aRecord.mInstance, mNow) != LeaveOutcome::kEnded) {
       return;
     }
     const std::int64_t ended = registry.Find(aRecord.mInstance)->mStart;
@@ -307,7 +307,7 @@
                  aOther.second.mFirstAt < one.mFirstAt &&
                  mNow - aOther.second.mHeardAt < kForgotten - kBorder;
         });
-    if (follows && mNow - one.mFirstAt < kLeaveDoubt) {
+    if (follows && mNow - one.mFirstAt < kLeaveDoubtWindow) {
       Fail("a late leave ended one that had just begun");
     }
   }
@@ -326,15 +326,16 @@
              [this](const std::string&, const Error& aWhy) {
                Fail(std::string("a row was left out: ") + aWhy.what());
              })) {
-      Given(aTo, record.mInstance, record.mStart, mNow - record.mHeardAgo,
-            Ends(record.mState));
-      Spoil(record.mStart, record.mHeardAgo);
+      Given(aTo, record.mInstance, record.mStart, mNow - record.mLastSeenAgo,
+            IsLeavingOrGone(record.mState));
+      Spoil(record.mStart, record.mLastSeenAgo);
       At(aTo).Merge(record, mNow, by);
     }
     if (aTo < kControls) {
-      for (UpstreamBeat beat : from.BeatsSince(known, from.Revision(), mNow)) {
-        Spoil(beat.mStart, beat.mHeardAgo);
-        At(aTo).Touch(beat, mNow, by);
+      for (UpstreamHeartbeat beat :
+           from.HeartbeatsSince(known, from.Revision(), mNow)) {
+        Spoil(beat.mStart, beat.mLastSeenAgo);
+        At(aTo).MergeHeartbeat(beat, mNow, by);
       }
     }
     known = from.Revision();
@@ -378,7 +379,7 @@
   void JudgeTimes(int aRegistry) {
     for (const UpstreamRecord& record : At(aRegistry).ChangedSince(0, mNow)) {
       const auto it = mHanded.find({record.mInstance, record.mStart});
-      if (it != mHanded.end() && mNow - record.mHeardAgo > it->second) {
+      if (it != mHanded.end() && mNow - record.mLastSeenAgo > it->second) {
         Fail("one counts as heard later than it was");
       }
     }
@@ -401,7 +402,7 @@
       Fail("a start is held that nobody told");
       return;
     }
-    if (it->second.mEnds && !Ends(held->mState)) {
+    if (it->second.mEnds && !IsLeavingOrGone(held->mState)) {
       Fail("one whose end was told is used");
     }
     JudgeContent(aInstance, *held);
--- a/tests/servers/takers_test.cpp
+++ b/tests/servers/collectors_test.cpp
@@ -2,8 +2,8 @@
 #include <random>
 #include <set>
 
-#include "spindleweir/servers/membership/beat_taker.h"
-#include "spindleweir/servers/membership/taker_choice.h"
+#include "spindleweir/servers/membership/collector_choice.h"
+#include "spindleweir/servers/membership/heartbeat_collector.h"
 #include "spindleweir/servers/membership/upstream_feed.h"
 #include "spindleweir/servers/membership/upstream_table.h"
 #include "tests/test_tools.h"
@@ -21,25 +21,26 @@
 }
 
 /// What a control does with what a router tells.
-void Take(UpstreamRegistry& aRegistry, const TakenBeats& aBeats, Millis aNow) {
+void Take(UpstreamRegistry& aRegistry, const CollectedHeartbeats& aBeats,
+          Millis aNow) {
   for (const UpstreamRecord& record : aBeats.mChanged) {
     aRegistry.Merge(record, aNow);
   }
-  for (const UpstreamBeat& beat : aBeats.mBeats) {
-    aRegistry.Touch(beat, aNow);
+  for (const UpstreamHeartbeat& beat : aBeats.mHeartbeats) {
+    aRegistry.MergeHeartbeat(beat, aNow);
   }
 }
 
 }  // namespace
 
 Test(takers, a_control_takes_few_heartbeats_itself_and_hands_on_many) {
-  TakerChoice choice({.mOwnBeats = 10, .mAskedWithin = 2500});
-  choice.Asked("r1", "z", "10.0.1.1:7000", 0);
-  choice.Asked("r2", "z", "10.0.1.2:7000", 0);
-  choice.Asked("r3", "other", "10.0.1.3:7000", 0);
+  CollectorChoice choice({.mMaxLocalHeartbeats = 10, .mPollWindow = 2500});
+  choice.OnPolled("r1", "z", "10.0.1.1:7000", 0);
+  choice.OnPolled("r2", "z", "10.0.1.2:7000", 0);
+  choice.OnPolled("r3", "other", "10.0.1.3:7000", 0);
   SECTION("few: here") {
     for (int i = 0; i < 10; i++) {
-      CHECK(choice.Take("i" + std::to_string(i), "z", 100).empty());
+      CHECK(choice.OnHeartbeat("i" + std::to_string(i), "z", 100).empty());
     }
     CHECK(!choice.Delegates(100));
   }
@@ -47,8 +48,8 @@
     std::map<std::string, int> named;
     for (int i = 0; i < 100; i++) {
       const std::string instance = "i" + std::to_string(i);
-      const std::string address = choice.Take(instance, "z", 200);
-      CHECK(address == choice.Take(instance, "z", 200));
+      const std::string address = choice.OnHeartbeat(instance, "z", 200);
+      CHECK(address == choice.OnHeartbeat(instance, "z", 200));
       named[address]++;
     }
     CHECK(named.size() == 2);
@@ -56,62 +57,64 @@
     CHECK(choice.Delegates(300));
   }
   SECTION("nobody of the zone asks: here") {
-    CHECK(choice.Take("i1", "far", 200).empty());
+    CHECK(choice.OnHeartbeat("i1", "far", 200).empty());
   }
   SECTION("one that stops, or did not ask for long, is not named") {
-    choice.Asked("r1", "z", "", 300);
+    choice.OnPolled("r1", "z", "", 300);
     for (int i = 0; i < 20; i++) {
-      CHECK(choice.Take("i" + std::to_string(i), "z", 400) == "10.0.1.2:7000");
+      CHECK(choice.OnHeartbeat("i" + std::to_string(i), "z", 400) ==
+            "10.0.1.2:7000");
     }
-    CHECK(choice.Take("i1", "z", 2600).empty());
+    CHECK(choice.OnHeartbeat("i1", "z", 2600).empty());
   }
   SECTION("once few are left they stay here") {
-    CHECK(choice.Take("i1", "z", 9000).empty());
+    CHECK(choice.OnHeartbeat("i1", "z", 9000).empty());
   }
 }
 
 Test(takers, a_control_is_told_what_it_lacks) {
-  BeatTaker taker;
-  taker.Beat(Record("i1", 1), 0);
-  taker.Beat(Record("i2", 1), 0);
-  const TakenBeats first = taker.Untold("life-1", 100);
-  CHECK(first.mChanged.size() == 2 && first.mBeats.empty());
-  CHECK(first.mChanged[0].mHeardAgo == 100);
+  HeartbeatCollector taker;
+  taker.ApplyHeartbeat(Record("i1", 1), 0);
+  taker.ApplyHeartbeat(Record("i2", 1), 0);
+  const CollectedHeartbeats first = taker.Unreported("life-1", 100);
+  CHECK(first.mChanged.size() == 2 && first.mHeartbeats.empty());
+  CHECK(first.mChanged[0].mLastSeenAgo == 100);
   SECTION("again, as long as it did not arrive") {
-    CHECK(taker.Untold("life-1", 200).mChanged.size() == 2);
+    CHECK(taker.Unreported("life-1", 200).mChanged.size() == 2);
   }
-  taker.Told("life-1", first.mNumber);
-  CHECK(taker.Untold("life-1", 300).mChanged.empty());
-  taker.Beat(Record("i1", 2), 1200);
+  taker.Acknowledge("life-1", first.mNumber);
+  CHECK(taker.Unreported("life-1", 300).mChanged.empty());
+  taker.ApplyHeartbeat(Record("i1", 2), 1200);
   UpstreamRecord loaded = Record("i2", 2);
   loaded.mLayers = {0, 8};
-  taker.Beat(loaded, 1200);
+  taker.ApplyHeartbeat(loaded, 1200);
   SECTION("heartbeats without news by their numbers, with news whole") {
-    const TakenBeats next = taker.Untold("life-1", 1300);
-    REQUIRE(next.mBeats.size() == 1 && next.mChanged.size() == 1);
-    CHECK(next.mBeats[0].mInstance == "i1" && next.mBeats[0].mSequence == 2);
+    const CollectedHeartbeats next = taker.Unreported("life-1", 1300);
+    REQUIRE(next.mHeartbeats.size() == 1 && next.mChanged.size() == 1);
+    CHECK(next.mHeartbeats[0].mInstance == "i1" &&
+          next.mHeartbeats[0].mSequence == 2);
     CHECK(next.mChanged[0].mLayers.Count() == 8);
   }
   SECTION("a control that started anew is told all") {
-    CHECK(taker.Untold("life-2", 1300).mChanged.size() == 2);
+    CHECK(taker.Unreported("life-2", 1300).mChanged.size() == 2);
   }
   SECTION("a late heartbeat changes nothing") {
-    taker.Told("life-1", taker.Untold("life-1", 1300).mNumber);
-    taker.Beat(Record("i2", 1), 1400);
-    CHECK(taker.Untold("life-1", 1400).mChanged.empty());
+    taker.Acknowledge("life-1", taker.Unreported("life-1", 1300).mNumber);
+    taker.ApplyHeartbeat(Record("i2", 1), 1400);
+    CHECK(taker.Unreported("life-1", 1400).mChanged.empty());
   }
   SECTION("only the first word that one leaves must be told at once") {
     UpstreamRecord leaves = Record("i1", 3);
     leaves.mState = UpstreamState::kLeaving;
-    CHECK(taker.Beat(leaves, 2400));
+    CHECK(taker.ApplyHeartbeat(leaves, 2400));
     leaves.mSequence = 4;
-    CHECK(!taker.Beat(leaves, 3600));
-    CHECK(taker.Leave("i1", 4000)->mState == UpstreamState::kGone);
-    CHECK(taker.Leave("i9", 4000) == nullptr);
+    CHECK(!taker.ApplyHeartbeat(leaves, 3600));
+    CHECK(taker.ApplyLeave("i1", 4000)->mState == UpstreamState::kGone);
+    CHECK(taker.ApplyLeave("i9", 4000) == nullptr);
   }
   SECTION("who is not heard any more is forgotten") {
-    taker.Beat(Record("i1", 3), 9000);
-    CHECK(taker.Untold("life-2", 12000).mChanged.size() == 1);
+    taker.ApplyHeartbeat(Record("i1", 3), 9000);
+    CHECK(taker.Unreported("life-2", 12000).mChanged.size() == 1);
   }
 }
 
@@ -124,7 +127,7 @@
   for (unsigned seed = 1; seed <= 60; seed++) {
     std::mt19937 random(seed);
     UpstreamRegistry control;
-    std::vector<BeatTaker> takers(4);
+    std::vector<HeartbeatCollector> takers(4);
     std::vector<Millis> downUntil(takers.size(), 0);
     std::vector<int> takerOf(30, -1);  // -1: the control itself.
     std::vector<Millis> nextBeat(takerOf.size());
@@ -135,7 +138,7 @@
     for (Millis now = 0; now < 60000; now += 100) {
       if (random() % 30 == 0) {
         const std::size_t lost = random() % takers.size();
-        takers[lost] = BeatTaker();
+        takers[lost] = HeartbeatCollector();
         downUntil[lost] = now + 500 + static_cast<Millis>(random() % 4000);
       }
       for (std::size_t i = 0; i < takerOf.size(); i++) {
@@ -146,14 +149,15 @@
             Record("i" + std::to_string(i), ++sequences[i]);
         nextBeat[i] = now + kBeat;
         if (takerOf[i] < 0) {
-          control.Beat(record, now);
+          control.ApplyHeartbeat(record, now);
           takerOf[i] = static_cast<int>(random() % takers.size());
         } else if (now < downUntil[static_cast<std::size_t>(takerOf[i])]) {
           // No answer within a second: the next call goes to the control.
           takerOf[i] = -1;
           nextBeat[i] = now + 1000;
         } else {
-          takers[static_cast<std::size_t>(takerOf[i])].Beat(record, now);
+          takers[static_cast<std::size_t>(takerOf[i])].ApplyHeartbeat(record,
+                                                                      now);
         }
       }
       for (std::size_t t = 0; t < takers.size(); t++) {
@@ -161,14 +165,14 @@
         if (!asks || now < downUntil[t]) {
           continue;
         }
-        const TakenBeats beats = takers[t].Untold("life", now);
+        const CollectedHeartbeats beats = takers[t].Unreported("life", now);
         const bool arrives = random() % 4 != 0;
         const bool answered = arrives && random() % 4 != 0;
         if (arrives) {
           Take(control, beats, now);
         }
         if (answered) {
-          takers[t].Told("life", beats.mNumber);
+          takers[t].Acknowledge("life", beats.mNumber);
         }
       }
       CHECK(control.Expire(kSilent, now).empty());
@@ -179,12 +183,12 @@
 
 Test(takers, one_that_died_is_held_for_silent_though_its_taker_lives) {
   UpstreamRegistry control;
-  BeatTaker taker;
-  taker.Beat(Record("i1", 1), 0);
+  HeartbeatCollector taker;
+  taker.ApplyHeartbeat(Record("i1", 1), 0);
   for (Millis now = 0; now <= 6000; now += 500) {
-    const TakenBeats beats = taker.Untold("life", now);
+    const CollectedHeartbeats beats = taker.Unreported("life", now);
     Take(control, beats, now);
-    taker.Told("life", beats.mNumber);
+    taker.Acknowledge("life", beats.mNumber);
   }
   CHECK(control.Expire(6000, 6000).empty());
   CHECK(control.Expire(6000, 6001).size() == 1);
--- a/tests/servers/feed_test.cpp
+++ b/tests/servers/feed_test.cpp
@@ -25,14 +25,14 @@
   /// Asks; where the answer is lost, nothing is taken.
   void Ask(UpstreamFeed& aFeed, const UpstreamRegistry& aRegistry, Millis aNow,
            bool aLost = false) {
-    const FeedAnswer answer = aFeed.Since(aRegistry, mKnown, aNow);
+    const FeedUpdates answer = aFeed.UpdatesSince(aRegistry, mKnown, aNow);
     if (aLost) {
       return;
     }
-    mTexts = answer.mNews.size();
-    for (const UpstreamNews& news : answer.mNews) {
+    mTexts = answer.mUpdates.size();
+    for (const UpstreamUpdate& news : answer.mUpdates) {
       for (UpstreamRecord& record : UnpackUpstreams(news.mText)) {
-        record.mHeardAgo += news.mAgo;
+        record.mLastSeenAgo += news.mAge;
         mRegistry.Merge(record, aNow);
       }
     }
@@ -63,40 +63,40 @@
 
 Test(feed, all_that_ask_get_the_same_text_of_a_change) {
   UpstreamRegistry registry;
-  UpstreamFeed feed({.mEvery = 100, .mAllEvery = 500});
-  registry.Beat(Record(1, 1), 0);
-  const FeedAnswer first = feed.Since(registry, 0, 0);
-  REQUIRE(first.mNews.size() == 1);
+  UpstreamFeed feed({.mBatchInterval = 100, .mFullListInterval = 500});
+  registry.ApplyHeartbeat(Record(1, 1), 0);
+  const FeedUpdates first = feed.UpdatesSince(registry, 0, 0);
+  REQUIRE(first.mUpdates.size() == 1);
   SECTION("who knows all gets nothing") {
-    CHECK(feed.Since(registry, first.mRevision, 10).mNews.empty());
+    CHECK(feed.UpdatesSince(registry, first.mRevision, 10).mUpdates.empty());
   }
   SECTION("a change soon after is told with the next ones") {
-    registry.Beat(Record(2, 1), 50);
-    CHECK(feed.Since(registry, first.mRevision, 60).mNews.empty());
-    registry.Beat(Record(3, 1), 90);
-    const FeedAnswer next = feed.Since(registry, first.mRevision, 130);
-    REQUIRE(next.mNews.size() == 1);
-    CHECK(UnpackUpstreams(next.mNews[0].mText).size() == 2);
-    CHECK(feed.Since(registry, 0, 140).mNews.size() == 2);
-    CHECK(feed.Since(registry, 0, 140).mNews[0].mAgo == 140);
+    registry.ApplyHeartbeat(Record(2, 1), 50);
+    CHECK(feed.UpdatesSince(registry, first.mRevision, 60).mUpdates.empty());
+    registry.ApplyHeartbeat(Record(3, 1), 90);
+    const FeedUpdates next = feed.UpdatesSince(registry, first.mRevision, 130);
+    REQUIRE(next.mUpdates.size() == 1);
+    CHECK(UnpackUpstreams(next.mUpdates[0].mText).size() == 2);
+    CHECK(feed.UpdatesSince(registry, 0, 140).mUpdates.size() == 2);
+    CHECK(feed.UpdatesSince(registry, 0, 140).mUpdates[0].mAge == 140);
   }
   SECTION("heartbeats without news are no change") {
-    const std::int64_t known = feed.Since(registry, 0, 1000).mRevision;
-    registry.Beat(Record(1, 2), 1200);
-    CHECK(feed.Since(registry, known, 1300).mNews.empty());
+    const std::int64_t known = feed.UpdatesSince(registry, 0, 1000).mRevision;
+    registry.ApplyHeartbeat(Record(1, 2), 1200);
+    CHECK(feed.UpdatesSince(registry, known, 1300).mUpdates.empty());
   }
 }
 
 Test(feed, who_knows_nothing_late_gets_the_list_of_all) {
   UpstreamRegistry registry;
-  UpstreamFeed feed({.mEvery = 10, .mAllEvery = 500});
+  UpstreamFeed feed({.mBatchInterval = 10, .mFullListInterval = 500});
   std::int64_t sequence = 1;
   for (Millis now = 0; now < 10000; now += 10) {
     UpstreamRecord record = Record(static_cast<int>(now / 10 % 40), sequence);
     record.mLayers = {0, static_cast<int>(now / 10 % 7)};
-    registry.Beat(record, now);
+    registry.ApplyHeartbeat(record, now);
     sequence++;
-    feed.Since(registry, 0, now);
+    feed.UpdatesSince(registry, 0, now);
   }
   Follower late;
   late.Ask(feed, registry, 10000);
@@ -109,7 +109,7 @@
   for (unsigned seed = 1; seed <= 40; seed++) {
     std::mt19937 random(seed);
     UpstreamRegistry registry;
-    UpstreamFeed feed({.mEvery = 50, .mAllEvery = 300});
+    UpstreamFeed feed({.mBatchInterval = 50, .mFullListInterval = 300});
     std::vector<Follower> followers(5);
     std::vector<std::int64_t> sequences(30, 0);
     Millis now = 0;
@@ -122,7 +122,7 @@
       if (random() % 20 == 0) {
         record.mState = UpstreamState::kLeaving;
       }
-      registry.Beat(record, now);
+      registry.ApplyHeartbeat(record, now);
       registry.Expire(400, now);
       Follower& follower = followers[random() % followers.size()];
       follower.Ask(feed, registry, now, random() % 3 == 0);
@@ -139,7 +139,7 @@
   records[1].mState = UpstreamState::kLeaving;
   records[1].mLayers = {4, 9};
   records[1].mBusy = true;
-  records[1].mHeardAgo = 70;
+  records[1].mLastSeenAgo = 70;
   const std::vector<UpstreamRecord> read =
       UnpackUpstreams(PackUpstreams(records));
   REQUIRE(read.size() == 2);
@@ -147,7 +147,7 @@
   CHECK(read[0].mZone == "odd" && read[1].mZone == "even");
   CHECK(read[1].mState == UpstreamState::kLeaving && read[1].mBusy);
   CHECK(read[1].mLayers == records[1].mLayers);
-  CHECK(read[1].mSequence == 6 && read[1].mHeardAgo == 70);
+  CHECK(read[1].mSequence == 6 && read[1].mLastSeenAgo == 70);
   SECTION("a table that is no table is refused") {
     UpstreamTable table = UpstreamTable::Of(records);
     table.mZones[0] = 99;
--- a/tests/servers/membership_test.cpp
+++ b/tests/servers/membership_test.cpp
@@ -20,11 +20,11 @@
       MemberTableOptions options;
       options.mId = id;
       options.mSeed = mIds.size();
-      options.mProbe = [this, id](const std::string& aTarget,
-                                  const std::string& aVia) {
+      options.mSendProbe = [this, id](const std::string& aTarget,
+                                      const std::string& aVia) {
         Probe(id, aTarget, aVia);
       };
-      options.mChanged = [](const MemberUpdate&) {};
+      options.mOnStateChange = [](const MemberUpdate&) {};
       mTables[id] = std::make_unique<MemberTable>(options, 0);
       mTables[id]->SetMembers(mIds, 0);
     }
@@ -42,11 +42,11 @@
     const bool indirect =
         !aVia.empty() && Reaches(aFrom, aVia) && Reaches(aVia, aTarget);
     if (direct) {
-      mTables[aTarget]->Learn(mTables[aFrom]->Gossip(), mNow);
-      mTables[aFrom]->Learn(mTables[aTarget]->Gossip(), mNow);
+      mTables[aTarget]->ApplyUpdates(mTables[aFrom]->NextGossip(), mNow);
+      mTables[aFrom]->ApplyUpdates(mTables[aTarget]->NextGossip(), mNow);
     }
     if (direct || indirect) {
-      mTables[aFrom]->Answered(aTarget, mNow);
+      mTables[aFrom]->OnProbeAnswered(aTarget, mNow);
     }
   }
 
@@ -115,22 +115,22 @@
 
 Test(leaving_set, is_sticky_until_a_newer_incarnation) {
   LeavingSet set;
-  set.Seen("vm", 5);
+  set.OnSeen("vm", 5);
   CHECK(set.Add({"vm", 0}));
   CHECK(!set.Add({"vm", 0}));
   SECTION("a report of the same incarnation changes nothing") {
-    set.Seen("vm", 5);
+    set.OnSeen("vm", 5);
     CHECK(set.Contains("vm"));
   }
   SECTION("a newer one ends it, also against old gossip") {
-    set.Seen("vm", 6);
+    set.OnSeen("vm", 6);
     CHECK(!set.Contains("vm"));
     CHECK(!set.Add({"vm", 5}));
     CHECK(!set.Contains("vm"));
   }
   SECTION("a drain of the operators is ended by them only") {
     set.SetDrained({"vm"});
-    set.Seen("vm", 9);
+    set.OnSeen("vm", 9);
     CHECK(set.Contains("vm"));
     set.SetDrained({});
     CHECK(!set.Contains("vm"));
@@ -145,7 +145,7 @@
   set.Retain({}, 300000);
   CHECK(set.Contains("vm"));
   set.Retain({}, 700000);
-  CHECK(set.Words().empty());
+  CHECK(set.Notices().empty());
   SECTION("a peer that still tells of it brings nothing back") {
     CHECK(!set.Add({"vm", 0}));
   }
--- a/tests/servers/registry_test.cpp
+++ b/tests/servers/registry_test.cpp
@@ -48,27 +48,27 @@
 
 Test(registry, heartbeats_are_ordered_by_their_sequence) {
   UpstreamRegistry registry;
-  registry.Beat(Record("a", 2), 0);
+  registry.ApplyHeartbeat(Record("a", 2), 0);
   SECTION("a late one changes nothing") {
     UpstreamRecord late = Record("a", 1);
     late.mLayers = {0, 8};
-    CHECK(!registry.Beat(late, 10));
+    CHECK(!registry.ApplyHeartbeat(late, 10));
     CHECK(registry.Find("a")->mLayers.Count() == 0);
   }
   SECTION("who said that it leaves does not come back") {
-    CHECK(registry.Beat(Record("a", 3, UpstreamState::kLeaving), 20));
-    registry.Beat(Record("a", 4), 30);
+    CHECK(registry.ApplyHeartbeat(Record("a", 3, UpstreamState::kLeaving), 20));
+    registry.ApplyHeartbeat(Record("a", 4), 30);
     CHECK(StateOf(registry, "a") == UpstreamState::kLeaving);
   }
   SECTION("after the leave a late heartbeat counts for nothing") {
-    CHECK(registry.Leave("a", 40) == LeaveOutcome::kEnded);
-    registry.Beat(Record("a", 9), 50);
+    CHECK(registry.ApplyLeave("a", 40) == LeaveOutcome::kEnded);
+    registry.ApplyHeartbeat(Record("a", 9), 50);
     CHECK(StateOf(registry, "a") == UpstreamState::kGone);
   }
   SECTION("a new one at the address ends the old one") {
     UpstreamRegistry other;
-    other.Beat(Record("old", 7), 0);
-    other.Beat(Record("new", 1), 100);
+    other.ApplyHeartbeat(Record("old", 7), 0);
+    other.ApplyHeartbeat(Record("new", 1), 100);
     CHECK(StateOf(other, "old") == UpstreamState::kGone);
     CHECK(StateOf(other, "new") == UpstreamState::kReady);
   }
@@ -76,11 +76,11 @@
 
 Test(registry, silence_ends_with_the_next_heartbeat) {
   UpstreamRegistry registry;
-  registry.Beat(Record("a", 1), 0);
+  registry.ApplyHeartbeat(Record("a", 1), 0);
   CHECK(registry.Expire(3600, 3600).empty());
   CHECK(registry.Expire(3600, 3601).size() == 1);
   CHECK(StateOf(registry, "a") == UpstreamState::kSilent);
-  CHECK(registry.Beat(Record("a", 2), 3700));
+  CHECK(registry.ApplyHeartbeat(Record("a", 2), 3700));
   CHECK(StateOf(registry, "a") == UpstreamState::kReady);
 }
 
@@ -89,12 +89,12 @@
   // from a control that had just started went on using dead engines.
   UpstreamRegistry registry;
   UpstreamRecord word = Record("a", 23);
-  word.mHeardAgo = 40;
+  word.mLastSeenAgo = 40;
   registry.Merge(word, 1000);
-  word.mHeardAgo = 33;
+  word.mLastSeenAgo = 33;
   registry.Merge(word, 1000);
   word.mState = UpstreamState::kSilent;
-  word.mHeardAgo = 3640;
+  word.mLastSeenAgo = 3640;
   CHECK(registry.Merge(word, 4600));
   CHECK(StateOf(registry, "a") == UpstreamState::kSilent);
 }
@@ -106,20 +106,20 @@
   UpstreamRegistry here;
   UpstreamRegistry there;
   UpstreamRegistry router;
-  here.Beat(Record("a", 12), 0);
-  there.Beat(Record("a", 12), 0);
-  there.Beat(Record("a", 14), 2400);
+  here.ApplyHeartbeat(Record("a", 12), 0);
+  there.ApplyHeartbeat(Record("a", 12), 0);
+  there.ApplyHeartbeat(Record("a", 14), 2400);
   REQUIRE(here.Expire(3600, 3700).size() == 1);
   for (const UpstreamRecord& record : here.ChangedSince(0, 3700)) {
     router.Merge(record, 3700);
   }
   CHECK(StateOf(router, "a") == UpstreamState::kSilent);
-  CHECK(here.HeardLater(router.Silent(), 3600, 3800).empty());
+  CHECK(here.SeenLaterThan(router.SilentUpstreams(), 3600, 3800).empty());
   SECTION("one that was heard long ago proves nothing") {
-    CHECK(there.HeardLater(router.Silent(), 3600, 6100).empty());
+    CHECK(there.SeenLaterThan(router.SilentUpstreams(), 3600, 6100).empty());
   }
   for (const UpstreamRecord& record :
-       there.HeardLater(router.Silent(), 3600, 3800)) {
+       there.SeenLaterThan(router.SilentUpstreams(), 3600, 3800)) {
     router.Merge(record, 3800);
   }
   CHECK(StateOf(router, "a") == UpstreamState::kReady);
@@ -129,14 +129,14 @@
   // Found on the users' platform: after a cut of a zone its control told all
   // others that their upstreams were silent.
   UpstreamRegistry registry;
-  registry.Beat(Record("a", 44), 5000);
+  registry.ApplyHeartbeat(Record("a", 44), 5000);
   UpstreamRecord word = Record("a", 39, UpstreamState::kSilent);
-  word.mHeardAgo = 5500;
+  word.mLastSeenAgo = 5500;
   CHECK(!registry.Merge(word, 5600));
   CHECK(StateOf(registry, "a") == UpstreamState::kReady);
   SECTION("who has heard as much does") {
     word.mSequence = 44;
-    word.mHeardAgo = 600;
+    word.mLastSeenAgo = 600;
     CHECK(registry.Merge(word, 5600));
     CHECK(StateOf(registry, "a") == UpstreamState::kSilent);
   }
@@ -144,21 +144,22 @@
 
 Test(registry, routers_get_what_changed_and_controls_all_heartbeats) {
   UpstreamRegistry registry;
-  registry.Beat(Record("a", 1), 0);
+  registry.ApplyHeartbeat(Record("a", 1), 0);
   const std::int64_t known = registry.Revision();
-  registry.Beat(Record("a", 2), 1200);
+  registry.ApplyHeartbeat(Record("a", 2), 1200);
   CHECK(registry.ChangedSince(known, 1300).empty());
-  REQUIRE(registry.BeatsSince(known, registry.Revision(), 1300).size() == 1);
-  CHECK(registry.BeatsSince(known, registry.Revision(), 1300)[0].mHeardAgo ==
-        100);
+  REQUIRE(registry.HeartbeatsSince(known, registry.Revision(), 1300).size() ==
+          1);
+  CHECK(registry.HeartbeatsSince(known, registry.Revision(), 1300)[0]
+            .mLastSeenAgo == 100);
   SECTION("another registry knows as much after taking both") {
     UpstreamRegistry other;
     for (const UpstreamRecord& record : registry.ChangedSince(0, 1300)) {
       other.Merge(record, 5000);
     }
-    for (const UpstreamBeat& beat :
-         registry.BeatsSince(0, registry.Revision(), 1300)) {
-      other.Touch(beat, 5000);
+    for (const UpstreamHeartbeat& beat :
+         registry.HeartbeatsSince(0, registry.Revision(), 1300)) {
+      other.MergeHeartbeat(beat, 5000);
     }
     CHECK(other.Find("a")->mSequence == 2);
     CHECK(other.Expire(3600, 8400).empty());
@@ -168,19 +169,19 @@
 
 Test(registry, a_heartbeat_is_not_known_before_what_it_told) {
   UpstreamRegistry there;
-  there.Beat(Record("a", 1), 0);
+  there.ApplyHeartbeat(Record("a", 1), 0);
   const std::int64_t known = there.Revision();
   UpstreamRecord loaded = Record("a", 2);
   loaded.mLayers = {0, 8};
-  there.Beat(loaded, 1200);
+  there.ApplyHeartbeat(loaded, 1200);
   SECTION("a heartbeat with news is left out until the news are told") {
-    CHECK(there.BeatsSince(known, known, 1300).empty());
-    CHECK(there.BeatsSince(known, there.Revision(), 1300).size() == 1);
+    CHECK(there.HeartbeatsSince(known, known, 1300).empty());
+    CHECK(there.HeartbeatsSince(known, there.Revision(), 1300).size() == 1);
   }
   SECTION("heard of out of order, the news still count") {
     UpstreamRegistry here;
-    here.Beat(Record("a", 1), 0);
-    here.Touch({"a", 3, 0}, 2400);
+    here.ApplyHeartbeat(Record("a", 1), 0);
+    here.MergeHeartbeat({"a", 3, 0}, 2400);
     CHECK(here.Merge(loaded, 2500));
     CHECK(here.Find("a")->mLayers.Count() == 8);
     CHECK(here.Find("a")->mSequence == 3);
@@ -191,24 +192,24 @@
   // Three controls that hear each other, or of which two do not.
   UpstreamRegistry first;
   UpstreamRegistry second;
-  first.Beat(Record("a", 1), 0);
+  first.ApplyHeartbeat(Record("a", 1), 0);
   second.Merge(Record("a", 1), 0, "first");
   const std::int64_t known = second.Revision();
-  first.Beat(Record("a", 2), 1200);
-  second.Touch({"a", 2, 0}, 1200, "first");
-  CHECK(second.BeatsSince(known, known, 1300, {"first"}).empty());
-  CHECK(second.BeatsSince(known, known, 1300, {"third"}).size() == 1);
+  first.ApplyHeartbeat(Record("a", 2), 1200);
+  second.MergeHeartbeat({"a", 2, 0}, 1200, "first");
+  CHECK(second.HeartbeatsSince(known, known, 1300, {"first"}).empty());
+  CHECK(second.HeartbeatsSince(known, known, 1300, {"third"}).size() == 1);
   SECTION("what was heard here is told to all") {
-    second.Beat(Record("a", 3), 2400);
-    CHECK(second.BeatsSince(known, known, 2500, {"first"}).size() == 1);
+    second.ApplyHeartbeat(Record("a", 3), 2400);
+    CHECK(second.HeartbeatsSince(known, known, 2500, {"first"}).size() == 1);
   }
 }
 
 Test(registry, word_of_an_older_incarnation_that_comes_late_changes_nothing) {
   UpstreamRegistry registry;
-  registry.Beat(Record("new", 4), 5000);
+  registry.ApplyHeartbeat(Record("new", 4), 5000);
   UpstreamRecord late = Record("old", 30);
-  late.mHeardAgo = 3000;
+  late.mLastSeenAgo = 3000;
   registry.Merge(late, 5100);
   CHECK(StateOf(registry, "new") == UpstreamState::kReady);
   CHECK(StateOf(registry, "old") != UpstreamState::kReady);
@@ -217,76 +218,77 @@
 Test(registry, a_newer_start_is_a_new_incarnation) {
   UpstreamRegistry registry;
   std::vector<std::int64_t> successors;
-  registry.OnSuccessor([&successors](const UpstreamRecord& aRecord) {
+  registry.SetSuccessorHook([&successors](const UpstreamRecord& aRecord) {
     successors.push_back(aRecord.mStart);
   });
-  registry.Beat(Holding(Life(100, 50), {0, 8}), 0);
+  registry.ApplyHeartbeat(Holding(Life(100, 50), {0, 8}), 0);
   SECTION("counting anew, it holds what it says and nothing else") {
-    CHECK(registry.Beat(Life(200, 1), 1000));
+    CHECK(registry.ApplyHeartbeat(Life(200, 1), 1000));
     CHECK(registry.Find("a")->mStart == 200);
     CHECK(registry.Find("a")->mSequence == 1);
     CHECK(registry.Find("a")->mLayers.Count() == 0);
     CHECK(successors == std::vector<std::int64_t>{200});
   }
   SECTION("no word of the older one counts any more, however late") {
-    CHECK(!registry.Beat(Holding(Life(100, 51), {0, 8}), 1100));
+    CHECK(!registry.ApplyHeartbeat(Holding(Life(100, 51), {0, 8}), 1100));
     CHECK(!registry.Merge(Life(100, 60, UpstreamState::kLeaving), 1200));
-    CHECK(!registry.Touch({"a", 70, 0, 100}, 1300));
-    CHECK(registry.Leave("a", 1400, 100) == LeaveOutcome::kKnown);
+    CHECK(!registry.MergeHeartbeat({"a", 70, 0, 100}, 1300));
+    CHECK(registry.ApplyLeave("a", 1400, 100) == LeaveOutcome::kAlreadyKnown);
     CHECK(!registry.Merge(Life(0, 90, UpstreamState::kGone), 1450));
     CHECK(registry.Find("a")->mStart == 200);
     CHECK(registry.Find("a")->mLayers.Count() == 0);
     CHECK(StateOf(registry, "a") == UpstreamState::kReady);
   }
   SECTION("the same sequence as before is no repetition") {
-    CHECK(registry.Beat(Holding(Life(300, 1), {8, 16}), 1500));
+    CHECK(registry.ApplyHeartbeat(Holding(Life(300, 1), {8, 16}), 1500));
     CHECK(registry.Find("a")->mLayers.mFrom == 8);
   }
 }
 
 Test(registry, who_left_is_ready_again_after_its_next_start) {
   UpstreamRegistry registry;
-  registry.Beat(Life(100, 5), 0);
+  registry.ApplyHeartbeat(Life(100, 5), 0);
   SECTION("where it was leaving") {
-    registry.Beat(Life(100, 6, UpstreamState::kLeaving), 10);
-    CHECK(registry.Beat(Life(200, 1), 20));
+    registry.ApplyHeartbeat(Life(100, 6, UpstreamState::kLeaving), 10);
+    CHECK(registry.ApplyHeartbeat(Life(200, 1), 20));
     CHECK(StateOf(registry, "a") == UpstreamState::kReady);
   }
   SECTION("where it was gone") {
-    CHECK(registry.Leave("a", 6000) == LeaveOutcome::kEnded);
-    CHECK(registry.Beat(Life(300, 1), 6100));
+    CHECK(registry.ApplyLeave("a", 6000) == LeaveOutcome::kEnded);
+    CHECK(registry.ApplyHeartbeat(Life(300, 1), 6100));
     CHECK(StateOf(registry, "a") == UpstreamState::kReady);
   }
 }
 
 Test(registry, a_leave_without_a_start_ends_who_is_known_but_no_new_one) {
   UpstreamRegistry registry;
-  registry.Beat(Life(100, 5), 0);
-  registry.Beat(Life(200, 1), 10000);
+  registry.ApplyHeartbeat(Life(100, 5), 0);
+  registry.ApplyHeartbeat(Life(200, 1), 10000);
   SECTION("a late one of the predecessor") {
-    CHECK(registry.Leave("a", 10300) == LeaveOutcome::kInDoubt);
+    CHECK(registry.ApplyLeave("a", 10300) == LeaveOutcome::kInDoubt);
     CHECK(StateOf(registry, "a") == UpstreamState::kReady);
   }
   SECTION("its own, told with its start") {
     UpstreamRegistry told = registry;
-    CHECK(told.Leave("a", 10300, 200) == LeaveOutcome::kEnded);
+    CHECK(told.ApplyLeave("a", 10300, 200) == LeaveOutcome::kEnded);
     CHECK(StateOf(told, "a") == UpstreamState::kGone);
   }
   SECTION("its own, once it has been there for a while") {
-    CHECK(registry.Leave("a", 10000 + kLeaveDoubt) == LeaveOutcome::kEnded);
+    CHECK(registry.ApplyLeave("a", 10000 + kLeaveDoubtWindow) ==
+          LeaveOutcome::kEnded);
     CHECK(StateOf(registry, "a") == UpstreamState::kGone);
   }
   SECTION("one that comes before the heartbeats of who says it") {
     UpstreamRegistry empty;
-    CHECK(empty.Leave("a", 0) == LeaveOutcome::kEnded);
-    empty.Beat(Life(200, 9), 400);
+    CHECK(empty.ApplyLeave("a", 0) == LeaveOutcome::kEnded);
+    empty.ApplyHeartbeat(Life(200, 9), 400);
     CHECK(StateOf(empty, "a") == UpstreamState::kGone);
   }
   SECTION("told on, it ends the one that another registry knows") {
     UpstreamRegistry unknowing;
-    unknowing.Leave("a", 0);
+    unknowing.ApplyLeave("a", 0);
     UpstreamRegistry other;
-    other.Beat(Life(200, 8), 0);
+    other.ApplyHeartbeat(Life(200, 8), 0);
     for (const UpstreamRecord& record : unknowing.ChangedSince(0, 10)) {
       other.Merge(record, 20);
     }
@@ -297,11 +299,11 @@
 Test(registry, a_start_that_looks_older_is_not_shut_out_for_ever) {
   // The clock of its VM was set back between two lives.
   UpstreamRegistry registry;
-  registry.Beat(Holding(Life(200, 50), {0, 8}), 0);
+  registry.ApplyHeartbeat(Holding(Life(200, 50), {0, 8}), 0);
   std::int64_t sequence = 0;
   Millis now = 1000;
   for (; now <= 60000; now += 1000) {
-    registry.Beat(Life(100, ++sequence), now);
+    registry.ApplyHeartbeat(Life(100, ++sequence), now);
     registry.Expire(3600, now);
     CHECK(registry.Find("a")->mStart == 200);
   }
@@ -315,15 +317,15 @@
   }
   SECTION("old word of the other does not bring it back") {
     UpstreamRecord old = Holding(Life(200, 50), {0, 8});
-    old.mHeardAgo = 60400;
+    old.mLastSeenAgo = 60400;
     CHECK(!registry.Merge(old, 60400));
     CHECK(registry.Find("a")->mStart == 100);
   }
   SECTION("one whose end was told does not wait") {
     UpstreamRegistry other;
-    other.Beat(Life(200, 1), 0);
-    other.Beat(Life(100, 1), 59000);
-    other.Leave("a", 59500, 100);
+    other.ApplyHeartbeat(Life(200, 1), 0);
+    other.ApplyHeartbeat(Life(100, 1), 59000);
+    other.ApplyLeave("a", 59500, 100);
     other.Expire(3600, 60001);
     CHECK(StateOf(other, "a") == UpstreamState::kGone);
   }
@@ -331,9 +333,9 @@
     UpstreamRegistry router;
     router.Merge(Life(200, 50, UpstreamState::kSilent), 0);
     router.Merge(Life(100, 1), 55000);
-    router.ForgetEnded(60000);
+    router.RemoveEnded(60000);
     CHECK(router.Find("a")->mStart == 200);
-    router.ForgetEnded(60001);
+    router.RemoveEnded(60001);
     CHECK(router.Find("a")->mStart == 100);
   }
 }
@@ -344,13 +346,13 @@
   UpstreamRecord ready = Record("ready", 3);
   ready.mAddress = "10.0.0.2:80";
   router.Merge(ready, 0);
-  const std::int64_t before = router.NewestChange();
-  router.ForgetEnded(60000);
+  const std::int64_t before = router.LastChangeRevision();
+  router.RemoveEnded(60000);
   CHECK(router.Size() == 2);
-  router.ForgetEnded(60001);
+  router.RemoveEnded(60001);
   CHECK(router.Find("gone") == nullptr);
   CHECK(router.Find("ready") != nullptr);
-  CHECK(router.NewestChange() > before);
+  CHECK(router.LastChangeRevision() > before);
 }
 
 Test(registry, an_address_has_the_process_that_started_there_last) {
@@ -358,11 +360,11 @@
   UpstreamRecord fresh = Record("fresh", 1);
   fresh.mStart = 200;
   fresh.mService = "other";
-  registry.Beat(fresh, 1000);
+  registry.ApplyHeartbeat(fresh, 1000);
   SECTION("a late heartbeat of the one before does not end it") {
     UpstreamRecord late = Record("late", 30);
     late.mStart = 100;
-    registry.Beat(late, 1100);
+    registry.ApplyHeartbeat(late, 1100);
     CHECK(StateOf(registry, "fresh") == UpstreamState::kReady);
     CHECK(StateOf(registry, "late") == UpstreamState::kSilent);
   }
@@ -376,7 +378,7 @@
   SECTION("one that started there later does") {
     UpstreamRecord next = Record("next", 1);
     next.mStart = 300;
-    registry.Beat(next, 1200);
+    registry.ApplyHeartbeat(next, 1200);
     CHECK(StateOf(registry, "fresh") == UpstreamState::kGone);
     CHECK(StateOf(registry, "next") == UpstreamState::kReady);
   }
@@ -392,10 +394,10 @@
   SECTION("the start of the same one that is told elsewhere is no restart") {
     UpstreamRegistry learning;
     int successors = 0;
-    learning.OnSuccessor(
+    learning.SetSuccessorHook(
         [&successors](const UpstreamRecord&) { successors++; });
     learning.Merge(Life(0, 5), 0);
-    CHECK(learning.Beat(Life(100, 6), 10));
+    CHECK(learning.ApplyHeartbeat(Life(100, 6), 10));
     CHECK(learning.Find("a")->mStart == 100);
     CHECK(successors == 0);
   }
@@ -409,9 +411,9 @@
 
 Test(registry, who_doubts_is_told_of_a_newer_start) {
   UpstreamRegistry there;
-  there.Beat(Life(200, 1), 0);
-  CHECK(there.HeardLater({{"a", 50, 100}}, 3600, 10).size() == 1);
-  CHECK(there.HeardLater({{"a", 0, 300}}, 3600, 10).empty());
+  there.ApplyHeartbeat(Life(200, 1), 0);
+  CHECK(there.SeenLaterThan({{"a", 50, 100}}, 3600, 10).size() == 1);
+  CHECK(there.SeenLaterThan({{"a", 0, 300}}, 3600, 10).empty());
 }
 
 Test(rows, a_bad_row_costs_that_row_only) {
@@ -422,7 +424,8 @@
     records[i].mLayers = {0, 8};
   }
   std::vector<std::string> bad;
-  const BadRowHook onBad = [&bad](const std::string& aInstance, const Error&) {
+  const InvalidRowHook onBad = [&bad](const std::string& aInstance,
+                                      const Error&) {
     bad.push_back(aInstance);
   };
   SECTION("whole rows come back as they were") {
@@ -480,18 +483,19 @@
     CHECK(back[0].mStart == 0);
   }
   SECTION("heartbeats") {
-    BeatTable beats;
+    HeartbeatTable beats;
     beats.mInstances = {"a", "", "c", "d"};
     beats.mSequences = {1, 2, -3, 4};
-    beats.mHeardAgo = {0, 0, 0};
-    CHECK(beats.Beats(onBad).size() == 1);
+    beats.mLastSeenAgo = {0, 0, 0};
+    CHECK(beats.Heartbeats(onBad).size() == 1);
   }
   SECTION("heartbeats with values of another type") {
-    Json::Value table = ToJson(BeatTable::Of({{"a", 1}, {"b", 2}, {"c", 3}}));
+    Json::Value table =
+        ToJson(HeartbeatTable::Of({{"a", 1}, {"b", 2}, {"c", 3}}));
     table["sequences"][1] = "two";
-    CHECK(ReadBeats(table, onBad).size() == 2);
-    CHECK(ReadBeats(Json::Value(), onBad).empty());
-    CHECK(CodeThrownBy([&] { ReadBeats(Json::Value(7), onBad); }) ==
+    CHECK(ReadHeartbeats(table, onBad).size() == 2);
+    CHECK(ReadHeartbeats(Json::Value(), onBad).empty());
+    CHECK(CodeThrownBy([&] { ReadHeartbeats(Json::Value(7), onBad); }) ==
           ResultCode::kBadField);
   }
   SECTION("loads") {
@@ -514,14 +518,14 @@
 }
 
 Test(rows, what_is_left_out_is_logged_now_and_then) {
-  BadWordPace pace;
-  CHECK(pace.Note(0).mLogs);
+  InvalidMessageLogLimiter pace;
+  CHECK(pace.OnInvalidMessage(0).mShouldLog);
   for (Millis now = 1; now < 10000; now += 100) {
-    CHECK(!pace.Note(now).mLogs);
+    CHECK(!pace.OnInvalidMessage(now).mShouldLog);
   }
-  const BadWordPace::Turn turn = pace.Note(10000);
-  CHECK(turn.mLogs);
-  CHECK(turn.mNotLogged == 100);
+  const InvalidMessageLogLimiter::Decision turn = pace.OnInvalidMessage(10000);
+  CHECK(turn.mShouldLog);
+  CHECK(turn.mSuppressed == 100);
 }
 
 Test(voters, the_id_names_address_and_disk) {
@@ -534,26 +538,26 @@
 
 Test(voters, a_lost_voter_is_replaced_one_step_at_a_time) {
   ControlDirectory directory;
-  VoterQuestion question;
+  VoterPlanInput question;
   question.mSelf = "10.0.0.1:1#first";
   question.mVoters = {"10.0.0.1:1#first", "10.0.0.2:1#first",
                       "10.0.0.3:1#first"};
   question.mDirectory = &directory;
   for (const std::string& id : question.mVoters) {
-    directory.Heard(Control(id), 1000);
+    directory.OnSeen(Control(id), 1000);
   }
   question.mNow = 2000;
   SECTION("all are there: nothing changes") {
     CHECK(NextVoters(question) == question.mVoters);
   }
   SECTION("one is silent, but nobody could take its place") {
-    directory.Heard(Control("10.0.0.2:1#first"), 9000);
+    directory.OnSeen(Control("10.0.0.2:1#first"), 9000);
     question.mNow = 9000;
     CHECK(NextVoters(question) == question.mVoters);
   }
   SECTION("one came back with an empty disk: the old one leaves at once") {
-    directory.Heard(Control("10.0.0.2:1#first"), 9900);
-    directory.Heard(Control("10.0.0.3:1#new"), 9900);
+    directory.OnSeen(Control("10.0.0.2:1#first"), 9900);
+    directory.OnSeen(Control("10.0.0.3:1#new"), 9900);
     question.mNow = 10000;
     const std::vector<std::string> without = {"10.0.0.1:1#first",
                                               "10.0.0.2:1#first"};
@@ -564,17 +568,17 @@
   }
   SECTION("two more join together, one alone waits") {
     ControlDirectory larger;
-    VoterQuestion more;
+    VoterPlanInput more;
     more.mSelf = "10.0.0.1:1#first";
     more.mVoters = {"10.0.0.1:1#first", "10.0.0.2:1#first", "10.0.0.3:1#first"};
     more.mDirectory = &larger;
     more.mNow = 2000;
     for (const std::string& id : more.mVoters) {
-      larger.Heard(Control(id), 1500);
+      larger.OnSeen(Control(id), 1500);
     }
-    larger.Heard(Control("10.0.0.4:1#first"), 2000);
+    larger.OnSeen(Control("10.0.0.4:1#first"), 2000);
     CHECK(NextVoters(more) == more.mVoters);
-    larger.Heard(Control("10.0.0.5:1#first"), 2000);
+    larger.OnSeen(Control("10.0.0.5:1#first"), 2000);
     CHECK(NextVoters(more).size() == 4);
   }
 }
--- a/tests/servers/sources_test.cpp
+++ b/tests/servers/sources_test.cpp
@@ -1,6 +1,6 @@
 #include "spindleweir/core/error.h"
 #include "spindleweir/servers/limits/router_count.h"
-#include "spindleweir/servers/membership/ask_schedule.h"
+#include "spindleweir/servers/membership/poll_schedule.h"
 #include "spindleweir/servers/membership/source_choice.h"
 #include "spindleweir/servers/routes/configuration_lease.h"
 #include "spindleweir/servers/routes/newest_confirmation.h"
@@ -18,17 +18,17 @@
   for (int zone = 1; zone <= 3; zone++) {
     for (int i = 1; i <= 2; i++) {
       const Endpoint address{"10." + std::to_string(zone) + ".0.1", 7000 + i};
-      directory.Heard({.mId = ControlId(address, "first"),
-                       .mZone = "z" + std::to_string(zone)},
-                      0);
+      directory.OnSeen({.mId = ControlId(address, "first"),
+                        .mZone = "z" + std::to_string(zone)},
+                       0);
     }
   }
   return directory;
 }
 
-SourceQuestion Question(const ControlDirectory& aDirectory,
-                        const std::string& aProcess) {
-  SourceQuestion question;
+SourceChoiceInput Question(const ControlDirectory& aDirectory,
+                           const std::string& aProcess) {
+  SourceChoiceInput question;
   question.mDirectory = &aDirectory;
   question.mProcess = aProcess;
   question.mZone = "z2";
@@ -66,17 +66,17 @@
     CHECK(firsts.begin()->second > 25 && firsts.begin()->second < 75);
   }
   SECTION("one that does not answer is left for another, for a while") {
-    SourceQuestion question = Question(directory, "r1");
+    SourceChoiceInput question = Question(directory, "r1");
     const std::string first = ChooseSources(question).front().Text();
     question.mFailedAt[first] = 900;
     const auto chosen = ChooseSources(question);
     CHECK(chosen.front().Text() != first);
     CHECK(directory.ZoneAt(chosen.front()) == "z2");
-    question.mNow = 900 + question.mAvoidFor;
+    question.mNow = 900 + question.mFailureAvoidance;
     CHECK(ChooseSources(question).front().Text() == first);
   }
   SECTION("a zone without control is served by the others") {
-    SourceQuestion question = Question(directory, "r1");
+    SourceChoiceInput question = Question(directory, "r1");
     question.mFailedAt["10.2.0.1:7001"] = 900;
     question.mFailedAt["10.2.0.1:7002"] = 900;
     for (const Endpoint& address : ChooseSources(question)) {
@@ -93,50 +93,51 @@
 Test(sources, a_control_that_does_not_answer_is_asked_more_seldom) {
   // 31 routers that started together asked again each 0.3 s: two controls did
   // nothing for 10 s but write answers that came too late.
-  const AskedControl near{.mPeriod = 400, .mIsNear = true, .mIsFirst = true};
+  const PolledControl near{
+      .mInterval = 400, .mIsNearest = true, .mLacksConfiguration = true};
   SECTION("one that answers is asked as it asks to be") {
-    CHECK(AskAgainAfter(near) == 400);
-    CHECK(AskTimeout(near) == 300);
-    AskedControl far = near;
-    far.mIsNear = false;
-    CHECK(AskAgainAfter(far) == 1600);
+    CHECK(NextPollDelay(near) == 400);
+    CHECK(PollTimeout(near) == 300);
+    PolledControl far = near;
+    far.mIsNearest = false;
+    CHECK(NextPollDelay(far) == 1600);
   }
   SECTION("others are asked more seldom while it answers and bytes are dear") {
-    AskedControl far{.mPeriod = 150, .mHearsNear = true};
-    CHECK(AskAgainAfter(far) == 1200);
+    PolledControl far{.mInterval = 150, .mNearestAnswers = true};
+    CHECK(NextPollDelay(far) == 1200);
     far.mCosts.mInterZoneByte = 0.5;
-    CHECK(AskAgainAfter(far) == 900);
+    CHECK(NextPollDelay(far) == 900);
     far.mCosts.mInterZoneByte = 0;
-    CHECK(AskAgainAfter(far) == 600);
+    CHECK(NextPollDelay(far) == 600);
     far.mCosts.mInterZoneByte = 1;
-    far.mHearsNear = false;
-    CHECK(AskAgainAfter(far) == 600);
+    far.mNearestAnswers = false;
+    CHECK(NextPollDelay(far) == 600);
     // No longer than an upstream that leaves may get new work.
-    far.mHearsNear = true;
-    far.mPeriod = 250;
-    CHECK(AskAgainAfter(far) == 1200);
+    far.mNearestAnswers = true;
+    far.mInterval = 250;
+    CHECK(NextPollDelay(far) == 1200);
   }
   SECTION("each failure doubles the wait, to four times") {
-    AskedControl asked = near;
+    PolledControl asked = near;
     std::vector<Millis> waits;
     std::vector<Millis> timeouts;
     for (asked.mFailures = 0; asked.mFailures < 5; asked.mFailures++) {
-      waits.push_back(AskAgainAfter(asked));
-      timeouts.push_back(AskTimeout(asked));
+      waits.push_back(NextPollDelay(asked));
+      timeouts.push_back(PollTimeout(asked));
     }
     CHECK((waits == std::vector<Millis>{400, 800, 1600, 1600, 1600}));
     CHECK((timeouts == std::vector<Millis>{300, 600, 1000, 1000, 1000}));
   }
   SECTION("those that failed together come back spread over half of it") {
-    AskedControl asked = near;
+    PolledControl asked = near;
     asked.mFailures = 2;
-    asked.mSpread = 0;
-    CHECK(AskAgainAfter(asked) == 800);
+    asked.mJitter = 0;
+    CHECK(NextPollDelay(asked) == 800);
   }
   SECTION("who holds a configuration has time to wait") {
-    AskedControl asked = near;
-    asked.mIsFirst = false;
-    CHECK(AskTimeout(asked) == 1000);
+    PolledControl asked = near;
+    asked.mLacksConfiguration = false;
+    CHECK(PollTimeout(asked) == 1000);
   }
 }
 
@@ -170,14 +171,14 @@
 }
 
 Test(sources, upstreams_are_told_by_all_where_they_are_few) {
-  const Asker near{.mIsNear = true, .mHearsNear = true};
-  const Asker far{.mIsNear = false, .mHearsNear = true};
-  const Asker lost{.mIsNear = false, .mHearsNear = false};
-  CHECK(TellsUpstreams(far, 400));
+  const PollingRouter near{.mIsNearest = true, .mNearestAnswers = true};
+  const PollingRouter far{.mIsNearest = false, .mNearestAnswers = true};
+  const PollingRouter lost{.mIsNearest = false, .mNearestAnswers = false};
+  CHECK(SendsUpstreamChanges(far, 400));
   SECTION("and where they are many by the nearest as long as it answers") {
-    CHECK(TellsUpstreams(near, 3000));
-    CHECK(!TellsUpstreams(far, 3000));
-    CHECK(TellsUpstreams(lost, 3000));
+    CHECK(SendsUpstreamChanges(near, 3000));
+    CHECK(!SendsUpstreamChanges(far, 3000));
+    CHECK(SendsUpstreamChanges(lost, 3000));
   }
 }
 
--- a/tests/servers/starts_test.cpp
+++ b/tests/servers/starts_test.cpp
@@ -7,7 +7,7 @@
 #include "spindleweir/servers/limits/retry_detector.h"
 #include "spindleweir/servers/limits/retry_schedule.h"
 #include "spindleweir/servers/limits/warm_up_admission.h"
-#include "spindleweir/servers/membership/ask_schedule.h"
+#include "spindleweir/servers/membership/poll_schedule.h"
 #include "tests/test_tools.h"
 
 using namespace spindleweir;
@@ -251,7 +251,7 @@
 /// Callers that were all refused in the same quarter of a second, at routers
 /// that share the places which come free.
 struct ReturnPlay {
-  int mRouters = 30;
+  int mRouterCount = 30;
   int mCallers = 600;
   double mFreePerMilli = 0.2;  ///< Of all routers together.
   bool mPredicts = true;
@@ -262,7 +262,7 @@
     constexpr Millis kLeft = 20000;
     std::mt19937 random(7);
     std::uniform_real_distribution<double> unit(0, 1);
-    std::vector<RetrySchedule> routers(static_cast<std::size_t>(mRouters));
+    std::vector<RetrySchedule> routers(static_cast<std::size_t>(mRouterCount));
     std::vector<Millis> back;
     for (int i = 0; i < mCallers; i++) {
       const Millis now = i * kRefusedWithin / mCallers;
@@ -271,7 +271,7 @@
           router.Assign({.mNow = now,
                          .mTimeLeft = kLeft,
                          .mFreeAfter = 300,
-                         .mFreePerMilli = mFreePerMilli / mRouters,
+                         .mFreePerMilli = mFreePerMilli / mRouterCount,
                          .mRandom = unit(random)});
       // Before: 0.6 s and up to 0.8 s by chance, whatever comes free.
       const auto spread = static_cast<Millis>(600 + 800 * unit(random));
@@ -337,53 +337,53 @@
 }
 
 Test(starts, a_router_without_a_lease_asks_sooner) {
-  const AskedControl lacking{.mPeriod = 150,
-                             .mIsNear = true,
-                             .mIsFirst = true,
-                             .mLacksLease = true,
-                             .mRouters = 8};
+  const PolledControl lacking{.mInterval = 150,
+                              .mIsNearest = true,
+                              .mLacksConfiguration = true,
+                              .mLacksLease = true,
+                              .mRouterCount = 8};
   SECTION("the nearest twice as often, the others four times") {
-    CHECK(AskAgainAfter(lacking) == 75);
-    AskedControl far = lacking;
-    far.mIsNear = false;
-    CHECK(AskAgainAfter(far) == 150);
+    CHECK(NextPollDelay(lacking) == 75);
+    PolledControl far = lacking;
+    far.mIsNearest = false;
+    CHECK(NextPollDelay(far) == 150);
   }
   SECTION("the more seldom the more routers there are, up to the usual") {
-    AskedControl large = lacking;
-    large.mRouters = 150;
-    CHECK(AskAgainAfter(large) == 120);
-    large.mRouters = 520;
-    CHECK(AskAgainAfter(large) == 150);
-    large.mIsNear = false;
-    CHECK(AskAgainAfter(large) == 600);
+    PolledControl large = lacking;
+    large.mRouterCount = 150;
+    CHECK(NextPollDelay(large) == 120);
+    large.mRouterCount = 520;
+    CHECK(NextPollDelay(large) == 150);
+    large.mIsNearest = false;
+    CHECK(NextPollDelay(large) == 600);
   }
   SECTION("nor one that does not know yet how many there are") {
-    AskedControl alone = lacking;
-    alone.mRouters = 1;
-    CHECK(AskAgainAfter(alone) == 150);
-    alone.mIsNear = false;
-    CHECK(AskAgainAfter(alone) == 600);
+    PolledControl alone = lacking;
+    alone.mRouterCount = 1;
+    CHECK(NextPollDelay(alone) == 150);
+    alone.mIsNearest = false;
+    CHECK(NextPollDelay(alone) == 600);
   }
   SECTION("and not at all where there are so many that controls have no time") {
-    AskedControl many = lacking;
-    many.mRouters = 300;
-    many.mPeriod = 525;
-    CHECK(AskAgainAfter(many) == 525);
-    many.mIsNear = false;
-    CHECK(AskAgainAfter(many) == 2100);
+    PolledControl many = lacking;
+    many.mRouterCount = 300;
+    many.mInterval = 525;
+    CHECK(NextPollDelay(many) == 525);
+    many.mIsNearest = false;
+    CHECK(NextPollDelay(many) == 2100);
   }
   SECTION("one that did not listen yet as soon as it may") {
-    AskedControl refused = lacking;
+    PolledControl refused = lacking;
     refused.mWasRefused = true;
-    refused.mIsNear = false;
-    CHECK(AskAgainAfter(refused) == 100);
+    refused.mIsNearest = false;
+    CHECK(NextPollDelay(refused) == 100);
     refused.mLacksLease = false;
-    CHECK(AskAgainAfter(refused) == 600);
+    CHECK(NextPollDelay(refused) == 600);
   }
   SECTION("one that takes questions and has no time for them more seldom") {
-    AskedControl busy = lacking;
+    PolledControl busy = lacking;
     busy.mFailures = 2;
-    CHECK(AskAgainAfter(busy) == 300);
+    CHECK(NextPollDelay(busy) == 300);
   }
 }
 
@@ -407,15 +407,17 @@
   WarmUpAdmission admission;
   admission.SetShare(10);
   int keys[30];
-  const WarmUpRequest fresh{
-      .mReceivedAt = 900, .mTarget = 500, .mWaitLimit = 1800, .mPromptTokens = 800};
+  const WarmUpRequest fresh{.mReceivedAt = 900,
+                            .mTarget = 500,
+                            .mWaitLimit = 1800,
+                            .mPromptTokens = 800};
   SECTION("as many at once as are read in 0.2 s") {
     int let = 0;
     for (int i = 0; i < 10; i++) {
-      let +=
-          admission.TryAdmit(&keys[i], fresh, 1000).mVerdict == WarmUpVerdict::kAdmit
-              ? 1
-              : 0;
+      let += admission.TryAdmit(&keys[i], fresh, 1000).mVerdict ==
+                     WarmUpVerdict::kAdmit
+                 ? 1
+                 : 0;
     }
     CHECK(let == 2);
   }
@@ -463,7 +465,8 @@
   SECTION("where nothing is known nobody is held back") {
     WarmUpAdmission other;
     for (int i = 0; i < 10; i++) {
-      CHECK(other.TryAdmit(&keys[i], fresh, 1000).mVerdict == WarmUpVerdict::kAdmit);
+      CHECK(other.TryAdmit(&keys[i], fresh, 1000).mVerdict ==
+            WarmUpVerdict::kAdmit);
     }
   }
 }
@@ -477,15 +480,17 @@
     CHECK(ReturnPlay().RefusedAgain() < 0.005);
   }
   SECTION("nor where one router tells them all") {
-    CHECK(ReturnPlay{.mRouters = 1}.RefusedAgain() < 0.005);
+    CHECK(ReturnPlay{.mRouterCount = 1}.RefusedAgain() < 0.005);
   }
 }
 
 Test(starts, a_time_to_come_back_keeps_its_bounds) {
   RetrySchedule times;
   SECTION("not before there may be room at all") {
-    const AssignedRetry answer = times.Assign(
-        {.mNow = 50, .mTimeLeft = 20000, .mFreeAfter = 1200, .mFreePerMilli = 1});
+    const AssignedRetry answer = times.Assign({.mNow = 50,
+                                               .mTimeLeft = 20000,
+                                               .mFreeAfter = 1200,
+                                               .mFreePerMilli = 1});
     CHECK(answer.mAfter >= 1200);
     CHECK(answer.mAfter < 1400);
     CHECK(answer.mRoomExpected);
@@ -496,8 +501,8 @@
     CHECK(answer.mAfter == 300);
   }
   SECTION("nor so far away that the slots until then fill the memory") {
-    const AssignedRetry answer =
-        times.Assign({.mNow = 50, .mTimeLeft = std::numeric_limits<Millis>::max()});
+    const AssignedRetry answer = times.Assign(
+        {.mNow = 50, .mTimeLeft = std::numeric_limits<Millis>::max()});
     CHECK(answer.mAfter <= 10000);
   }
   SECTION("where nothing comes free they are spread over all of it") {
@@ -505,7 +510,8 @@
     Millis most = 0;
     for (int i = 0; i < 40; i++) {
       const Millis after =
-          times.Assign({.mNow = 50, .mTimeLeft = 12000, .mFreeAfter = 300}).mAfter;
+          times.Assign({.mNow = 50, .mTimeLeft = 12000, .mFreeAfter = 300})
+              .mAfter;
       least = std::min(least, after);
       most = std::max(most, after);
     }
