--- a/tests/fuzz/registry_fuzz.cpp
+++ b/tests/fuzz/registry_fuzz.cpp
@@ -1,8 +1,9 @@
-/// Fuzzing of the registry of upstreams against an oracle that knows which
-/// lives there were: over lost, doubled, late and reordered word, restarts
-/// under a name, clocks that step back, addresses that change hands and several
-/// registries that tell each other, an older start never overrides a newer one,
-/// nothing is held that its life did not say, and in the end all hold the last.
+/// Fuzzing of the registry of upstreams against a model that knows all
+/// incarnations. Messages are lost, duplicated, late and reordered, upstreams
+/// restart under the same name, clocks step back, addresses are reused, and
+/// several registries report to each other. An older start must never override
+/// a newer one, a record must have been sent by its incarnation, and in the end
+/// all registries must hold the last incarnations.
 #include <rapidcheck.h>
 
 #include <algorithm>
@@ -21,28 +22,28 @@
 
 constexpr int kInstances = 3;
 constexpr int kAddresses = 3;
-/// Two controls that upstreams call, and a router that is told by both.
+/// Two controls that upstreams call, and a router that both report to.
 constexpr int kControls = 2;
 constexpr int kRegistries = kControls + 1;
-constexpr Millis kSilence = 3600;
-constexpr Millis kBeatEvery = 1200;
-/// Longer than any registry remembers.
-constexpr Millis kForgotten = 61000;
-/// What may differ while an incarnation is about to be forgotten.
-constexpr Millis kBorder = 10000;
-
-/// What is planted into the way of word.
+constexpr Millis kSilenceTimeout = 3600;
+constexpr Millis kHeartbeatInterval = 1200;
+/// Longer than any registry stores an incarnation.
+constexpr Millis kRetention = 61000;
+/// How long before that an incarnation may be dropped already.
+constexpr Millis kRetentionMargin = 10000;
+
+/// A defect injected into the messages.
 enum class Defect {
   kNone,
-  kNoStarts,         ///< Starts are dropped: ordered by sequence alone.
-  kStartsOnTheWay,   ///< Starts are dropped between processes.
-  kLeaveEndsNewest,  ///< A late leave is taken for one of whoever is known.
-  kHeardNow,         ///< What is told counts as heard now.
-  kWordsMixed,       ///< Content comes with the start of another life.
+  kNoStarts,  ///< Upstreams send no starts: the sequence alone orders.
+  kStartsLostInReports,  ///< Starts are lost between processes.
+  kLeaveEndsNewest,      ///< A late leave ends the known incarnation.
+  kAgesLost,             ///< Reports lose the age of their heartbeats.
+  kStartsMixed,          ///< Content has the start of another incarnation.
 };
 
-/// One life of an instance.
-struct Life {
+/// One incarnation of an instance.
+struct Incarnation {
   std::int64_t mStart = 0;
   std::string mService;
   std::string mAddress;
@@ -52,8 +53,8 @@
   bool mRuns = true;
 };
 
-/// A heartbeat or a leave on its way.
-struct Letter {
+/// A heartbeat or a leave in transit.
+struct Message {
   UpstreamRecord mRecord;
   bool mLeaves = false;
 };
@@ -62,218 +63,227 @@
   return "i" + std::to_string(aInstance);
 }
 
-class World {
+/// Upstreams, registries and the messages between them.
+class Simulation {
  public:
-  World(Defect aDefect, bool aClocksStep)
+  Simulation(Defect aDefect, bool aClocksStep)
       : mDefect(aDefect), mClocksStep(aClocksStep) {
     for (int i = 0; i < kInstances; i++) {
       Restart(i, 0);
     }
   }
 
-  void Step(int aDice) {
-    const auto which = static_cast<std::size_t>(aDice / 16);
-    const int instance = static_cast<int>(which % kInstances);
-    switch (aDice % 16) {
+  void Step(int aChoice) {
+    const auto number = static_cast<std::size_t>(aChoice / 16);
+    const int instance = static_cast<int>(number % kInstances);
+    switch (aChoice % 16) {
       case 0:
-        if (which % 5 == 0) {
-          Restart(instance, which / 5);
+        if (number % 5 == 0) {
+          Restart(instance, number / 5);
         }
         break;
       case 1:
-        mNow += static_cast<Millis>(which % 4000);
+        mNow += static_cast<Millis>(number % 4000);
         break;
       case 2:
-        Lives(instance).back().mLayers = {static_cast<int>(which % 40),
-                                          static_cast<int>(41 + which % 40)};
+        Incarnations(instance).back().mLayers = {
+            static_cast<int>(number % 40), static_cast<int>(41 + number % 40)};
         break;
       case 3:
-        if (which % 4 == 0) {
-          Leave(instance);
+        if (number % 4 == 0) {
+          SendLeave(instance);
         }
         break;
       case 4:
-        if (!mLetters.empty()) {
-          mLetters.erase(LetterAt(which));
+        if (!mMessages.empty()) {
+          mMessages.erase(MessageAt(number));
         }
         break;
       case 5:
-        if (!mLetters.empty() && mLetters.size() < 60) {
-          mLetters.push_back(*LetterAt(which));
+        if (!mMessages.empty() && mMessages.size() < 60) {
+          mMessages.push_back(*MessageAt(number));
         }
         break;
       case 6:
       case 7:
       case 8:
-        Beat(instance);
+        SendHeartbeat(instance);
         break;
       case 9:
       case 10:
-        Tell(static_cast<int>(which % kControls),
-             static_cast<int>(which / kControls % kRegistries));
+        Report(static_cast<int>(number % kControls),
+               static_cast<int>(number / kControls % kRegistries));
         break;
       case 11:
         for (int i = 0; i < kControls; i++) {
-          At(i).Expire(kSilence, mNow);
+          At(i).Expire(kSilenceTimeout, mNow);
         }
         At(kControls).RemoveEnded(mNow);
         break;
       default:
-        Deliver(which);
+        Deliver(number);
         break;
     }
-    Judge();
+    CheckInvariants();
   }
 
-  /// All word arrives or is lost, everyone tells everyone, and time passes
-  /// until nothing of before is remembered: all hold the last lives.
+  /// Delivers all messages, lets all registries report to each other and passes
+  /// the time until no earlier state is stored. Then all registries must hold
+  /// the last incarnations.
   void Settle() {
-    mLetters.clear();
-    for (Millis begun = mNow; mNow - begun < kForgotten + kBorder;
-         mNow += kBeatEvery) {
+    mMessages.clear();
+    for (Millis startedAt = mNow;
+         mNow - startedAt < kRetention + kRetentionMargin;
+         mNow += kHeartbeatInterval) {
       for (int i = 0; i < kInstances; i++) {
-        Beat(i);
+        SendHeartbeat(i);
       }
-      while (!mLetters.empty()) {
-        const Letter letter = mLetters.front();
-        mLetters.erase(mLetters.begin());
-        Hand(letter, static_cast<int>(mNow / kBeatEvery) % kControls);
+      while (!mMessages.empty()) {
+        const Message message = mMessages.front();
+        mMessages.erase(mMessages.begin());
+        DeliverTo(message,
+                  static_cast<int>(mNow / kHeartbeatInterval) % kControls);
       }
       for (int from = 0; from < kControls; from++) {
         for (int to = 0; to < kRegistries; to++) {
-          Tell(from, to);
+          Report(from, to);
         }
       }
       for (int i = 0; i < kControls; i++) {
-        At(i).Expire(kSilence, mNow);
+        At(i).Expire(kSilenceTimeout, mNow);
       }
       At(kControls).RemoveEnded(mNow);
-      Judge();
+      CheckInvariants();
     }
     for (int i = 0; i < kRegistries; i++) {
       for (int instance = 0; instance < kInstances; instance++) {
-        JudgeLast(At(i), instance);
+        CheckLast(At(i), instance);
       }
     }
   }
 
-  bool Good() const { return mWhy.empty(); }
-  const std::string& Why() const { return mWhy; }
+  bool IsValid() const { return mFailure.empty(); }
+  const std::string& Failure() const { return mFailure; }
 
  private:
   UpstreamRegistry& At(int aRegistry) {
     return mRegistries[static_cast<std::size_t>(aRegistry)];
   }
-  std::vector<Life>& Lives(int aInstance) {
-    return mLives[static_cast<std::size_t>(aInstance)];
+  std::vector<Incarnation>& Incarnations(int aInstance) {
+    return mIncarnations[static_cast<std::size_t>(aInstance)];
   }
-  std::vector<Letter>::iterator LetterAt(std::size_t aWhich) {
-    return mLetters.begin() +
-           static_cast<std::ptrdiff_t>(aWhich % mLetters.size());
+  std::vector<Message>::iterator MessageAt(std::size_t aNumber) {
+    return mMessages.begin() +
+           static_cast<std::ptrdiff_t>(aNumber % mMessages.size());
   }
 
-  /// Begins a life; whoever has its address has ended.
-  void Restart(int aInstance, std::size_t aWhich) {
-    std::vector<Life>& lives = Lives(aInstance);
-    Life next;
-    const bool back = mClocksStep && aWhich % 7 == 3;
+  /// Starts an incarnation and ends the one that has its address.
+  void Restart(int aInstance, std::size_t aNumber) {
+    std::vector<Incarnation>& incarnations = Incarnations(aInstance);
+    Incarnation next;
+    const bool back = mClocksStep && aNumber % 7 == 3;
     next.mStart = kEpoch + mNow + (back ? -20000 : 0);
-    if (!lives.empty() && !back) {
-      next.mStart = std::max(next.mStart, lives.back().mStart + 1);
+    if (!incarnations.empty() && !back) {
+      next.mStart = std::max(next.mStart, incarnations.back().mStart + 1);
     }
-    for (const Life& life : lives) {
-      // Two lives of one name and one millisecond cannot be told apart.
-      next.mStart += life.mStart == next.mStart ? 1 : 0;
+    for (const Incarnation& incarnation : incarnations) {
+      // Two incarnations of one name must not start in the same millisecond:
+      // they could not be distinguished.
+      next.mStart += incarnation.mStart == next.mStart ? 1 : 0;
     }
-    const bool moves = lives.empty() || aWhich % 3 == 0;
+    const bool moves = incarnations.empty() || aNumber % 3 == 0;
     next.mAddress =
-        moves ? AddressOf(aWhich + static_cast<std::size_t>(aInstance))
-              : lives.back().mAddress;
-    next.mService = aWhich % 2 == 0 ? "model" : "counter";
-    for (auto& others : mLives) {
-      for (Life& life : others) {
-        life.mRuns = life.mRuns && life.mAddress != next.mAddress;
+        moves ? AddressOf(aNumber + static_cast<std::size_t>(aInstance))
+              : incarnations.back().mAddress;
+    next.mService = aNumber % 2 == 0 ? "model" : "counter";
+    for (auto& instance : mIncarnations) {
+      for (Incarnation& incarnation : instance) {
+        incarnation.mRuns =
+            incarnation.mRuns && incarnation.mAddress != next.mAddress;
       }
     }
-    if (!lives.empty()) {
-      lives.back().mRuns = false;
+    if (!incarnations.empty()) {
+      incarnations.back().mRuns = false;
     }
-    lives.push_back(next);
+    incarnations.push_back(next);
   }
 
-  static std::string AddressOf(std::size_t aWhich) {
-    return "10.0.0." + std::to_string(1 + aWhich % kAddresses) + ":80";
+  static std::string AddressOf(std::size_t aNumber) {
+    return "10.0.0." + std::to_string(1 + aNumber % kAddresses) + ":80";
   }
 
-  void Beat(int aInstance) {
-    Life& life = Lives(aInstance).back();
-    if (life.mRuns) {
-      life.mSequence++;
-      mLetters.push_back({WordOf(aInstance, life)});
-      mSaid[{aInstance, life.mStart, life.mSequence}] = life;
+  void SendHeartbeat(int aInstance) {
+    Incarnation& incarnation = Incarnations(aInstance).back();
+    if (incarnation.mRuns) {
+      incarnation.mSequence++;
+      mMessages.push_back({RecordOf(aInstance, incarnation)});
+      mSent[{aInstance, incarnation.mStart, incarnation.mSequence}] =
+          incarnation;
     }
   }
 
-  void Leave(int aInstance) {
-    Life& life = Lives(aInstance).back();
-    if (!life.mRuns) {
+  void SendLeave(int aInstance) {
+    Incarnation& incarnation = Incarnations(aInstance).back();
+    if (!incarnation.mRuns) {
       return;
     }
-    const bool says = life.mState == UpstreamState::kReady;
-    life.mState = says ? UpstreamState::kLeaving : UpstreamState::kGone;
-    if (says) {
-      Beat(aInstance);
+    const bool startsLeaving = incarnation.mState == UpstreamState::kReady;
+    incarnation.mState =
+        startsLeaving ? UpstreamState::kLeaving : UpstreamState::kGone;
+    if (startsLeaving) {
+      SendHeartbeat(aInstance);
       return;
     }
-    life.mRuns = false;
-    mLetters.push_back({WordOf(aInstance, life), true});
+    incarnation.mRuns = false;
+    mMessages.push_back({RecordOf(aInstance, incarnation), true});
   }
 
-  UpstreamRecord WordOf(int aInstance, const Life& aLife) const {
+  UpstreamRecord RecordOf(int aInstance,
+                          const Incarnation& aIncarnation) const {
     UpstreamRecord record;
     record.mInstance = NameOf(aInstance);
-    record.mStart = aLife.mStart;
-    record.mService = aLife.mService;
-    record.mAddress = aLife.mAddress;
+    record.mStart = aIncarnation.mStart;
+    record.mService = aIncarnation.mService;
+    record.mAddress = aIncarnation.mAddress;
     record.mZone = "z";
-    record.mState = aLife.mState;
-    record.mSequence = aLife.mSequence;
-    record.mLayers = aLife.mLayers;
+    record.mState = aIncarnation.mState;
+    record.mSequence = aIncarnation.mSequence;
+    record.mLayers = aIncarnation.mLayers;
     return record;
   }
 
-  void Deliver(std::size_t aWhich) {
-    if (mLetters.empty()) {
+  void Deliver(std::size_t aNumber) {
+    if (mMessages.empty()) {
       return;
     }
-    const auto it = LetterAt(aWhich);
-    const Letter letter = *it;
-    mLetters.erase(it);
-    Hand(letter, static_cast<int>(aWhich % kControls));
+    const auto it = MessageAt(aNumber);
+    const Message message = *it;
+    mMessages.erase(it);
+    DeliverTo(message, static_cast<int>(aNumber % kControls));
   }
 
-  /// A control is called.
-  void Hand(Letter aLetter, int aControl) {
+  /// Delivers a message to a control.
+  void DeliverTo(Message aMessage, int aControl) {
     UpstreamRegistry& registry = At(aControl);
-    UpstreamRecord& record = aLetter.mRecord;
-    mHanded[{record.mInstance, record.mStart}] = mNow;
-    // Half of the leaves tell no start.
-    const bool unnamed = aLetter.mLeaves && record.mSequence % 2 == 0 &&
-                         mDefect == Defect::kNone;
-    if (unnamed && registry.Find(record.mInstance) != nullptr) {
-      LeaveUnnamed(aControl, record);
+    UpstreamRecord& record = aMessage.mRecord;
+    mCalledAt[{record.mInstance, record.mStart}] = mNow;
+    // Half of the leaves have no start.
+    const bool withoutStart = aMessage.mLeaves && record.mSequence % 2 == 0 &&
+                              mDefect == Defect::kNone;
+    if (withoutStart && registry.Find(record.mInstance) != nullptr) {
+      DeliverLeaveWithoutStart(aControl, record);
       return;
     }
-    Given(aControl, record.mInstance, record.mStart, mNow,
-          aLetter.mLeaves || IsLeavingOrGone(record.mState));
+    OnReceived(aControl, record.mInstance, record.mStart, mNow,
+               aMessage.mLeaves || IsLeavingOrGone(record.mState));
     if (mDefect == Defect::kNoStarts) {
       record.mStart = 0;
     }
-    if (mDefect == Defect::kWordsMixed && !Lives(0).empty() &&
+    if (mDefect == Defect::kStartsMixed && !Incarnations(0).empty() &&
         record.mInstance == NameOf(0)) {
-      record.mStart = Lives(0).back().mStart;
+      record.mStart = Incarnations(0).back().mStart;
     }
-    if (!aLetter.mLeaves) {
+    if (!aMessage.mLeaves) {
       registry.ApplyHeartbeat(record, mNow);
       return;
     }
@@ -283,38 +293,39 @@
                         newest ? known->mStart : record.mStart);
   }
 
-  /// A leave without a start: whoever is known ends, but nobody that this
-  /// control first heard of just now, beside another of its name.
-  void LeaveUnnamed(int aControl, const UpstreamRecord& aRecord) {
+  /// A leave without a start ends the known incarnation, unless this control
+  /// has just seen it for the first time and knew another of its name before.
+  void DeliverLeaveWithoutStart(int aControl, const UpstreamRecord& aRecord) {
     UpstreamRegistry& registry = At(aControl);
-    // It counts as word of whoever is known.
-    mHanded[{aRecord.mInstance, registry.Find(aRecord.mInstance)->mStart}] =
+    // It counts as a message of the known incarnation.
+    mCalledAt[{aRecord.mInstance, registry.Find(aRecord.mInstance)->mStart}] =
         mNow;
     if (registry.ApplyLeave(aRecord.mInstance, mNow) != LeaveOutcome::kEnded) {
       return;
     }
     const std::int64_t ended = registry.Find(aRecord.mInstance)->mStart;
-    auto& lives = mTold[{aControl, aRecord.mInstance}];
-    lives[ended].mEnds = true;
+    auto& incarnations = mReceived[{aControl, aRecord.mInstance}];
+    incarnations[ended].mEnds = true;
     if (ended == aRecord.mStart) {
       return;
     }
-    mMistaken.insert({aRecord.mInstance, ended});
-    const Told& one = lives[ended];
-    const bool follows =
-        std::any_of(lives.begin(), lives.end(), [&](const auto& aOther) {
+    mEndedByMistake.insert({aRecord.mInstance, ended});
+    const Received& one = incarnations[ended];
+    const bool follows = std::any_of(
+        incarnations.begin(), incarnations.end(), [&](const auto& aOther) {
           return aOther.first < ended &&
-                 aOther.second.mFirstAt < one.mFirstAt &&
-                 mNow - aOther.second.mHeardAt < kForgotten - kBorder;
+                 aOther.second.mFirstSeenAt < one.mFirstSeenAt &&
+                 mNow - aOther.second.mLastSeenAt <
+                     kRetention - kRetentionMargin;
         });
-    if (follows && mNow - one.mFirstAt < kLeaveDoubtWindow) {
-      Fail("a late leave ended one that had just begun");
+    if (follows && mNow - one.mFirstSeenAt < kLeaveDoubtWindow) {
+      Fail("a late leave ended an incarnation that had just started");
     }
   }
 
-  /// A control tells another registry what it lacks, by the columns that our
-  /// processes send.
-  void Tell(int aFrom, int aTo) {
+  /// A control reports to another registry what that lacks, in the packed
+  /// format that processes send.
+  void Report(int aFrom, int aTo) {
     if (aFrom == aTo) {
       return;
     }
@@ -326,134 +337,136 @@
              [this](const std::string&, const Error& aWhy) {
                Fail(std::string("a row was left out: ") + aWhy.what());
              })) {
-      Given(aTo, record.mInstance, record.mStart, mNow - record.mLastSeenAgo,
-            IsLeavingOrGone(record.mState));
-      Spoil(record.mStart, record.mLastSeenAgo);
+      OnReceived(aTo, record.mInstance, record.mStart,
+                 mNow - record.mLastSeenAgo, IsLeavingOrGone(record.mState));
+      ApplyDefect(record.mStart, record.mLastSeenAgo);
       At(aTo).Merge(record, mNow, by);
     }
     if (aTo < kControls) {
-      for (UpstreamHeartbeat beat :
+      for (UpstreamHeartbeat heartbeat :
            from.HeartbeatsSince(known, from.Revision(), mNow)) {
-        Spoil(beat.mStart, beat.mLastSeenAgo);
-        At(aTo).MergeHeartbeat(beat, mNow, by);
+        ApplyDefect(heartbeat.mStart, heartbeat.mLastSeenAgo);
+        At(aTo).MergeHeartbeat(heartbeat, mNow, by);
       }
     }
     known = from.Revision();
   }
 
-  void Spoil(std::int64_t& aStart, Millis& aHeardAgo) const {
-    if (mDefect == Defect::kStartsOnTheWay) {
+  void ApplyDefect(std::int64_t& aStart, Millis& aLastSeenAgo) const {
+    if (mDefect == Defect::kStartsLostInReports) {
       aStart = 0;
     }
-    if (mDefect == Defect::kHeardNow) {
-      aHeardAgo = 0;
+    if (mDefect == Defect::kAgesLost) {
+      aLastSeenAgo = 0;
     }
   }
 
-  /// The oracle: which lives a registry was told of, when each was heard last,
-  /// and which of them it was told the end of.
-  struct Told {
-    Millis mFirstAt = -1;
-    Millis mHeardAt = 0;
+  /// The model's view of an incarnation that a registry received reports of.
+  struct Received {
+    Millis mFirstSeenAt = -1;
+    Millis mLastSeenAt = 0;
     bool mEnds = false;
   };
 
-  void Given(int aRegistry, const std::string& aInstance, std::int64_t aStart,
-             Millis aHeardAt, bool aEnds) {
-    Told& told = mTold[{aRegistry, aInstance}][aStart];
-    told.mFirstAt = told.mFirstAt < 0 ? aHeardAt : told.mFirstAt;
-    told.mHeardAt = std::max(told.mHeardAt, aHeardAt);
-    told.mEnds = told.mEnds || aEnds;
+  void OnReceived(int aRegistry, const std::string& aInstance,
+                  std::int64_t aStart, Millis aSeenAt, bool aEnds) {
+    Received& received = mReceived[{aRegistry, aInstance}][aStart];
+    received.mFirstSeenAt =
+        received.mFirstSeenAt < 0 ? aSeenAt : received.mFirstSeenAt;
+    received.mLastSeenAt = std::max(received.mLastSeenAt, aSeenAt);
+    received.mEnds = received.mEnds || aEnds;
   }
 
-  void Judge() {
+  void CheckInvariants() {
     for (int i = 0; i < kRegistries; i++) {
-      JudgeTimes(i);
+      CheckTimes(i);
       for (int instance = 0; instance < kInstances; instance++) {
-        JudgeHeld(i, instance);
+        CheckHeld(i, instance);
       }
     }
   }
 
-  /// Nobody is known as heard later than a control was called.
-  void JudgeTimes(int aRegistry) {
+  /// No upstream may be last seen later than it called a control.
+  void CheckTimes(int aRegistry) {
     for (const UpstreamRecord& record : At(aRegistry).ChangedSince(0, mNow)) {
-      const auto it = mHanded.find({record.mInstance, record.mStart});
-      if (it != mHanded.end() && mNow - record.mLastSeenAgo > it->second) {
-        Fail("one counts as heard later than it was");
+      const auto it = mCalledAt.find({record.mInstance, record.mStart});
+      if (it != mCalledAt.end() && mNow - record.mLastSeenAgo > it->second) {
+        Fail("an upstream is last seen later than its last call");
       }
     }
   }
 
-  void JudgeHeld(int aRegistry, int aInstance) {
+  void CheckHeld(int aRegistry, int aInstance) {
     const UpstreamRecord* held = At(aRegistry).Find(NameOf(aInstance));
-    const auto& told = mTold[{aRegistry, NameOf(aInstance)}];
-    for (const auto& [start, one] : told) {
-      const bool lately = mNow - one.mHeardAt < kForgotten - kBorder;
-      if (lately && (held == nullptr || held->mStart < start)) {
-        Fail("an older start is held than was told");
+    const auto& received = mReceived[{aRegistry, NameOf(aInstance)}];
+    for (const auto& [start, one] : received) {
+      const bool isRecent =
+          mNow - one.mLastSeenAt < kRetention - kRetentionMargin;
+      if (isRecent && (held == nullptr || held->mStart < start)) {
+        Fail("an older start is held than was received");
       }
     }
     if (held == nullptr) {
       return;
     }
-    const auto it = told.find(held->mStart);
-    if (it == told.end()) {
-      Fail("a start is held that nobody told");
+    const auto it = received.find(held->mStart);
+    if (it == received.end()) {
+      Fail("a start is held that was never received");
       return;
     }
     if (it->second.mEnds && !IsLeavingOrGone(held->mState)) {
-      Fail("one whose end was told is used");
+      Fail("an incarnation is usable after its leave was received");
     }
-    JudgeContent(aInstance, *held);
+    CheckContent(aInstance, *held);
   }
 
-  /// What is held was said by that life, at or before the sequence known.
-  void JudgeContent(int aInstance, const UpstreamRecord& aHeld) {
+  /// The content held must have been sent by that incarnation, at or before the
+  /// sequence held.
+  void CheckContent(int aInstance, const UpstreamRecord& aHeld) {
     if (aHeld.mAddress.empty()) {
-      return;  // Known by its leave alone.
+      return;  // Only its leave is known.
     }
-    bool said = false;
-    for (auto it = mSaid.lower_bound({aInstance, aHeld.mStart, 0});
-         it != mSaid.end() && std::get<1>(it->first) == aHeld.mStart &&
+    bool wasSent = false;
+    for (auto it = mSent.lower_bound({aInstance, aHeld.mStart, 0});
+         it != mSent.end() && std::get<1>(it->first) == aHeld.mStart &&
          std::get<0>(it->first) == aInstance &&
          std::get<2>(it->first) <= aHeld.mSequence;
          ++it) {
-      const Life& life = it->second;
-      said = said ||
-             (life.mAddress == aHeld.mAddress &&
-              life.mService == aHeld.mService && life.mLayers == aHeld.mLayers);
+      const Incarnation& incarnation = it->second;
+      wasSent = wasSent || (incarnation.mAddress == aHeld.mAddress &&
+                            incarnation.mService == aHeld.mService &&
+                            incarnation.mLayers == aHeld.mLayers);
     }
-    if (!said) {
-      Fail("what is held was never said by that life");
+    if (!wasSent) {
+      Fail("the content held was never sent by that incarnation");
     }
   }
 
-  void JudgeLast(const UpstreamRegistry& aRegistry, int aInstance) {
-    const Life& last = Lives(aInstance).back();
-    if (mMistaken.contains({NameOf(aInstance), last.mStart})) {
-      return;  // No registry could know that another was meant.
+  void CheckLast(const UpstreamRegistry& aRegistry, int aInstance) {
+    const Incarnation& last = Incarnations(aInstance).back();
+    if (mEndedByMistake.contains({NameOf(aInstance), last.mStart})) {
+      return;  // A leave of another incarnation ended it.
     }
     const UpstreamRecord* held = aRegistry.Find(NameOf(aInstance));
     if (!last.mRuns) {
       if (held != nullptr && held->mState == UpstreamState::kReady) {
-        Fail("one that ended is held for ready");
+        Fail("an incarnation that ended is ready");
       }
       return;
     }
     if (held == nullptr && last.mState == UpstreamState::kLeaving) {
-      return;  // A router hears of changes only, and forgets it in time.
+      return;  // A router receives changes only, and removes it in time.
     }
     if (held == nullptr || held->mStart != last.mStart) {
-      Fail("the last life is not held");
+      Fail("the last incarnation is not held");
     } else if (held->mState != last.mState || held->mLayers != last.mLayers) {
-      Fail("the last life is held otherwise than it is");
+      Fail("the last incarnation is held with a wrong state or layers");
     }
   }
 
   void Fail(const std::string& aWhy) {
-    if (mWhy.empty()) {
-      mWhy = aWhy;
+    if (mFailure.empty()) {
+      mFailure = aWhy;
     }
   }
 
@@ -462,49 +475,52 @@
   Defect mDefect;
   bool mClocksStep;
   Millis mNow = 100000;
-  std::array<std::vector<Life>, kInstances> mLives;
+  std::array<std::vector<Incarnation>, kInstances> mIncarnations;
   std::array<UpstreamRegistry, kRegistries> mRegistries;
-  std::vector<Letter> mLetters;
-  std::set<std::pair<std::string, std::int64_t>> mMistaken;
+  std::vector<Message> mMessages;
+  std::set<std::pair<std::string, std::int64_t>> mEndedByMistake;
   std::map<std::pair<int, int>, std::int64_t> mKnown;
-  std::map<std::tuple<int, std::int64_t, std::int64_t>, Life> mSaid;
-  std::map<std::pair<int, std::string>, std::map<std::int64_t, Told>> mTold;
-  std::map<std::pair<std::string, std::int64_t>, Millis> mHanded;
-  std::string mWhy;
+  std::map<std::tuple<int, std::int64_t, std::int64_t>, Incarnation> mSent;
+  std::map<std::pair<int, std::string>, std::map<std::int64_t, Received>>
+      mReceived;
+  std::map<std::pair<std::string, std::int64_t>, Millis> mCalledAt;
+  std::string mFailure;
 };
 
-/// Plays rounds until one fails.
-bool Caught(Defect aDefect) {
+/// Runs simulations until one fails. Returns whether one did.
+bool IsDetected(Defect aDefect) {
   std::mt19937 random(13);
   for (int round = 0; round < 300; round++) {
-    World world(aDefect, false);
-    for (int i = 0; i < 400 && world.Good(); i++) {
-      world.Step(std::uniform_int_distribution<int>(0, 16 * 1024 - 1)(random));
+    Simulation simulation(aDefect, false);
+    for (int i = 0; i < 400 && simulation.IsValid(); i++) {
+      simulation.Step(
+          std::uniform_int_distribution<int>(0, 16 * 1024 - 1)(random));
     }
-    if (world.Good()) {
-      world.Settle();
+    if (simulation.IsValid()) {
+      simulation.Settle();
     }
-    if (!world.Good()) {
+    if (!simulation.IsValid()) {
       return true;
     }
   }
   return false;
 }
 
-void Play(bool aClocksStep) {
+/// Checks simulations without a defect.
+void CheckSimulations(bool aClocksStep) {
   cr_assert(rc::check("registry", [aClocksStep] {
-    World world(Defect::kNone, aClocksStep);
-    const auto dice = *rc::gen::container<std::vector<int>>(
+    Simulation simulation(Defect::kNone, aClocksStep);
+    const auto choices = *rc::gen::container<std::vector<int>>(
         400, rc::gen::inRange(0, 16 * 1024));
-    for (int item : dice) {
-      world.Step(item);
-      if (!world.Good()) {
-        RC_FAIL(world.Why());
+    for (int choice : choices) {
+      simulation.Step(choice);
+      if (!simulation.IsValid()) {
+        RC_FAIL(simulation.Failure());
       }
     }
-    world.Settle();
-    if (!world.Good()) {
-      RC_FAIL(world.Why());
+    simulation.Settle();
+    if (!simulation.IsValid()) {
+      RC_FAIL(simulation.Failure());
     }
   }));
 }
@@ -512,17 +528,17 @@
 }  // namespace
 
 Test(registry_fuzz, an_older_start_never_overrides_a_newer_one) {
-  Play(false);
+  CheckSimulations(false);
 }
 
-Test(registry_fuzz, clocks_that_step_back_shut_nobody_out_for_ever) {
-  Play(true);
+Test(registry_fuzz, the_last_incarnation_is_held_after_clocks_step_back) {
+  CheckSimulations(true);
 }
 
-Test(registry_fuzz, planted_defects_are_caught) {
-  CHECK(Caught(Defect::kNoStarts));
-  CHECK(Caught(Defect::kStartsOnTheWay));
-  CHECK(Caught(Defect::kLeaveEndsNewest));
-  CHECK(Caught(Defect::kHeardNow));
-  CHECK(Caught(Defect::kWordsMixed));
+Test(registry_fuzz, injected_defects_are_detected) {
+  CHECK(IsDetected(Defect::kNoStarts));
+  CHECK(IsDetected(Defect::kStartsLostInReports));
+  CHECK(IsDetected(Defect::kLeaveEndsNewest));
+  CHECK(IsDetected(Defect::kAgesLost));
+  CHECK(IsDetected(Defect::kStartsMixed));
 }
--- a/tests/servers/collectors_test.cpp
+++ b/tests/servers/collectors_test.cpp
@@ -20,31 +20,31 @@
           .mSequence = aSequence};
 }
 
-/// What a control does with what a router tells.
-void Take(UpstreamRegistry& aRegistry, const CollectedHeartbeats& aBeats,
-          Millis aNow) {
-  for (const UpstreamRecord& record : aBeats.mChanged) {
+/// Merges a router's report of collected heartbeats, as a control does.
+void MergeReport(UpstreamRegistry& aRegistry,
+                 const CollectedHeartbeats& aReport, Millis aNow) {
+  for (const UpstreamRecord& record : aReport.mChanged) {
     aRegistry.Merge(record, aNow);
   }
-  for (const UpstreamHeartbeat& beat : aBeats.mHeartbeats) {
-    aRegistry.MergeHeartbeat(beat, aNow);
+  for (const UpstreamHeartbeat& heartbeat : aReport.mHeartbeats) {
+    aRegistry.MergeHeartbeat(heartbeat, aNow);
   }
 }
 
 }  // namespace
 
-Test(takers, a_control_takes_few_heartbeats_itself_and_hands_on_many) {
+Test(collectors, a_control_collects_few_heartbeats_and_delegates_many) {
   CollectorChoice choice({.mMaxLocalHeartbeats = 10, .mPollWindow = 2500});
   choice.OnPolled("r1", "z", "10.0.1.1:7000", 0);
   choice.OnPolled("r2", "z", "10.0.1.2:7000", 0);
   choice.OnPolled("r3", "other", "10.0.1.3:7000", 0);
-  SECTION("few: here") {
+  SECTION("few are collected here") {
     for (int i = 0; i < 10; i++) {
       CHECK(choice.OnHeartbeat("i" + std::to_string(i), "z", 100).empty());
     }
     CHECK(!choice.Delegates(100));
   }
-  SECTION("many: to routers of the zone, the same one each time") {
+  SECTION("many go to routers of the zone, always to the same one") {
     std::map<std::string, int> named;
     for (int i = 0; i < 100; i++) {
       const std::string instance = "i" + std::to_string(i);
@@ -56,10 +56,10 @@
     CHECK(named["10.0.1.1:7000"] > 25 && named["10.0.1.2:7000"] > 25);
     CHECK(choice.Delegates(300));
   }
-  SECTION("nobody of the zone asks: here") {
+  SECTION("with no polling router in the zone they are collected here") {
     CHECK(choice.OnHeartbeat("i1", "far", 200).empty());
   }
-  SECTION("one that stops, or did not ask for long, is not named") {
+  SECTION("a router that stops or has not polled recently is not assigned") {
     choice.OnPolled("r1", "z", "", 300);
     for (int i = 0; i < 20; i++) {
       CHECK(choice.OnHeartbeat("i" + std::to_string(i), "z", 400) ==
@@ -67,128 +67,130 @@
     }
     CHECK(choice.OnHeartbeat("i1", "z", 2600).empty());
   }
-  SECTION("once few are left they stay here") {
+  SECTION("they are collected here again once they are few") {
     CHECK(choice.OnHeartbeat("i1", "z", 9000).empty());
   }
 }
 
-Test(takers, a_control_is_told_what_it_lacks) {
-  HeartbeatCollector taker;
-  taker.ApplyHeartbeat(Record("i1", 1), 0);
-  taker.ApplyHeartbeat(Record("i2", 1), 0);
-  const CollectedHeartbeats first = taker.Unreported("life-1", 100);
+Test(collectors, a_control_receives_what_it_lacks) {
+  HeartbeatCollector collector;
+  collector.ApplyHeartbeat(Record("i1", 1), 0);
+  collector.ApplyHeartbeat(Record("i2", 1), 0);
+  const CollectedHeartbeats first = collector.Unreported("start-1", 100);
   CHECK(first.mChanged.size() == 2 && first.mHeartbeats.empty());
   CHECK(first.mChanged[0].mLastSeenAgo == 100);
-  SECTION("again, as long as it did not arrive") {
-    CHECK(taker.Unreported("life-1", 200).mChanged.size() == 2);
+  SECTION("a report is repeated until it is acknowledged") {
+    CHECK(collector.Unreported("start-1", 200).mChanged.size() == 2);
   }
-  taker.Acknowledge("life-1", first.mNumber);
-  CHECK(taker.Unreported("life-1", 300).mChanged.empty());
-  taker.ApplyHeartbeat(Record("i1", 2), 1200);
+  collector.Acknowledge("start-1", first.mNumber);
+  CHECK(collector.Unreported("start-1", 300).mChanged.empty());
+  collector.ApplyHeartbeat(Record("i1", 2), 1200);
   UpstreamRecord loaded = Record("i2", 2);
   loaded.mLayers = {0, 8};
-  taker.ApplyHeartbeat(loaded, 1200);
-  SECTION("heartbeats without news by their numbers, with news whole") {
-    const CollectedHeartbeats next = taker.Unreported("life-1", 1300);
+  collector.ApplyHeartbeat(loaded, 1200);
+  SECTION("full records are sent only with a change") {
+    const CollectedHeartbeats next = collector.Unreported("start-1", 1300);
     REQUIRE(next.mHeartbeats.size() == 1 && next.mChanged.size() == 1);
     CHECK(next.mHeartbeats[0].mInstance == "i1" &&
           next.mHeartbeats[0].mSequence == 2);
     CHECK(next.mChanged[0].mLayers.Count() == 8);
   }
-  SECTION("a control that started anew is told all") {
-    CHECK(taker.Unreported("life-2", 1300).mChanged.size() == 2);
+  SECTION("a restarted control receives all records") {
+    CHECK(collector.Unreported("start-2", 1300).mChanged.size() == 2);
   }
   SECTION("a late heartbeat changes nothing") {
-    taker.Acknowledge("life-1", taker.Unreported("life-1", 1300).mNumber);
-    taker.ApplyHeartbeat(Record("i2", 1), 1400);
-    CHECK(taker.Unreported("life-1", 1400).mChanged.empty());
+    collector.Acknowledge("start-1",
+                          collector.Unreported("start-1", 1300).mNumber);
+    collector.ApplyHeartbeat(Record("i2", 1), 1400);
+    CHECK(collector.Unreported("start-1", 1400).mChanged.empty());
   }
-  SECTION("only the first word that one leaves must be told at once") {
-    UpstreamRecord leaves = Record("i1", 3);
-    leaves.mState = UpstreamState::kLeaving;
-    CHECK(taker.ApplyHeartbeat(leaves, 2400));
-    leaves.mSequence = 4;
-    CHECK(!taker.ApplyHeartbeat(leaves, 3600));
-    CHECK(taker.ApplyLeave("i1", 4000)->mState == UpstreamState::kGone);
-    CHECK(taker.ApplyLeave("i9", 4000) == nullptr);
+  SECTION("only the first leaving heartbeat must be reported at once") {
+    UpstreamRecord leaving = Record("i1", 3);
+    leaving.mState = UpstreamState::kLeaving;
+    CHECK(collector.ApplyHeartbeat(leaving, 2400));
+    leaving.mSequence = 4;
+    CHECK(!collector.ApplyHeartbeat(leaving, 3600));
+    CHECK(collector.ApplyLeave("i1", 4000)->mState == UpstreamState::kGone);
+    CHECK(collector.ApplyLeave("i9", 4000) == nullptr);
   }
-  SECTION("who is not heard any more is forgotten") {
-    taker.ApplyHeartbeat(Record("i1", 3), 9000);
-    CHECK(taker.Unreported("life-2", 12000).mChanged.size() == 1);
+  SECTION("an upstream that sends no heartbeats any more is removed") {
+    collector.ApplyHeartbeat(Record("i1", 3), 9000);
+    CHECK(collector.Unreported("start-2", 12000).mChanged.size() == 1);
   }
 }
 
-Test(takers, a_live_upstream_is_never_held_for_silent_when_its_taker_is_lost) {
-  // Upstreams beat each 1.2 s; takers come and go, and tell a control each 0.5
-  // s, sometimes in vain; one that is lost costs its upstreams a second until
-  // they call the control itself.
-  constexpr Millis kBeat = 1200;
-  constexpr Millis kSilent = 3 * kBeat + 2400;
+Test(collectors, a_live_upstream_is_not_silent_when_its_collector_is_lost) {
+  // Upstreams send a heartbeat every 1.2 s. Collectors restart at random and
+  // report to a control every 0.5 s; some reports or their acknowledgements are
+  // lost. The upstreams of a lost collector call the control after a second.
+  constexpr Millis kHeartbeatInterval = 1200;
+  constexpr Millis kSilenceTimeout = 3 * kHeartbeatInterval + 2400;
   for (unsigned seed = 1; seed <= 60; seed++) {
     std::mt19937 random(seed);
     UpstreamRegistry control;
-    std::vector<HeartbeatCollector> takers(4);
-    std::vector<Millis> downUntil(takers.size(), 0);
-    std::vector<int> takerOf(30, -1);  // -1: the control itself.
-    std::vector<Millis> nextBeat(takerOf.size());
-    std::vector<std::int64_t> sequences(takerOf.size(), 0);
-    for (Millis& at : nextBeat) {
-      at = static_cast<Millis>(random() % kBeat);
+    std::vector<HeartbeatCollector> collectors(4);
+    std::vector<Millis> downUntil(collectors.size(), 0);
+    std::vector<int> collectorOf(30, -1);  // -1: the control itself.
+    std::vector<Millis> nextHeartbeat(collectorOf.size());
+    std::vector<std::int64_t> sequences(collectorOf.size(), 0);
+    for (Millis& at : nextHeartbeat) {
+      at = static_cast<Millis>(random() % kHeartbeatInterval);
     }
     for (Millis now = 0; now < 60000; now += 100) {
       if (random() % 30 == 0) {
-        const std::size_t lost = random() % takers.size();
-        takers[lost] = HeartbeatCollector();
+        const std::size_t lost = random() % collectors.size();
+        collectors[lost] = HeartbeatCollector();
         downUntil[lost] = now + 500 + static_cast<Millis>(random() % 4000);
       }
-      for (std::size_t i = 0; i < takerOf.size(); i++) {
-        if (now < nextBeat[i]) {
+      for (std::size_t i = 0; i < collectorOf.size(); i++) {
+        if (now < nextHeartbeat[i]) {
           continue;
         }
         const UpstreamRecord record =
             Record("i" + std::to_string(i), ++sequences[i]);
-        nextBeat[i] = now + kBeat;
-        if (takerOf[i] < 0) {
+        nextHeartbeat[i] = now + kHeartbeatInterval;
+        if (collectorOf[i] < 0) {
           control.ApplyHeartbeat(record, now);
-          takerOf[i] = static_cast<int>(random() % takers.size());
-        } else if (now < downUntil[static_cast<std::size_t>(takerOf[i])]) {
-          // No answer within a second: the next call goes to the control.
-          takerOf[i] = -1;
-          nextBeat[i] = now + 1000;
+          collectorOf[i] = static_cast<int>(random() % collectors.size());
+        } else if (now < downUntil[static_cast<std::size_t>(collectorOf[i])]) {
+          // After a second without an answer the upstream calls the control.
+          collectorOf[i] = -1;
+          nextHeartbeat[i] = now + 1000;
         } else {
-          takers[static_cast<std::size_t>(takerOf[i])].ApplyHeartbeat(record,
-                                                                      now);
+          collectors[static_cast<std::size_t>(collectorOf[i])].ApplyHeartbeat(
+              record, now);
         }
       }
-      for (std::size_t t = 0; t < takers.size(); t++) {
-        const bool asks = now % 500 == static_cast<Millis>(t) * 100;
-        if (!asks || now < downUntil[t]) {
+      for (std::size_t t = 0; t < collectors.size(); t++) {
+        const bool reports = now % 500 == static_cast<Millis>(t) * 100;
+        if (!reports || now < downUntil[t]) {
           continue;
         }
-        const CollectedHeartbeats beats = takers[t].Unreported("life", now);
+        const CollectedHeartbeats report =
+            collectors[t].Unreported("start", now);
         const bool arrives = random() % 4 != 0;
         const bool answered = arrives && random() % 4 != 0;
         if (arrives) {
-          Take(control, beats, now);
+          MergeReport(control, report, now);
         }
         if (answered) {
-          takers[t].Acknowledge("life", beats.mNumber);
+          collectors[t].Acknowledge("start", report.mNumber);
         }
       }
-      CHECK(control.Expire(kSilent, now).empty());
+      CHECK(control.Expire(kSilenceTimeout, now).empty());
     }
-    CHECK(control.Size() == takerOf.size());
+    CHECK(control.Size() == collectorOf.size());
   }
 }
 
-Test(takers, one_that_died_is_held_for_silent_though_its_taker_lives) {
+Test(collectors, a_dead_upstream_is_silent_while_its_collector_lives) {
   UpstreamRegistry control;
-  HeartbeatCollector taker;
-  taker.ApplyHeartbeat(Record("i1", 1), 0);
+  HeartbeatCollector collector;
+  collector.ApplyHeartbeat(Record("i1", 1), 0);
   for (Millis now = 0; now <= 6000; now += 500) {
-    const CollectedHeartbeats beats = taker.Unreported("life", now);
-    Take(control, beats, now);
-    taker.Acknowledge("life", beats.mNumber);
+    const CollectedHeartbeats report = collector.Unreported("start", now);
+    MergeReport(control, report, now);
+    collector.Acknowledge("start", report.mNumber);
   }
   CHECK(control.Expire(6000, 6000).empty());
   CHECK(control.Expire(6000, 6001).size() == 1);
--- a/tests/servers/feed_test.cpp
+++ b/tests/servers/feed_test.cpp
@@ -20,11 +20,11 @@
           .mSequence = aSequence};
 }
 
-/// A process that follows a feed.
-struct Follower {
-  /// Asks; where the answer is lost, nothing is taken.
-  void Ask(UpstreamFeed& aFeed, const UpstreamRegistry& aRegistry, Millis aNow,
-           bool aLost = false) {
+/// A process that polls a feed.
+struct Poller {
+  /// Polls and applies the answer, unless that is lost.
+  void Poll(UpstreamFeed& aFeed, const UpstreamRegistry& aRegistry, Millis aNow,
+            bool aLost = false) {
     const FeedUpdates answer = aFeed.UpdatesSince(aRegistry, mKnown, aNow);
     if (aLost) {
       return;
@@ -44,7 +44,8 @@
   std::size_t mTexts = 0;  ///< Of the last answer.
 };
 
-bool Same(const UpstreamRegistry& aLeft, const UpstreamRegistry& aRight) {
+bool HasSameRecords(const UpstreamRegistry& aLeft,
+                    const UpstreamRegistry& aRight) {
   std::map<std::string, UpstreamRecord> right;
   for (const UpstreamRecord* record : aRight.OfService("")) {
     right[record->mInstance] = *record;
@@ -61,16 +62,16 @@
 
 }  // namespace
 
-Test(feed, all_that_ask_get_the_same_text_of_a_change) {
+Test(feed, all_pollers_receive_the_same_text_of_a_change) {
   UpstreamRegistry registry;
   UpstreamFeed feed({.mBatchInterval = 100, .mFullListInterval = 500});
   registry.ApplyHeartbeat(Record(1, 1), 0);
   const FeedUpdates first = feed.UpdatesSince(registry, 0, 0);
   REQUIRE(first.mUpdates.size() == 1);
-  SECTION("who knows all gets nothing") {
+  SECTION("a poller that knows all receives nothing") {
     CHECK(feed.UpdatesSince(registry, first.mRevision, 10).mUpdates.empty());
   }
-  SECTION("a change soon after is told with the next ones") {
+  SECTION("a change soon after is sent with the next ones") {
     registry.ApplyHeartbeat(Record(2, 1), 50);
     CHECK(feed.UpdatesSince(registry, first.mRevision, 60).mUpdates.empty());
     registry.ApplyHeartbeat(Record(3, 1), 90);
@@ -80,14 +81,14 @@
     CHECK(feed.UpdatesSince(registry, 0, 140).mUpdates.size() == 2);
     CHECK(feed.UpdatesSince(registry, 0, 140).mUpdates[0].mAge == 140);
   }
-  SECTION("heartbeats without news are no change") {
+  SECTION("heartbeats alone are no change") {
     const std::int64_t known = feed.UpdatesSince(registry, 0, 1000).mRevision;
     registry.ApplyHeartbeat(Record(1, 2), 1200);
     CHECK(feed.UpdatesSince(registry, known, 1300).mUpdates.empty());
   }
 }
 
-Test(feed, who_knows_nothing_late_gets_the_list_of_all) {
+Test(feed, a_late_poller_receives_the_full_list) {
   UpstreamRegistry registry;
   UpstreamFeed feed({.mBatchInterval = 10, .mFullListInterval = 500});
   std::int64_t sequence = 1;
@@ -98,19 +99,19 @@
     sequence++;
     feed.UpdatesSince(registry, 0, now);
   }
-  Follower late;
-  late.Ask(feed, registry, 10000);
+  Poller late;
+  late.Poll(feed, registry, 10000);
   CHECK(late.mTexts < 60);
-  CHECK(Same(late.mRegistry, registry));
+  CHECK(HasSameRecords(late.mRegistry, registry));
 }
 
-Test(feed, followers_end_with_what_the_registry_has) {
-  // Lost answers, followers that come late, and changes of every kind.
+Test(feed, pollers_end_with_the_records_of_the_registry) {
+  // With lost answers, late pollers and changes of every kind.
   for (unsigned seed = 1; seed <= 40; seed++) {
     std::mt19937 random(seed);
     UpstreamRegistry registry;
     UpstreamFeed feed({.mBatchInterval = 50, .mFullListInterval = 300});
-    std::vector<Follower> followers(5);
+    std::vector<Poller> pollers(5);
     std::vector<std::int64_t> sequences(30, 0);
     Millis now = 0;
     for (int step = 0; step < 400; step++) {
@@ -124,17 +125,17 @@
       }
       registry.ApplyHeartbeat(record, now);
       registry.Expire(400, now);
-      Follower& follower = followers[random() % followers.size()];
-      follower.Ask(feed, registry, now, random() % 3 == 0);
+      Poller& poller = pollers[random() % pollers.size()];
+      poller.Poll(feed, registry, now, random() % 3 == 0);
     }
-    for (Follower& follower : followers) {
-      follower.Ask(feed, registry, now + 1000);
-      CHECK(Same(follower.mRegistry, registry));
+    for (Poller& poller : pollers) {
+      poller.Poll(feed, registry, now + 1000);
+      CHECK(HasSameRecords(poller.mRegistry, registry));
     }
   }
 }
 
-Test(feed, records_travel_by_columns) {
+Test(feed, records_are_packed_by_columns) {
   std::vector<UpstreamRecord> records = {Record(1, 5), Record(2, 6)};
   records[1].mState = UpstreamState::kLeaving;
   records[1].mLayers = {4, 9};
@@ -148,7 +149,7 @@
   CHECK(read[1].mState == UpstreamState::kLeaving && read[1].mBusy);
   CHECK(read[1].mLayers == records[1].mLayers);
   CHECK(read[1].mSequence == 6 && read[1].mLastSeenAgo == 70);
-  SECTION("a table that is no table is refused") {
+  SECTION("an invalid table is rejected") {
     UpstreamTable table = UpstreamTable::Of(records);
     table.mZones[0] = 99;
     CHECK(CodeThrownBy([&] { (void)table.Records(); }) ==
--- a/tests/servers/membership_test.cpp
+++ b/tests/servers/membership_test.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 /// Members that probe each other over a network with faults.
-struct Net {
-  explicit Net(int aCount) {
+struct MemberNetwork {
+  explicit MemberNetwork(int aCount) {
     for (int i = 0; i < aCount; i++) {
       mIds.push_back("m" + std::to_string(i));
     }
@@ -60,6 +60,7 @@
     }
   }
 
+  /// How many running members see aId in a state.
   int SeenAs(const std::string& aId, MemberState aState) const {
     int count = 0;
     for (const auto& [id, table] : mTables) {
@@ -86,34 +87,34 @@
 
 }  // namespace
 
-Test(member_table, a_dead_member_is_found_by_all_and_comes_back) {
-  Net net(8);
-  net.Run(5000);
-  CHECK(net.SeenAs("m3", MemberState::kAlive) == 7);
-  net.mDown.insert("m3");
-  net.Run(8000);
-  CHECK(net.SeenAs("m3", MemberState::kDead) == 7);
-  SECTION("frozen for minutes, it comes back harmless") {
-    net.Run(120000);
-    net.mDown.clear();
-    net.Run(10000);
-    CHECK(net.SeenAs("m3", MemberState::kAlive) == 7);
-    for (const std::string& id : net.mIds) {
-      CHECK(net.SeenAs(id, MemberState::kAlive) == 7);
+Test(member_table, a_dead_member_is_detected_by_all_and_comes_back) {
+  MemberNetwork network(8);
+  network.Run(5000);
+  CHECK(network.SeenAs("m3", MemberState::kAlive) == 7);
+  network.mDown.insert("m3");
+  network.Run(8000);
+  CHECK(network.SeenAs("m3", MemberState::kDead) == 7);
+  SECTION("a member suspended for minutes is alive for all again") {
+    network.Run(120000);
+    network.mDown.clear();
+    network.Run(10000);
+    CHECK(network.SeenAs("m3", MemberState::kAlive) == 7);
+    for (const std::string& id : network.mIds) {
+      CHECK(network.SeenAs(id, MemberState::kAlive) == 7);
     }
   }
 }
 
-Test(member_table, a_cut_between_two_kills_neither) {
-  Net net(5);
-  net.Run(5000);
-  net.mCut.insert("m0>m1");
-  net.Run(30000);
-  CHECK(net.SeenAs("m1", MemberState::kDead) == 0);
-  CHECK(net.SeenAs("m0", MemberState::kDead) == 0);
+Test(member_table, members_cut_off_from_each_other_only_stay_alive) {
+  MemberNetwork network(5);
+  network.Run(5000);
+  network.mCut.insert("m0>m1");
+  network.Run(30000);
+  CHECK(network.SeenAs("m1", MemberState::kDead) == 0);
+  CHECK(network.SeenAs("m0", MemberState::kDead) == 0);
 }
 
-Test(leaving_set, is_sticky_until_a_newer_incarnation) {
+Test(leaving_set, keeps_a_vm_until_a_newer_incarnation) {
   LeavingSet set;
   set.OnSeen("vm", 5);
   CHECK(set.Add({"vm", 0}));
@@ -122,13 +123,13 @@
     set.OnSeen("vm", 5);
     CHECK(set.Contains("vm"));
   }
-  SECTION("a newer one ends it, also against old gossip") {
+  SECTION("a newer one removes it, and an old notice does not add it again") {
     set.OnSeen("vm", 6);
     CHECK(!set.Contains("vm"));
     CHECK(!set.Add({"vm", 5}));
     CHECK(!set.Contains("vm"));
   }
-  SECTION("a drain of the operators is ended by them only") {
+  SECTION("a drain lasts until the configuration ends it") {
     set.SetDrained({"vm"});
     set.OnSeen("vm", 9);
     CHECK(set.Contains("vm"));
@@ -137,7 +138,7 @@
   }
 }
 
-Test(leaving_set, forgets_vms_that_are_gone_for_good) {
+Test(leaving_set, removes_vms_that_are_not_known_any_more) {
   LeavingSet set;
   CHECK(!set.Add({"stranger", 0}));
   set.Retain({"vm"}, 0);
@@ -146,28 +147,29 @@
   CHECK(set.Contains("vm"));
   set.Retain({}, 700000);
   CHECK(set.Notices().empty());
-  SECTION("a peer that still tells of it brings nothing back") {
+  SECTION("a late notice from a peer does not add it again") {
     CHECK(!set.Add({"vm", 0}));
   }
 }
 
-Test(steward_lease, a_restarted_voter_promises_nothing_for_a_length) {
+Test(steward_lease, a_restarted_voter_abstains_for_one_duration) {
   LeaseVoter voter(MakeLease("v", 1), 1000);
   CHECK(!voter.Handle({.mCandidate = "a", .mEpoch = 1}, 1500).mGranted);
   CHECK(voter.Handle({.mCandidate = "a", .mEpoch = 1}, 4000).mGranted);
-  SECTION("and while it promised one, no other gets it") {
+  SECTION("no other candidate is granted the lease during a promise") {
     CHECK(!voter.Handle({.mCandidate = "b", .mEpoch = 2}, 6900).mGranted);
     CHECK(voter.Handle({.mCandidate = "b", .mEpoch = 2}, 7000).mGranted);
   }
-  SECTION("nor with an epoch that is not greater") {
+  SECTION(
+      "no other candidate is granted it with an epoch that is not greater") {
     CHECK(!voter.Handle({.mCandidate = "c", .mEpoch = 2}, 20000).mGranted);
     CHECK(voter.Handle({.mCandidate = "c", .mEpoch = 3}, 20000).mGranted);
   }
 }
 
 Test(steward_lease, candidates_that_start_together_agree_on_one) {
-  // Found by the bench: eight routers that started at once split their votes,
-  // and each went on renewing the few that it had.
+  // Guards against a lease that no router gets: eight routers that start at
+  // once split the votes, and each keeps renewing the few that it has.
   std::mt19937 random(3);
   std::vector<std::unique_ptr<LeaseVoter>> voters;
   std::vector<std::unique_ptr<LeaseHolder>> holders;
@@ -181,7 +183,7 @@
     voters.push_back(std::make_unique<LeaseVoter>(options, -10000));
     holders.push_back(std::make_unique<LeaseHolder>(
         options, 0, [&, i](const LeaseRequest& aRequest) {
-          // Each asks its own voter first, and the others in turn.
+          // Each sends to its own voter first, then to the others in turn.
           for (int n = 0; n < kCount; n++) {
             LeaseVoter& voter = *voters[static_cast<std::size_t>(
                 (i + n * (i % 2 == 0 ? 1 : 3)) % kCount)];
@@ -190,7 +192,7 @@
           }
         }));
   }
-  // The worst start: each voter is promised to another candidate.
+  // Worst case: each voter has granted another candidate.
   for (int i = 0; i < kCount; i++) {
     voters[static_cast<std::size_t>(i)]->Handle(
         {.mCandidate = "r" + std::to_string(i), .mEpoch = 1}, 0);
@@ -207,11 +209,11 @@
     CHECK(holding <= 1);
     held += holding;
   }
-  // Once one has it, it stays.
+  // Once a candidate has the lease, it keeps it.
   CHECK(held > 500);
 }
 
-Test(steward_lease, the_holder_stops_before_the_voters_let_go) {
+Test(steward_lease, the_lease_ends_before_the_promise_of_a_voter) {
   LeaseHolder* self = nullptr;
   LeaseVoter voter(MakeLease("v", 1), -10000);
   Millis now = 0;
@@ -234,7 +236,7 @@
   CHECK(!voter.Handle({.mCandidate = "b", .mEpoch = 9}, ended).mGranted);
 }
 
-Test(entry_vms, bad_lists_are_refused) {
+Test(entry_vms, invalid_lists_are_rejected) {
   const auto read = [](const char* aText) {
     return CodeThrownBy([&] { EntryVms::Parse(aText); });
   };
--- a/tests/servers/sources_test.cpp
+++ b/tests/servers/sources_test.cpp
@@ -26,14 +26,14 @@
   return directory;
 }
 
-SourceChoiceInput Question(const ControlDirectory& aDirectory,
-                           const std::string& aProcess) {
-  SourceChoiceInput question;
-  question.mDirectory = &aDirectory;
-  question.mProcess = aProcess;
-  question.mZone = "z2";
-  question.mNow = 1000;
-  return question;
+SourceChoiceInput InputOf(const ControlDirectory& aDirectory,
+                          const std::string& aProcess) {
+  SourceChoiceInput input;
+  input.mDirectory = &aDirectory;
+  input.mProcess = aProcess;
+  input.mZone = "z2";
+  input.mNow = 1000;
+  return input;
 }
 
 std::string ZoneOfAll(const std::string&) {
@@ -46,63 +46,64 @@
 
 }  // namespace
 
-Test(sources, a_router_asks_a_few_controls_of_several_zones) {
+Test(sources, a_router_polls_a_few_controls_of_several_zones) {
   const ControlDirectory directory = SixControls();
-  SECTION("the first is of its own zone, the others of the other zones") {
-    const auto chosen = ChooseSources(Question(directory, "r1"));
+  SECTION("the first is in its own zone, the others in the other zones") {
+    const auto chosen = ChooseSources(InputOf(directory, "r1"));
     REQUIRE(chosen.size() == 3);
     CHECK(directory.ZoneAt(chosen[0]) == "z2");
     CHECK(directory.ZoneAt(chosen[1]) != "z2");
     CHECK(directory.ZoneAt(chosen[2]) != "z2");
     CHECK(directory.ZoneAt(chosen[1]) != directory.ZoneAt(chosen[2]));
   }
-  SECTION("routers spread over the controls of their zone") {
+  SECTION("routers are spread over the controls of their zone") {
     std::map<std::string, int> firsts;
     for (int i = 0; i < 100; i++) {
       const std::string process = "r" + std::to_string(i);
-      firsts[ChooseSources(Question(directory, process)).front().Text()]++;
+      firsts[ChooseSources(InputOf(directory, process)).front().Text()]++;
     }
     CHECK(firsts.size() == 2);
     CHECK(firsts.begin()->second > 25 && firsts.begin()->second < 75);
   }
-  SECTION("one that does not answer is left for another, for a while") {
-    SourceChoiceInput question = Question(directory, "r1");
-    const std::string first = ChooseSources(question).front().Text();
-    question.mFailedAt[first] = 900;
-    const auto chosen = ChooseSources(question);
+  SECTION("a control that does not answer is replaced for a while") {
+    SourceChoiceInput input = InputOf(directory, "r1");
+    const std::string first = ChooseSources(input).front().Text();
+    input.mFailedAt[first] = 900;
+    const auto chosen = ChooseSources(input);
     CHECK(chosen.front().Text() != first);
     CHECK(directory.ZoneAt(chosen.front()) == "z2");
-    question.mNow = 900 + question.mFailureAvoidance;
-    CHECK(ChooseSources(question).front().Text() == first);
+    input.mNow = 900 + input.mFailureAvoidance;
+    CHECK(ChooseSources(input).front().Text() == first);
   }
-  SECTION("a zone without control is served by the others") {
-    SourceChoiceInput question = Question(directory, "r1");
-    question.mFailedAt["10.2.0.1:7001"] = 900;
-    question.mFailedAt["10.2.0.1:7002"] = 900;
-    for (const Endpoint& address : ChooseSources(question)) {
+  SECTION("a router polls other zones if its own has no control") {
+    SourceChoiceInput input = InputOf(directory, "r1");
+    input.mFailedAt["10.2.0.1:7001"] = 900;
+    input.mFailedAt["10.2.0.1:7002"] = 900;
+    for (const Endpoint& address : ChooseSources(input)) {
       CHECK(directory.ZoneAt(address) != "z2");
     }
   }
-  SECTION("where all are few, all are asked") {
+  SECTION("if there are few controls, all are polled") {
     ControlDirectory few;
     few.SetSeeds({{"10.0.0.1", 1}, {"10.0.0.2", 1}});
-    CHECK(ChooseSources(Question(few, "r1")).size() == 2);
+    CHECK(ChooseSources(InputOf(few, "r1")).size() == 2);
   }
 }
 
-Test(sources, a_control_that_does_not_answer_is_asked_more_seldom) {
-  // 31 routers that started together asked again each 0.3 s: two controls did
-  // nothing for 10 s but write answers that came too late.
+Test(sources, a_control_that_does_not_answer_is_polled_less_often) {
+  // Guards against overload at a start: when 31 routers that started together
+  // polled again every 0.3 s, two controls only wrote answers that were too
+  // late for 10 s.
   const PolledControl near{
       .mInterval = 400, .mIsNearest = true, .mLacksConfiguration = true};
-  SECTION("one that answers is asked as it asks to be") {
+  SECTION("a control that answers is polled at the interval it asks for") {
     CHECK(NextPollDelay(near) == 400);
     CHECK(PollTimeout(near) == 300);
     PolledControl far = near;
     far.mIsNearest = false;
     CHECK(NextPollDelay(far) == 1600);
   }
-  SECTION("others are asked more seldom while it answers and bytes are dear") {
+  SECTION("others are polled less often while it answers and bytes cost much") {
     PolledControl far{.mInterval = 150, .mNearestAnswers = true};
     CHECK(NextPollDelay(far) == 1200);
     far.mCosts.mInterZoneByte = 0.5;
@@ -112,55 +113,55 @@
     far.mCosts.mInterZoneByte = 1;
     far.mNearestAnswers = false;
     CHECK(NextPollDelay(far) == 600);
-    // No longer than an upstream that leaves may get new work.
+    // Not longer than a leaving upstream may get new work.
     far.mNearestAnswers = true;
     far.mInterval = 250;
     CHECK(NextPollDelay(far) == 1200);
   }
-  SECTION("each failure doubles the wait, to four times") {
-    PolledControl asked = near;
+  SECTION("each failure doubles the delay, up to four times") {
+    PolledControl control = near;
     std::vector<Millis> waits;
     std::vector<Millis> timeouts;
-    for (asked.mFailures = 0; asked.mFailures < 5; asked.mFailures++) {
-      waits.push_back(NextPollDelay(asked));
-      timeouts.push_back(PollTimeout(asked));
+    for (control.mFailures = 0; control.mFailures < 5; control.mFailures++) {
+      waits.push_back(NextPollDelay(control));
+      timeouts.push_back(PollTimeout(control));
     }
     CHECK((waits == std::vector<Millis>{400, 800, 1600, 1600, 1600}));
     CHECK((timeouts == std::vector<Millis>{300, 600, 1000, 1000, 1000}));
   }
-  SECTION("those that failed together come back spread over half of it") {
-    PolledControl asked = near;
-    asked.mFailures = 2;
-    asked.mJitter = 0;
-    CHECK(NextPollDelay(asked) == 800);
+  SECTION("jitter spreads the next polls over half of the delay") {
+    PolledControl control = near;
+    control.mFailures = 2;
+    control.mJitter = 0;
+    CHECK(NextPollDelay(control) == 800);
   }
-  SECTION("who holds a configuration has time to wait") {
-    PolledControl asked = near;
-    asked.mLacksConfiguration = false;
-    CHECK(PollTimeout(asked) == 1000);
+  SECTION("the timeout is longer once a configuration is held") {
+    PolledControl control = near;
+    control.mLacksConfiguration = false;
+    CHECK(PollTimeout(control) == 1000);
   }
 }
 
-Test(sources, a_confirmation_may_come_by_another_control) {
-  // Found on the users' platform, grown: routers that asked no leader had no
-  // lease and refused everything.
+Test(sources, a_confirmation_may_arrive_by_another_control) {
+  // Guards against routers that refuse all requests: a router that does not
+  // poll the leader must get its lease by way of another control.
   NewestConfirmation held;
-  SECTION("nothing is passed on before something was confirmed") {
+  SECTION("nothing is forwarded before the first confirmation") {
     CHECK(held.Age(50) == -1);
     held.Take(7, 100, -1);
     CHECK(held.Age(150) == -1);
   }
   held.Take(7, 1000, 20);
-  SECTION("its age counts from when the other control was asked") {
+  SECTION("its age counts from the poll of the other control") {
     CHECK(held.Version() == 7);
     CHECK(held.Age(1100) == 120);
   }
-  SECTION("an older one by another way changes nothing") {
+  SECTION("an older confirmation by another way changes nothing") {
     held.Take(6, 1050, 400);
     CHECK(held.Version() == 7);
     CHECK(held.Age(1100) == 120);
   }
-  SECTION("a router that lacks the version named gains no lease by it") {
+  SECTION("a router without the confirmed version gets no lease") {
     ConfigurationLease lease(4000);
     lease.Confirm(held.Version(), 6, 1100, held.Age(1100));
     CHECK(!lease.Holds(1110));
@@ -170,19 +171,19 @@
   }
 }
 
-Test(sources, upstreams_are_told_by_all_where_they_are_few) {
+Test(sources, all_controls_send_upstream_changes_if_upstreams_are_few) {
   const PollingRouter near{.mIsNearest = true, .mNearestAnswers = true};
   const PollingRouter far{.mIsNearest = false, .mNearestAnswers = true};
   const PollingRouter lost{.mIsNearest = false, .mNearestAnswers = false};
   CHECK(SendsUpstreamChanges(far, 400));
-  SECTION("and where they are many by the nearest as long as it answers") {
+  SECTION("with many upstreams only the nearest does while it answers") {
     CHECK(SendsUpstreamChanges(near, 3000));
     CHECK(!SendsUpstreamChanges(far, 3000));
     CHECK(SendsUpstreamChanges(lost, 3000));
   }
 }
 
-Test(loads, each_router_is_told_of_all_others) {
+Test(loads, each_router_receives_the_loads_of_all_others) {
   LoadAggregator book({.mReportRetention = 2500, .mSumInterval = 40});
   ReportedLoads first;
   ReportedLoads second;
@@ -197,39 +198,39 @@
         .at("a")
         .mRequests;
   };
-  SECTION("its own work is not among it") {
+  SECTION("without its own") {
     CHECK(others(first, "r1", 0) == 14);
     CHECK(others(second, "r2", 0) == 13);
   }
-  SECTION("also between two sums its own work is taken out as it was added") {
+  SECTION("its own load is subtracted as it was added, also between sums") {
     book.OnRouterReport("r1", first.Record(Work("a", 100)), Work("a", 100), 10);
     CHECK(others(first, "r1", 10) == 14);
     CHECK(others(second, "r2", 60) == 110);
     CHECK(others(first, "r1", 60) == 14);
   }
-  SECTION("another control is told only what was told here") {
+  SECTION("another control receives only the loads reported here") {
     CHECK(UnpackLoads(book.PackedLocal(60).mText).at("a").mRequests == 104);
     CHECK(book.AllRouters(60) == 7);
   }
-  SECTION("who says nothing counts for nothing") {
+  SECTION("a router that sends no reports does not count") {
     book.OnRouterReport("r2", second.Record(Work("a", 1)), Work("a", 1), 2000);
     CHECK(UnpackLoads(book.PackedSum("z", ZoneOfAll, 2600).mText)
               .at("a")
               .mRequests == 1);
     CHECK(book.IncludedSequence("r1") == 0);
-    // Those of a silent control may go on at the other side of a cut.
+    // Routers of a silent control may still run at the other side of a cut.
     CHECK(book.AllRouters(2600) == 6);
     CHECK(book.AllRouters(60000) == 5);
     CHECK(book.AllRouters(60001) == 0);
   }
 }
 
-Test(loads, a_router_counts_once_though_its_process_starts_again) {
+Test(loads, a_router_counts_once_after_a_restart) {
   LoadAggregator book({.mReportRetention = 2500});
   ReportedLoads told;
   book.OnRouterReport("r1/a", told.Record(Work("u", 3)), Work("u", 3), 0);
   book.OnRouterReport("r2/a", told.Record(Work("u", 4)), Work("u", 4), 0);
-  SECTION("the work of the process before it goes") {
+  SECTION("the load of the earlier process is dropped") {
     book.OnRouterReport("r1/b", 1, Work("u", 1), 100);
     CHECK(book.LocalRouters(100) == 2);
     CHECK(UnpackLoads(book.PackedSum("z", ZoneOfAll, 100).mText)
@@ -240,24 +241,24 @@
   }
 }
 
-Test(loads, the_number_of_routers_comes_down_as_well_as_up) {
+Test(loads, the_number_of_routers_can_rise_and_fall) {
   RouterCount count({.mRetention = 10000});
-  SECTION("before any word a router takes itself for the only one") {
+  SECTION("before any report a router counts itself only") {
     CHECK(count.Value() == 1);
   }
-  SECTION("it goes up at once") {
+  SECTION("it rises at once") {
     count.OnReport(195, 0);
     count.OnReport(342, 100);
     CHECK(count.Value() == 342);
   }
-  SECTION("and down once nobody told the greater one for a while") {
+  SECTION("it falls once the greater number was not reported for a while") {
     count.OnReport(195, 200);
     count.OnReport(195, 10100);
     CHECK(count.Value() == 342);
     count.OnReport(195, 10101);
     CHECK(count.Value() == 195);
   }
-  SECTION("a control that knows a part only for a moment changes nothing") {
+  SECTION("a control that knows only a part for a short time changes nothing") {
     for (Millis now = 11000; now < 14000; now += 100) {
       count.OnReport(35, now);
     }
@@ -266,14 +267,14 @@
     count.OnReport(35, 14001);
     CHECK(count.Value() == 195);
   }
-  SECTION("while control is silent it stays") {
+  SECTION("it stays while control is silent") {
     CHECK(count.Value() == 195);
     count.OnReport(0, 90000);
     CHECK(count.Value() == 195);
   }
 }
 
-Test(loads, routers_of_a_large_fleet_are_told_those_of_their_zone) {
+Test(loads, routers_of_a_large_fleet_receive_the_loads_of_their_zone) {
   LoadAggregator book(
       {.mReportRetention = 2500, .mSumInterval = 40, .mMaxUnfilteredRows = 2});
   const ZoneHook zoneOf = [](const std::string& aInstance) {
@@ -289,14 +290,14 @@
   const PackedLoads ofB = book.PackedSum("b", zoneOf, 50);
   CHECK(UnpackLoads(ofA.mText).size() == 1);
   CHECK(UnpackLoads(ofB.mText).size() == 2);
-  SECTION("by a number that stands for nothing else") {
+  SECTION("each sum has a number of its own") {
     CHECK(ofA.mSequence != ofB.mSequence);
     CHECK(book.PackedSum("a", zoneOf, 60).mSequence == ofA.mSequence);
     CHECK(book.PackedSum("a", zoneOf, 100).mSequence > ofB.mSequence);
   }
 }
 
-Test(loads, what_is_not_remembered_is_not_taken_out) {
+Test(loads, only_stored_reports_are_subtracted) {
   ReportedLoads told;
   for (int i = 1; i <= 6; i++) {
     CHECK(told.Record(Work("a", i)) == i);
@@ -307,7 +308,7 @@
   CHECK(told.SubtractReported({}, 6).empty());
 }
 
-Test(loads, upstreams_are_lost_by_several_witnesses) {
+Test(loads, upstreams_are_unreachable_if_several_routers_report_it) {
   LoadAggregator book({.mReportRetention = 2500, .mSumInterval = 40});
   LoadShares lost{{"a", {.mInstance = "a", .mUnreachableReporters = 1}}};
   book.OnRouterReport("r1", 1, lost, 0);
@@ -316,7 +317,7 @@
   CHECK(book.UnreachableUpstreams(2, 50).contains("a"));
 }
 
-Test(loads, tables_travel_without_rows_of_nothing) {
+Test(loads, tables_leave_out_empty_rows) {
   LoadShares shares = Work("a", 2);
   shares["idle"].mInstance = "idle";
   LoadTable table = LoadTable::Of(shares);
