--- a/servers/membership/control_directory.cpp
+++ b/servers/membership/control_directory.cpp
@@ -21,7 +21,7 @@
   const std::size_t n = aId.find('#');
   if (n == std::string::npos) {
     throw Error(ResultCode::kBadField,
-                "id of a control must be IP:PORT#DISK, not \"" + aId + "\"");
+                "id of a control must be IP:PORT#DISK, not " + aId);
   }
   return ParseEndpoint(aId.substr(0, n), "id of a control");
 }
--- a/servers/membership/entry_vms.cpp
+++ b/servers/membership/entry_vms.cpp
@@ -63,7 +63,7 @@
       EntryVm vm = FromRow(FromJson<EntryRow>(row, true));
       if (list.Find(vm.mId) != nullptr) {
         throw Error(ResultCode::kBadEntryVms,
-                    "id \"" + vm.mId + "\" occurs twice");
+                    vm.mId + " occurs twice as an id");
       }
       list.mAll.push_back(std::move(vm));
     }
