--- a/servers/membership/control_directory.cpp
+++ b/servers/membership/control_directory.cpp
@@ -96,11 +96,11 @@
 }
 
 bool ControlDirectory::IsReplaced(const std::string& aId) const {
-  const auto own = mItems.find(aId);
+  const auto queried = mItems.find(aId);
   const Endpoint address = AddressOfControl(aId);
   return std::any_of(mItems.begin(), mItems.end(), [&](const auto& aItem) {
-    const bool newer = own == mItems.end() ||
-                       aItem.second.mLastSeenAt > own->second.mLastSeenAt;
+    const bool newer = queried == mItems.end() ||
+                       aItem.second.mLastSeenAt > queried->second.mLastSeenAt;
     return aItem.first != aId && newer && aItem.second.mAddress == address;
   });
 }
--- a/servers/membership/member_table.cpp
+++ b/servers/membership/member_table.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 /// Whether an update overrides the known state (SWIM's order of precedence).
-bool Overrides(MemberState aNewState, std::int64_t aNew, MemberState aOldState,
-               std::int64_t aOld) {
-  if (aNew != aOld) {
-    return aNew > aOld;
+bool Overrides(MemberState aNewState, std::int64_t aNewIncarnation,
+               MemberState aOldState, std::int64_t aOldIncarnation) {
+  if (aNewIncarnation != aOldIncarnation) {
+    return aNewIncarnation > aOldIncarnation;
   }
   return static_cast<int>(aNewState) > static_cast<int>(aOldState);
 }
--- a/servers/membership/steward_lease.cpp
+++ b/servers/membership/steward_lease.cpp
@@ -14,8 +14,8 @@
   const bool same = mPromisedTo == aRequest.mCandidate;
   if (aRequest.mRelease) {
     // A late release of an earlier lease must not end the present one.
-    const bool own = same && aRequest.mEpoch == mEpoch;
-    mPromisedUntil = own ? 0 : mPromisedUntil;
+    const bool isCurrentLease = same && aRequest.mEpoch == mEpoch;
+    mPromisedUntil = isCurrentLease ? 0 : mPromisedUntil;
     reply.mEpoch = mEpoch;
     return reply;
   }
@@ -88,10 +88,10 @@
   }
   // The lease starts before the request is sent and is shortened by the
   // greatest drift, so that it ends before any voter's promise.
-  const auto own = static_cast<Millis>(static_cast<double>(mOptions.mDuration) *
-                                       (1 - mOptions.mMaxDrift));
-  if (aNow < mRoundStartedAt + own) {
-    mHeldUntil = std::max(mHeldUntil, mRoundStartedAt + own);
+  const auto leaseDuration = static_cast<Millis>(
+      static_cast<double>(mOptions.mDuration) * (1 - mOptions.mMaxDrift));
+  if (aNow < mRoundStartedAt + leaseDuration) {
+    mHeldUntil = std::max(mHeldUntil, mRoundStartedAt + leaseDuration);
   }
 }
 
--- a/tests/servers/feed_test.cpp
+++ b/tests/servers/feed_test.cpp
@@ -30,9 +30,9 @@
       return;
     }
     mTexts = answer.mUpdates.size();
-    for (const UpstreamUpdate& news : answer.mUpdates) {
-      for (UpstreamRecord& record : UnpackUpstreams(news.mText)) {
-        record.mLastSeenAgo += news.mAge;
+    for (const UpstreamUpdate& update : answer.mUpdates) {
+      for (UpstreamRecord& record : UnpackUpstreams(update.mText)) {
+        record.mLastSeenAgo += update.mAge;
         mRegistry.Merge(record, aNow);
       }
     }
--- a/tests/servers/membership_test.cpp
+++ b/tests/servers/membership_test.cpp
@@ -74,7 +74,7 @@
   std::vector<std::string> mIds;
   std::map<std::string, std::unique_ptr<MemberTable>> mTables;
   std::set<std::string> mDown;
-  std::set<std::string> mCut;
+  std::set<std::string> mCut;  ///< Links as "FROM>TO", cut in both directions.
 };
 
 LeaseOptions MakeLease(const std::string& aId, std::size_t aVoters) {
--- a/tests/servers/registry_test.cpp
+++ b/tests/servers/registry_test.cpp
@@ -159,9 +159,9 @@
     for (const UpstreamRecord& record : registry.ChangedSince(0, 1300)) {
       other.Merge(record, 5000);
     }
-    for (const UpstreamHeartbeat& beat :
+    for (const UpstreamHeartbeat& heartbeat :
          registry.HeartbeatsSince(0, registry.Revision(), 1300)) {
-      other.MergeHeartbeat(beat, 5000);
+      other.MergeHeartbeat(heartbeat, 5000);
     }
     CHECK(other.Find("a")->mSequence == 2);
     CHECK(other.Expire(3600, 8400).empty());
@@ -487,11 +487,11 @@
     CHECK(back[0].mStart == 0);
   }
   SECTION("invalid rows of heartbeats") {
-    HeartbeatTable beats;
-    beats.mInstances = {"a", "", "c", "d"};
-    beats.mSequences = {1, 2, -3, 4};
-    beats.mLastSeenAgo = {0, 0, 0};
-    CHECK(beats.Heartbeats(onInvalid).size() == 1);
+    HeartbeatTable heartbeats;
+    heartbeats.mInstances = {"a", "", "c", "d"};
+    heartbeats.mSequences = {1, 2, -3, 4};
+    heartbeats.mLastSeenAgo = {0, 0, 0};
+    CHECK(heartbeats.Heartbeats(onInvalid).size() == 1);
   }
   SECTION("heartbeats with values of another type") {
     Json::Value table =
