--- a/bench/choice_play.cpp
+++ b/bench/choice_play.cpp
@@ -96,7 +96,8 @@
       const AcceleratorKind* kind = mOptions.mProfile.FindKind(record.mKind);
       const EngineModel model(mOptions.mProfile, *kind);
       mEngines[record.mInstance] = {
-          .mRecord = &record, .mRoom = model.Room(record.mLayers.Count())};
+          .mRecord = &record,
+          .mRoom = model.RequestCapacity(record.mLayers.Count())};
       mViews.push_back(&record);
     }
     TurnSlow();
@@ -434,7 +435,7 @@
                                                      engine.mRecord->mKind));
       const int layers = part.mLayers.Count();
       const double pace = TruePace(engine, mNow);
-      const double read = model.ReadMillis(layers, aPrompt) * pace;
+      const double read = model.PrefillMillis(layers, aPrompt) * pace;
       at = std::max(at, engine.mReadsUntil) + read;
       engine.mReadsUntil = at;
       AddPart(engine.mLoad, *aRequest, part, 1);
@@ -443,7 +444,7 @@
       const double step =
           pace *
           model.StepMillis(
-              layers, {.mWriters = writers,
+              layers, {.mDecodingRequests = writers,
                        .mContextTokens = writers * (aPrompt + aAnswer / 2)});
       token += step * kWaitForPass + HopMillis(mOptions.mProfile, false);
       engine.mWorkMillis += read + aAnswer * step / writers;
--- a/daemons/control/joined_control.cpp
+++ b/daemons/control/joined_control.cpp
@@ -104,7 +104,7 @@
     const std::vector<std::string>& voters = mLog.Raft().Voters();
     const bool votes = std::find(voters.begin(), voters.end(),
                                  mContext.mOptions.mId) != voters.end();
-    return votes ? mLog.Raft().HearsLeader(SteadyNow())
+    return votes ? mLog.Raft().HasLeaderContact(SteadyNow())
                  : !mSync.LeaderHeardOf().empty();
   }
 
--- a/daemons/control/replicated_configuration.cpp
+++ b/daemons/control/replicated_configuration.cpp
@@ -56,8 +56,8 @@
     raft.mVoters = options.mInitialVoters;
   }
   raft.mElectionTimeout = options.mElectionTimeout;
-  raft.mHeartbeat = options.mElectionTimeout / kHeartbeatsPerTimeout;
-  raft.mBytesPerSnapshot = kBytesPerSnapshot;
+  raft.mHeartbeatInterval = options.mElectionTimeout / kHeartbeatsPerTimeout;
+  raft.mSnapshotThresholdBytes = kBytesPerSnapshot;
   raft.mSeed = static_cast<std::uint64_t>(WallNow()) ^
                std::hash<std::string>()(options.mId);
   raft.mStorage = storage.get();
@@ -106,7 +106,7 @@
                        [this, to = aMessage.mTo,
                         began = SteadyNow()](const RpcResult& aResult) {
                          if (!aResult.mOk) {
-                           mRaft->Undelivered(to, SteadyNow() - began);
+                           mRaft->OnSendFailed(to, SteadyNow() - began);
                          }
                        });
   }
@@ -157,7 +157,7 @@
         .Add("leader", mLoggedLeader)
         .Add("term", static_cast<Json::Int64>(mRaft->Term()));
   }
-  if (mRaft->Settled() && mSettledTerm != mRaft->Term()) {
+  if (mRaft->HasCommitInTerm() && mSettledTerm != mRaft->Term()) {
     mSettledTerm = mRaft->Term();
     LogLine(LogLevel::kInfo, "leader_settled")
         .Add("leader", mLoggedLeader)
--- a/daemons/relay/relay_attempt.cpp
+++ b/daemons/relay/relay_attempt.cpp
@@ -265,8 +265,8 @@
             ? nullptr
             : mService->mEngine.FindKind(engine->mKind);
     if (kind != nullptr) {
-      const double room =
-          EngineModel(mService->mEngine, *kind).Room(engine->mLayers.Count());
+      const double room = EngineModel(mService->mEngine, *kind)
+                              .RequestCapacity(engine->mLayers.Count());
       return mContext.LoadOf(part.mInstance).mTokenLayers / std::max(1.0, room);
     }
   }
--- a/daemons/router/stewardship.cpp
+++ b/daemons/router/stewardship.cpp
@@ -100,7 +100,7 @@
   const std::vector<EngineOrder> orders =
       PlanOrders({.mPlacement = mWanted,
                   .mEngines = engines,
-                  .mMaximumLoads = mContext.mOptions.mMaximumLoads});
+                  .mMaxLoads = mContext.mOptions.mMaximumLoads});
   for (const EngineOrder& order : orders) {
     Send(order);
   }
--- a/include/spindleweir/servers/consensus/raft_node.h
+++ b/include/spindleweir/servers/consensus/raft_node.h
@@ -25,15 +25,15 @@
   /// The first voters, for an empty storage; it remembers them from then on.
   std::vector<std::string> mVoters;
   Millis mElectionTimeout = 500;  ///< The least; the most is twice as long.
-  Millis mHeartbeat = 100;
+  Millis mHeartbeatInterval = 100;
   std::size_t mEntriesPerMessage = 64;
   /// Payload bytes in one message; one entry goes in any case.
   std::size_t mBytesPerMessage = 256 * 1024;
   /// Entries that were not answered are sent again after this time.
   Millis mResend = 400;
-  std::size_t mEntriesPerSnapshot = 512;
+  std::size_t mSnapshotThresholdEntries = 512;
   /// Payload bytes after which a snapshot is made in any case.
-  std::size_t mBytesPerSnapshot = 16 * 1024 * 1024;
+  std::size_t mSnapshotThresholdBytes = 16 * 1024 * 1024;
   std::uint64_t mSeed = 1;
   RaftStorage* mStorage = nullptr;
   std::function<void(const RaftMessage&)> mSend;
@@ -53,7 +53,7 @@
   /// The call with a message to another voter failed so long after it began.
   /// One that was turned away at once did not arrive: what it held goes again
   /// with the next heartbeat.
-  void Undelivered(const std::string& aTo, Millis aAfter);
+  void OnSendFailed(const std::string& aTo, Millis aAfter);
 
   /// Adds a command to the log. Returns its index, or 0 where this voter does
   /// not lead. Acceptance is known when mApply is called for that index with
@@ -76,15 +76,15 @@
   bool Leads() const;
   /// Whether an entry of the newest term is committed, as far as is known here:
   /// then its leader may promise.
-  bool Settled() const;
+  bool HasCommitInTerm() const;
   const std::string& Leader() const { return mLeader; }
   /// Whether the leader was heard within the time in which it speaks at least
   /// twice; of a leader itself, whether it may promise.
-  bool HearsLeader(Millis aNow) const;
+  bool HasLeaderContact(Millis aNow) const;
   std::int64_t Term() const { return mHardState.mTerm; }
   std::int64_t CommitIndex() const { return mCommit; }
   std::int64_t LastIndex() const;
-  std::int64_t FirstKeptIndex() const { return mSnapshot.mIndex + 1; }
+  std::int64_t FirstLogIndex() const { return mSnapshot.mIndex + 1; }
   const std::vector<std::string>& Voters() const { return mVoters; }
 
  private:
--- a/include/spindleweir/servers/engines/engine_model.h
+++ b/include/spindleweir/servers/engines/engine_model.h
@@ -9,8 +9,8 @@
 
 /// The work that a stage has at a time.
 struct StageLoad {
-  double mWriters = 0;        ///< Requests that write.
-  double mContextTokens = 0;  ///< Tokens of all writers together.
+  double mDecodingRequests = 0;  ///< Requests that write.
+  double mContextTokens = 0;     ///< Tokens of all writers together.
 };
 
 /// One kind of accelerator of one service.
@@ -20,15 +20,15 @@
       : mProfile(aProfile), mKind(aKind) {}
 
   /// The most layers that fit.
-  int MostLayers() const;
+  int MaxLayers() const;
   /// Room for requests beside aLayers layers, in tokens x layers.
-  double Room(int aLayers) const;
+  double RequestCapacity(int aLayers) const;
   /// The most layers beside which so many tokens have room.
-  int LayersBeside(double aTokens) const;
+  int MaxLayersForTokens(double aTokens) const;
   /// One step of all writers through aLayers layers.
   double StepMillis(int aLayers, const StageLoad& aLoad) const;
   /// Reading a prompt through aLayers layers.
-  double ReadMillis(int aLayers, double aTokens) const;
+  double PrefillMillis(int aLayers, double aTokens) const;
   /// Loading aLayers layers while no other engine loads.
   double LoadMillis(int aLayers) const;
 
--- a/include/spindleweir/servers/explain/loss_report.h
+++ b/include/spindleweir/servers/explain/loss_report.h
@@ -33,9 +33,9 @@
 };
 
 /// From when on an answer counts as late, in milliseconds.
-struct LateLimits {
-  std::int64_t mFirst = 500;
-  std::int64_t mPause = 200;
+struct LatencyLimits {
+  std::int64_t mFirstEventMs = 500;
+  std::int64_t mPauseMs = 200;
 };
 
 /// Requests counted under one name.
@@ -47,22 +47,22 @@
 /// The counts of a log.
 struct LossSummary {
   std::int64_t mRequests = 0;
-  std::vector<LossCount> mCauses;   ///< Most frequent first.
-  std::vector<LossCount> mZones;    ///< "zone cause".
-  std::vector<LossCount> mRoutes;   ///< "route cause".
-  std::vector<LossCount> mTimes;    ///< "second cause", in order of time.
-  std::vector<LossCount> mBeliefs;  ///< Why upstreams were left alone.
+  std::vector<LossCount> mCauses;        ///< Most frequent first.
+  std::vector<LossCount> mZones;         ///< "zone cause".
+  std::vector<LossCount> mRoutes;        ///< "route cause".
+  std::vector<LossCount> mTimes;         ///< "second cause", in order of time.
+  std::vector<LossCount> mAvoidReasons;  ///< Why upstreams were left alone.
 };
 
 /// Collects lines and counts. One line of a caller's each attempt: a caller
 /// that comes back is counted again.
 class LossReport {
  public:
-  explicit LossReport(LateLimits aLimits = {}) : mLimits(aLimits) {}
+  explicit LossReport(LatencyLimits aLimits = {}) : mLimits(aLimits) {}
 
   /// Takes a line of a log; what stands before its JSON is passed over.
   /// Returns whether it is one.
-  bool Take(std::string_view aLine);
+  bool AddLine(std::string_view aLine);
   LossSummary Summary() const;
 
  private:
@@ -74,9 +74,9 @@
   };
 
   LossCause CauseOf(const Json::Value& aLine, const Seen& aSeen) const;
-  void TakeEnd(const Json::Value& aLine);
+  void CountRequest(const Json::Value& aLine);
 
-  LateLimits mLimits;
+  LatencyLimits mLimits;
   std::map<std::string, std::string> mZoneOf;  ///< By process.
   std::map<std::string, Seen> mOpen;           ///< By request.
   std::int64_t mRequests = 0;
@@ -84,7 +84,7 @@
   std::map<std::string, std::int64_t> mZones;
   std::map<std::string, std::int64_t> mRoutes;
   std::map<std::int64_t, std::map<std::string, std::int64_t>> mTimes;
-  std::map<std::string, std::int64_t> mBeliefs;
+  std::map<std::string, std::int64_t> mAvoidReasons;
 };
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/explain/request_story.h
+++ b/include/spindleweir/servers/explain/request_report.h
@@ -12,7 +12,7 @@
 namespace spindleweir {
 
 /// What became of a request.
-struct RequestStory {
+struct RequestReport {
   std::string mRequest;
   std::vector<std::string> mLines;  ///< In order, readable.
   std::string mCause;               ///< One sentence.
@@ -20,12 +20,12 @@
 };
 
 /// Collects lines and tells stories.
-class StoryTeller {
+class ReportBuilder {
  public:
   /// Takes a line of a log; what stands before its JSON is passed over.
   /// Returns whether it is one.
-  bool Take(std::string_view aLine);
-  RequestStory Tell(const std::string& aRequest) const;
+  bool AddLine(std::string_view aLine);
+  RequestReport Build(const std::string& aRequest) const;
   std::size_t Size() const { return mLines.size(); }
 
  private:
--- a/include/spindleweir/servers/placement/order_planner.h
+++ b/include/spindleweir/servers/placement/order_planner.h
@@ -23,7 +23,7 @@
 struct OrderInput {
   std::span<const StagePlacement> mPlacement;  ///< Wanted in the zone.
   std::span<const EngineReport> mEngines;      ///< Of the zone.
-  int mMaximumLoads = 4;  ///< Loads at a time: the weights store is slow.
+  int mMaxLoads = 4;  ///< Loads at a time: the weights store is slow.
 };
 
 /// The orders to give now, the greatest gain first; loads under way count
--- a/main/ctl_main.cpp
+++ b/main/ctl_main.cpp
@@ -12,7 +12,7 @@
 #include "spindleweir/core/settings.h"
 #include "spindleweir/drivers/file_tools.h"
 #include "spindleweir/servers/explain/loss_report.h"
-#include "spindleweir/servers/explain/request_story.h"
+#include "spindleweir/servers/explain/request_report.h"
 
 DEFINE_string(control, "", "operator addresses of control, with commas");
 DEFINE_string(operator_key, "", "bearer key of the operators");
@@ -226,23 +226,25 @@
 /// Tells where requests were lost, from the logs alone.
 int LossesFromLogs() {
   LossReport report(
-      {.mFirst = FLAGS_late_first_ms, .mPause = FLAGS_late_pause_ms});
-  ForEachLogLine([&report](const std::string& aLine) { report.Take(aLine); });
+      {.mFirstEventMs = FLAGS_late_first_ms, .mPauseMs = FLAGS_late_pause_ms});
+  ForEachLogLine(
+      [&report](const std::string& aLine) { report.AddLine(aLine); });
   const LossSummary summary = report.Summary();
   std::cout << summary.mRequests << " requests\n";
   PrintCounts("by cause", summary.mCauses);
   PrintCounts("by zone", summary.mZones);
   PrintCounts("by route", summary.mRoutes);
   PrintCounts("by second", summary.mTimes);
-  PrintCounts("beliefs about upstreams", summary.mBeliefs);
+  PrintCounts("beliefs about upstreams", summary.mAvoidReasons);
   return summary.mRequests > 0 ? 0 : kExitRefused;
 }
 
 /// Tells what became of a request from the logs alone.
 int ExplainFromLogs(const std::string& aRequest) {
-  StoryTeller teller;
-  ForEachLogLine([&teller](const std::string& aLine) { teller.Take(aLine); });
-  const RequestStory story = teller.Tell(aRequest);
+  ReportBuilder teller;
+  ForEachLogLine(
+      [&teller](const std::string& aLine) { teller.AddLine(aLine); });
+  const RequestReport story = teller.Build(aRequest);
   for (const std::string& line : story.mLines) {
     std::cout << line << "\n";
   }
--- a/servers/consensus/raft_node.cpp
+++ b/servers/consensus/raft_node.cpp
@@ -355,16 +355,16 @@
   }
 }
 
-bool RaftNode::Settled() const {
+bool RaftNode::HasCommitInTerm() const {
   return !mFailed && !mLeader.empty() && TermAt(mCommit) == mHardState.mTerm;
 }
 
-bool RaftNode::HearsLeader(Millis aNow) const {
+bool RaftNode::HasLeaderContact(Millis aNow) const {
   if (mRole == RaftRole::kLeader) {
     return Leads();
   }
   return !mFailed && !mLeader.empty() &&
-         aNow - mLeaderHeardAt < kHeartbeatsHeard * mOptions.mHeartbeat;
+         aNow - mLeaderHeardAt < kHeartbeatsHeard * mOptions.mHeartbeatInterval;
 }
 
 bool RaftNode::Leads() const {
@@ -399,8 +399,9 @@
     RestartElectionTimer();
     return;
   }
-  std::uniform_int_distribution<Millis> spread(aLeast * mOptions.mHeartbeat,
-                                               aMost * mOptions.mHeartbeat);
+  std::uniform_int_distribution<Millis> spread(
+      aLeast * mOptions.mHeartbeatInterval,
+      aMost * mOptions.mHeartbeatInterval);
   mElectionAt = mNow + spread(mRandom);
 }
 
--- a/servers/consensus/raft_replication.cpp
+++ b/servers/consensus/raft_replication.cpp
@@ -94,7 +94,7 @@
   }
 }
 
-void RaftNode::Undelivered(const std::string& aTo, Millis aAfter) {
+void RaftNode::OnSendFailed(const std::string& aTo, Millis aAfter) {
   if (aAfter >= kTurnedAwayWithin) {
     return;
   }
@@ -147,7 +147,7 @@
 }
 
 void RaftNode::BroadcastAppend() {
-  mHeartbeatAt = mNow + mOptions.mHeartbeat;
+  mHeartbeatAt = mNow + mOptions.mHeartbeatInterval;
   // Each broadcast is a round of its own: who answers it followed this
   // leader at a time that is known.
   mRound++;
@@ -245,8 +245,8 @@
 
 void RaftNode::MaybeSnapshot() {
   const auto applied = static_cast<std::size_t>(mApplied - mSnapshot.mIndex);
-  if (applied < mOptions.mEntriesPerSnapshot &&
-      mBytesApplied < mOptions.mBytesPerSnapshot) {
+  if (applied < mOptions.mSnapshotThresholdEntries &&
+      mBytesApplied < mOptions.mSnapshotThresholdBytes) {
     return;
   }
   mBytesApplied = 0;
--- a/servers/engines/engine_model.cpp
+++ b/servers/engines/engine_model.cpp
@@ -17,26 +17,26 @@
 
 }  // namespace
 
-int EngineModel::MostLayers() const {
+int EngineModel::MaxLayers() const {
   return mProfile.mLayerMb <= 0
              ? mProfile.mLayers
              : std::min(mProfile.mLayers,
                         static_cast<int>(mKind.mMemoryMb / mProfile.mLayerMb));
 }
 
-double EngineModel::Room(int aLayers) const {
+double EngineModel::RequestCapacity(int aLayers) const {
   const double bytes =
       (mKind.mMemoryMb - aLayers * mProfile.mLayerMb) * kBytesPerMb;
   const double each = mProfile.mTokenBytes / std::max(1, mProfile.mLayers);
   return each <= 0 ? 0 : std::max(0.0, bytes / each);
 }
 
-int EngineModel::LayersBeside(double aTokens) const {
+int EngineModel::MaxLayersForTokens(double aTokens) const {
   const double each = mProfile.mTokenBytes / std::max(1, mProfile.mLayers);
   const double layerMb = mProfile.mLayerMb + aTokens * each / kBytesPerMb;
   const double most =
       layerMb <= 0 ? mProfile.mLayers : mKind.mMemoryMb / layerMb;
-  return std::min(MostLayers(), static_cast<int>(most));
+  return std::min(MaxLayers(), static_cast<int>(most));
 }
 
 double EngineModel::Share(int aLayers) const {
@@ -45,12 +45,12 @@
 
 double EngineModel::StepMillis(int aLayers, const StageLoad& aLoad) const {
   const double whole =
-      mProfile.mStepMillis + aLoad.mWriters * mProfile.mRequestMillis +
+      mProfile.mStepMillis + aLoad.mDecodingRequests * mProfile.mRequestMillis +
       aLoad.mContextTokens / kTokensPerContext * mProfile.mContextMillis;
   return Share(aLayers) * mKind.mStepFactor * whole;
 }
 
-double EngineModel::ReadMillis(int aLayers, double aTokens) const {
+double EngineModel::PrefillMillis(int aLayers, double aTokens) const {
   const double plain =
       mProfile.mReadPerSecond <= 0
           ? 0
--- a/servers/explain/loss_report.cpp
+++ b/servers/explain/loss_report.cpp
@@ -84,7 +84,7 @@
 
 }  // namespace
 
-bool LossReport::Take(std::string_view aLine) {
+bool LossReport::AddLine(std::string_view aLine) {
   const std::optional<Json::Value> read = ReadLogLine(aLine);
   if (!read.has_value()) {
     return false;
@@ -98,13 +98,13 @@
     mOpen[request].mAttemptFailed = true;
   } else if (event == "repath") {
     mOpen[request].mMoved = true;
-    mBeliefs["moved, engine " + TextOf(line, "why")]++;
+    mAvoidReasons["moved, engine " + TextOf(line, "why")]++;
   } else if (event == "refused") {
     mOpen[request].mCode = NumberOf(line, "code");
   } else if (event == "upstream_unreachable" || event == "upstream_silent") {
-    mBeliefs[event]++;
+    mAvoidReasons[event]++;
   } else if (event == "request") {
-    TakeEnd(line);
+    CountRequest(line);
   }
   return true;
 }
@@ -127,10 +127,10 @@
   if (outcome == "caller_gone") {
     return LossCause::kCallerGone;
   }
-  if (NumberOf(aLine, "first_ms") > mLimits.mFirst) {
+  if (NumberOf(aLine, "first_ms") > mLimits.mFirstEventMs) {
     return LossCause::kFirstLate;
   }
-  if (NumberOf(aLine, "longest_pause_ms") <= mLimits.mPause) {
+  if (NumberOf(aLine, "longest_pause_ms") <= mLimits.mPauseMs) {
     return LossCause::kNone;
   }
   if (aSeen.mAttemptFailed) {
@@ -139,7 +139,7 @@
   return aSeen.mMoved ? LossCause::kMoved : LossCause::kSlow;
 }
 
-void LossReport::TakeEnd(const Json::Value& aLine) {
+void LossReport::CountRequest(const Json::Value& aLine) {
   const std::string request = TextOf(aLine, "request");
   const std::string cause = NameOf(CauseOf(aLine, mOpen[request]));
   mOpen.erase(request);
@@ -159,7 +159,7 @@
   summary.mCauses = MostFirst(mCauses);
   summary.mZones = MostFirst(mZones);
   summary.mRoutes = MostFirst(mRoutes);
-  summary.mBeliefs = MostFirst(mBeliefs);
+  summary.mAvoidReasons = MostFirst(mAvoidReasons);
   const std::int64_t first = mTimes.empty() ? 0 : mTimes.begin()->first;
   for (const auto& [second, causes] : mTimes) {
     for (const auto& [cause, count] : causes) {
--- a/servers/explain/request_story.cpp
+++ b/servers/explain/request_report.cpp
@@ -1,4 +1,4 @@
-#include "spindleweir/servers/explain/request_story.h"
+#include "spindleweir/servers/explain/request_report.h"
 
 #include <algorithm>
 #include <set>
@@ -62,7 +62,7 @@
 
 }  // namespace
 
-bool StoryTeller::Take(std::string_view aLine) {
+bool ReportBuilder::AddLine(std::string_view aLine) {
   std::optional<Json::Value> line = ReadLogLine(aLine);
   if (!line.has_value()) {
     return false;
@@ -71,8 +71,8 @@
   return true;
 }
 
-RequestStory StoryTeller::Tell(const std::string& aRequest) const {
-  RequestStory story{.mRequest = aRequest};
+RequestReport ReportBuilder::Build(const std::string& aRequest) const {
+  RequestReport story{.mRequest = aRequest};
   std::vector<const Json::Value*> own;
   std::set<std::string> instances;
   std::string process;
--- a/servers/limits/warm_up_admission.cpp
+++ b/servers/limits/warm_up_admission.cpp
@@ -31,7 +31,7 @@
       continue;
     }
     const double millisPerToken =
-        EngineModel(aProfile, *kind).ReadMillis(layers, 1);
+        EngineModel(aProfile, *kind).PrefillMillis(layers, 1);
     const int to = std::min(engine->mLayers.mTo, aProfile.mLayers);
     for (int i = std::max(0, engine->mLayers.mFrom);
          millisPerToken > 0 && i < to; i++) {
--- a/servers/placement/layer_groups.cpp
+++ b/servers/placement/layer_groups.cpp
@@ -45,9 +45,10 @@
       continue;
     }
     const EngineModel model(aProfile, *card.mKind);
-    kinds.push_back({.mCards = {card},
-                     .mLayersAlone = model.LayersBeside(aTokens),
-                     .mLayersShared = model.LayersBeside(aTokens / kSharing)});
+    kinds.push_back(
+        {.mCards = {card},
+         .mLayersAlone = model.MaxLayersForTokens(aTokens),
+         .mLayersShared = model.MaxLayersForTokens(aTokens / kSharing)});
   }
   return kinds;
 }
--- a/servers/placement/layer_planner.cpp
+++ b/servers/placement/layer_planner.cpp
@@ -139,7 +139,7 @@
     if (kind == nullptr || record->mState != UpstreamState::kReady) {
       continue;
     }
-    const Card card{record, kind, EngineModel(aProfile, *kind).MostLayers()};
+    const Card card{record, kind, EngineModel(aProfile, *kind).MaxLayers()};
     if (card.mMost <= 0) {
       continue;
     }
--- a/servers/placement/order_planner.cpp
+++ b/servers/placement/order_planner.cpp
@@ -66,7 +66,7 @@
   }
   // One at a time to the stage that holds back the whole, as it will be with
   // the loads already chosen.
-  while (!loads.empty() && loading < aInput.mMaximumLoads) {
+  while (!loads.empty() && loading < aInput.mMaxLoads) {
     const auto it = std::min_element(
         loads.begin(), loads.end(),
         [&speeds](const EngineOrder& aLeft, const EngineOrder& aRight) {
--- a/servers/placement/zone_repair.cpp
+++ b/servers/placement/zone_repair.cpp
@@ -60,9 +60,9 @@
     return {.mLeast = n, .mMost = n};
   }
   const EngineModel model(aProfile, *aCard.mKind);
-  const int least = std::max(1, model.LayersBeside(tokens));
+  const int least = std::max(1, model.MaxLayersForTokens(tokens));
   return {.mLeast = least,
-          .mMost = std::max(least, model.LayersBeside(tokens / 2))};
+          .mMost = std::max(least, model.MaxLayersForTokens(tokens / 2))};
 }
 
 /// The best layers for a card beside those that hold layers.
--- a/servers/placement/zone_value.cpp
+++ b/servers/placement/zone_value.cpp
@@ -12,7 +12,8 @@
 /// Tokens for which an engine has room at each of its layers.
 double RoomOf(const EngineProfile& aProfile, const HolderClass& aClass) {
   const int n = aClass.mLayers.Count();
-  return n <= 0 ? 0 : EngineModel(aProfile, *aClass.mKind).Room(n) / n;
+  return n <= 0 ? 0
+                : EngineModel(aProfile, *aClass.mKind).RequestCapacity(n) / n;
 }
 
 }  // namespace
--- a/servers/routing/layer_path.cpp
+++ b/servers/routing/layer_path.cpp
@@ -31,7 +31,8 @@
 /// Tokens times layers that may be reserved at an engine.
 double RoomOf(const PathQuery& aQuery, const UpstreamRecord& aEngine,
               const AcceleratorKind& aKind) {
-  return EngineModel(*aQuery.mProfile, aKind).Room(aEngine.mLayers.Count()) *
+  return EngineModel(*aQuery.mProfile, aKind)
+             .RequestCapacity(aEngine.mLayers.Count()) *
          aQuery.mMaxFill;
 }
 
@@ -215,16 +216,16 @@
     }
     const double requestsPerPass =
         1 + aCandidate.mLoad.mRequests * kSharedPassShare;
-    const StageLoad load{.mWriters = requestsPerPass,
+    const StageLoad load{.mDecodingRequests = requestsPerPass,
                          .mContextTokens = requestsPerPass * mQuery.mTokens};
     const double step =
         aCandidate.mModel.StepMillis(aLayers, load) * kPassWaitFactor;
     const double prefill =
-        aCandidate.mModel.ReadMillis(aLayers, mQuery.mPrefillTokens);
+        aCandidate.mModel.PrefillMillis(aLayers, mQuery.mPrefillTokens);
     const double room = std::max(1.0, aCandidate.mRoom);
     const double fill = std::min(1.0, (used + needed) / room);
     const double scarcity = needed / room * fill * fill * kMemoryScarcityCost;
-    const double queue = aCandidate.mModel.ReadMillis(1, 1) *
+    const double queue = aCandidate.mModel.PrefillMillis(1, 1) *
                          aCandidate.mLoad.mPrefillTokenLayers;
     // A slow engine is not excluded: it is still better than none if the others
     // are full, and the scarcity cost of the others is bounded.
--- a/servers/routing/path_shares.cpp
+++ b/servers/routing/path_shares.cpp
@@ -59,7 +59,7 @@
       mCapacities[engine->mInstance] = {
           .mRequestsPerMilli =
               kMaxBusyShare / Work(*engine, layers).mBusyMillis,
-          .mTokenLayers = model.Room(layers) * kMaxFill,
+          .mTokenLayers = model.RequestCapacity(layers) * kMaxFill,
           .mFirstStageRequests = static_cast<double>(engine->mSlots)};
       mEngines[engine->mInstance] = engine;
     }
@@ -99,9 +99,10 @@
     const double context = mPromptTokens + mAnswerTokens / 2;
     const double baseMillis = model.StepMillis(aLayers, {});
     const double perWriterMillis =
-        model.StepMillis(aLayers, {.mWriters = 1, .mContextTokens = context}) -
+        model.StepMillis(aLayers,
+                         {.mDecodingRequests = 1, .mContextTokens = context}) -
         baseMillis;
-    const double prefill = model.ReadMillis(aLayers, mPromptTokens);
+    const double prefill = model.PrefillMillis(aLayers, mPromptTokens);
     const double slowdown = mSlowdowns.at(aEngine.mInstance);
     return {.mPrefillMillis = prefill * slowdown,
             .mStepMillis = baseMillis * kMaxPassGrowth * slowdown,
--- a/servers/routing/path_timing.cpp
+++ b/servers/routing/path_timing.cpp
@@ -59,10 +59,10 @@
     const int layers = stage.mLayers.Count();
     const double requestsPerPass = 1 + load.mRequests * kSharedPassShare;
     const double step = model.StepMillis(
-        layers, {.mWriters = requestsPerPass,
+        layers, {.mDecodingRequests = requestsPerPass,
                  .mContextTokens = requestsPerPass * aQuery.mTokens});
-    const double prefill = model.ReadMillis(layers, aQuery.mPrefillTokens) +
-                           model.ReadMillis(1, 1) * load.mPrefillTokenLayers;
+    const double prefill = model.PrefillMillis(layers, aQuery.mPrefillTokens) +
+                           model.PrefillMillis(1, 1) * load.mPrefillTokenLayers;
     const bool crossesZones = zone != nullptr && *zone != (*it)->mZone;
     zone = &(*it)->mZone;
     timing.mTokenMillis += step * kPassWaitFactor * load.mSlowdown +
--- a/tests/fuzz/raft_fuzz.cpp
+++ b/tests/fuzz/raft_fuzz.cpp
@@ -72,7 +72,7 @@
     options.mId = aId;
     options.mVoters = mIds;
     options.mSeed = ++mSeed;
-    options.mEntriesPerSnapshot = 8;
+    options.mSnapshotThresholdEntries = 8;
     options.mStorage = mStorages[aId].get();
     options.mSend = [this](const RaftMessage& aMessage) {
       mNetwork.push_back(aMessage);
@@ -133,7 +133,7 @@
               mNetwork.begin() + aDice / 16 % static_cast<int>(mNetwork.size());
           // Its sender may learn of it, also where a double still arrives.
           if (mProposals % 2 == 0) {
-            mNodes[it->mFrom]->Undelivered(it->mTo, 0);
+            mNodes[it->mFrom]->OnSendFailed(it->mTo, 0);
           }
           mNetwork.erase(it);
         }
--- a/tests/servers/choice_test.cpp
+++ b/tests/servers/choice_test.cpp
@@ -131,7 +131,8 @@
     for (const UpstreamRecord* engine : engines) {
       const EngineModel model(fleet.mProfile,
                               *fleet.mProfile.FindKind(engine->mKind));
-      CHECK(reserved[engine->mInstance] <= model.Room(engine->mLayers.Count()));
+      CHECK(reserved[engine->mInstance] <=
+            model.RequestCapacity(engine->mLayers.Count()));
     }
   }
   SECTION(
--- a/tests/servers/explain_test.cpp
+++ b/tests/servers/explain_test.cpp
@@ -1,6 +1,6 @@
 /// The lines are those of real runs; docs/OPERATIONS.md follows the same steps.
 #include "spindleweir/servers/explain/loss_report.h"
-#include "spindleweir/servers/explain/request_story.h"
+#include "spindleweir/servers/explain/request_report.h"
 #include "tests/test_tools.h"
 
 using namespace spindleweir;
@@ -24,12 +24,12 @@
     R"({"event":"request","events":193,"first_ms":65,"instance":"i-cd4f130149","level":"info","longest_pause_ms":1102,"outcome":"served","path":[],"process":"front-hall-a-2","request":"2b8ed79a1c54f354","route":"r-2r62rdt","sent":2,"service":"dezi1a","status":200,"took_ms":8953,"version":19,"wall_ms":1792773193021,"workspace":"zipu567"})"};
 
 template <std::size_t N>
-RequestStory Tell(const char* const (&aLines)[N], const char* aRequest) {
-  StoryTeller teller;
+RequestReport Tell(const char* const (&aLines)[N], const char* aRequest) {
+  ReportBuilder teller;
   for (const char* line : aLines) {
-    CHECK(teller.Take(line));
+    CHECK(teller.AddLine(line));
   }
-  return teller.Tell(aRequest);
+  return teller.Build(aRequest);
 }
 
 bool Says(const std::string& aText, const char* aPart) {
@@ -39,32 +39,32 @@
 }  // namespace
 
 Test(explain, a_refused_request) {
-  const RequestStory story = Tell(kRefused, "b88980f7ac21a7db");
+  const RequestReport story = Tell(kRefused, "b88980f7ac21a7db");
   CHECK(Says(story.mCause, "2008 LeaseExpired"));
   CHECK(Says(story.mCause, "version 9 for 4142 ms"));
   CHECK(Says(story.mLines.front(), "configuration_in_force"));
 }
 
 Test(explain, a_stream_that_was_cut) {
-  const RequestStory story = Tell(kCut, "53684fb34ba286a7");
+  const RequestReport story = Tell(kCut, "53684fb34ba286a7");
   CHECK(Says(story.mCause, "broken off after 4 events"));
   CHECK(Says(story.mCause, "3001 OutcomeUnknown"));
   CHECK(Says(story.mLines.front(), "2009"));
 }
 
 Test(explain, an_answer_that_came_late) {
-  const RequestStory story = Tell(kLate, "2b8ed79a1c54f354");
+  const RequestReport story = Tell(kLate, "2b8ed79a1c54f354");
   CHECK(Says(story.mCause, "served late"));
   CHECK(Says(story.mCause, "longest pause 1102 ms"));
   CHECK(Says(story.mCause, "i-d89d52b3ae failed"));
 }
 
 Test(explain, lines_that_are_none_are_passed_over) {
-  StoryTeller teller;
-  CHECK(!teller.Take("no line"));
-  CHECK(!teller.Take("{\"event\":"));
-  CHECK(!teller.Take("[1]"));
-  CHECK(!teller.Tell("x").mFound);
+  ReportBuilder teller;
+  CHECK(!teller.AddLine("no line"));
+  CHECK(!teller.AddLine("{\"event\":"));
+  CHECK(!teller.AddLine("[1]"));
+  CHECK(!teller.Build("x").mFound);
 }
 
 namespace {
@@ -83,19 +83,19 @@
 
 Test(explain, losses_are_counted_by_their_cause) {
   LossReport report;
-  report.Take(
+  report.AddLine(
       R"({"event":"started","process":"front-hall-c-1","zone":"hall-c"})");
   for (const char* line : kRefused) {
-    CHECK(report.Take(line));
+    CHECK(report.AddLine(line));
   }
   for (const char* line : kCut) {
-    CHECK(report.Take(line));
+    CHECK(report.AddLine(line));
   }
   for (const char* line : kLate) {
-    CHECK(report.Take(line));
+    CHECK(report.AddLine(line));
   }
-  CHECK(!report.Take("no line of a log"));
-  CHECK(!report.Take("{half a line"));
+  CHECK(!report.AddLine("no line of a log"));
+  CHECK(!report.AddLine("{half a line"));
   const LossSummary summary = report.Summary();
   CHECK(summary.mRequests == 3);
   CHECK(CountOf(summary.mCauses, "no lease") == 1);
@@ -103,11 +103,11 @@
   CHECK(CountOf(summary.mCauses, "late: cut and resumed") == 1);
   CHECK(CountOf(summary.mZones, "hall-c no lease") == 1);
   CHECK(CountOf(summary.mRoutes, "r-imhjta8 no lease") == 1);
-  CHECK(CountOf(summary.mBeliefs, "upstream_unreachable") == 1);
+  CHECK(CountOf(summary.mAvoidReasons, "upstream_unreachable") == 1);
   SECTION("what counts as late is the operators' choice") {
-    LossReport patient({.mFirst = 500, .mPause = 2000});
+    LossReport patient({.mFirstEventMs = 500, .mPauseMs = 2000});
     for (const char* line : kLate) {
-      patient.Take(line);
+      patient.AddLine(line);
     }
     CHECK(CountOf(patient.Summary().mCauses, "served in time") == 1);
   }
--- a/tests/servers/large_zone_test.cpp
+++ b/tests/servers/large_zone_test.cpp
@@ -62,7 +62,7 @@
       for (int i = record.mLayers.mFrom; i < record.mLayers.mTo; i++) {
         const AcceleratorKind* kind = mProfile.FindKind(record.mKind);
         room[static_cast<std::size_t>(i)] +=
-            EngineModel(mProfile, *kind).Room(n) / n;
+            EngineModel(mProfile, *kind).RequestCapacity(n) / n;
       }
     }
     return *std::min_element(room.begin(), room.end());
--- a/tests/servers/layers_test.cpp
+++ b/tests/servers/layers_test.cpp
@@ -133,8 +133,8 @@
   for (const UpstreamRecord& record : engines.mRecords) {
     const EngineModel model(profile, *profile.FindKind(record.mKind));
     CHECK(record.mLayers.Count() > 0);
-    CHECK(record.mLayers.Count() <= model.MostLayers());
-    CHECK(model.Room(record.mLayers.Count()) > 0);
+    CHECK(record.mLayers.Count() <= model.MaxLayers());
+    CHECK(model.RequestCapacity(record.mLayers.Count()) > 0);
   }
   SECTION("what is placed stays where it is") {
     CHECK(engines.Place(profile) == 0);
@@ -228,7 +228,7 @@
       const EngineModel model(aProfile, *aProfile.FindKind(record.mKind));
       const LayerRange& layers = record.mLayers;
       if (layers.mFrom <= layer && layer < layers.mTo) {
-        room += model.Room(layers.Count()) / layers.Count();
+        room += model.RequestCapacity(layers.Count()) / layers.Count();
       }
     }
     least = std::min(least, room);
@@ -399,9 +399,9 @@
 Test(layers, the_model_follows_the_pages) {
   const EngineProfile profile = Profile();
   const EngineModel fast(profile, *profile.FindKind("fast"));
-  CHECK(fast.MostLayers() == 41);
+  CHECK(fast.MaxLayers() == 41);
   // 72,000 MB less 40 layers, at 11,475 bytes a token and layer.
-  CHECK(std::abs(fast.Room(40) - 2000e6 / 11475) < 1);
+  CHECK(std::abs(fast.RequestCapacity(40) - 2000e6 / 11475) < 1);
   CHECK(std::abs(fast.StepMillis(40, {}) - 0.5 * 2.4 * 1.02) < 1e-9);
   CHECK(std::abs(fast.LoadMillis(40) - 7000) < 1e-9);
 }
--- a/tests/servers/placement_test.cpp
+++ b/tests/servers/placement_test.cpp
@@ -234,16 +234,16 @@
                                               {"b", "z", "m", "1", 0, 6},
                                               {"c", "z", "m", "1", 6, 12}};
   SECTION("the stage without any engine first") {
-    const auto orders = PlanOrders(
-        {.mPlacement = wanted, .mEngines = engines, .mMaximumLoads = 1});
+    const auto orders =
+        PlanOrders({.mPlacement = wanted, .mEngines = engines, .mMaxLoads = 1});
     REQUIRE(orders.size() == 1);
     CHECK(orders[0].mStage.mEngine == "c");
   }
   SECTION("loads under way count against the maximum") {
     engines[2].mLoading = true;
-    CHECK(PlanOrders(
-              {.mPlacement = wanted, .mEngines = engines, .mMaximumLoads = 1})
-              .empty());
+    CHECK(
+        PlanOrders({.mPlacement = wanted, .mEngines = engines, .mMaxLoads = 1})
+            .empty());
   }
   SECTION("what is not wanted is dropped") {
     const auto orders = PlanOrders({.mPlacement = {}, .mEngines = engines});
--- a/tests/servers/starts_test.cpp
+++ b/tests/servers/starts_test.cpp
@@ -83,7 +83,7 @@
   /// Of those that run.
   bool AllSettled() const {
     return std::all_of(mNodes.begin(), mNodes.end(), [](const auto& aNode) {
-      return aNode == nullptr || aNode->Settled();
+      return aNode == nullptr || aNode->HasCommitInTerm();
     });
   }
 
@@ -115,7 +115,7 @@
       }
       for (const auto& node : mNodes) {
         if (node != nullptr) {
-          node->Undelivered(item.mMessage.mTo, kDelay);
+          node->OnSendFailed(item.mMessage.mTo, kDelay);
         }
       }
     }
@@ -127,7 +127,7 @@
     options.mId = mIds[aIndex];
     options.mVoters = mIds;
     options.mElectionTimeout = 350;
-    options.mHeartbeat = 70;
+    options.mHeartbeatInterval = 70;
     options.mSeed = mSeed * mIds.size() + aIndex;
     options.mStorage = mStorages.back().get();
     options.mSend = [this](const RaftMessage& aMessage) {
@@ -189,7 +189,7 @@
       mSent.erase(mSent.begin());
       if (message.mTo == "far") {
         mWithEntries += message.mEntries.empty() ? 0 : 1;
-        mNode->Undelivered("far", mFailAfter);
+        mNode->OnSendFailed("far", mFailAfter);
         continue;
       }
       RaftMessage reply;
