--- a/include/spindleweir/servers/consensus/raft_messages.h
+++ b/include/spindleweir/servers/consensus/raft_messages.h
@@ -1,4 +1,4 @@
-/// What the replicated log consists of and what its voters say to each other.
+/// Entries, persistent state and messages of the replicated log.
 #pragma once
 
 #include <cstdint>
@@ -11,8 +11,8 @@
 struct LogEntry {
   std::int64_t mIndex = 0;  ///< From 1.
   std::int64_t mTerm = 0;
-  std::string mPayload;              ///< A command; empty for a leader's first.
-  std::vector<std::string> mVoters;  ///< New voters; empty: no change.
+  std::string mPayload;  ///< A command; empty in a new leader's first entry.
+  std::vector<std::string> mVoters;  ///< The new voters; empty: unchanged.
 
   bool operator==(const LogEntry&) const = default;
   template <class Codec>
@@ -24,10 +24,10 @@
   }
 };
 
-/// What a voter must never forget.
+/// Term and vote of a voter, saved to disk before they are sent to others.
 struct HardState {
   std::int64_t mTerm = 0;
-  std::string mVotedFor;  ///< Empty: none in this term.
+  std::string mVotedFor;  ///< Empty: no vote cast in this term.
 
   template <class Codec>
   void Fields(Codec& aCodec) {
@@ -36,12 +36,13 @@
   }
 };
 
-/// The state up to an index, in place of the entries before.
+/// The applied state up to and including mIndex. Replaces the log entries up to
+/// there.
 struct Snapshot {
   std::int64_t mIndex = 0;
-  std::int64_t mTerm = 0;
-  std::vector<std::string> mVoters;
-  std::string mData;
+  std::int64_t mTerm = 0;            ///< Term of the entry at mIndex.
+  std::vector<std::string> mVoters;  ///< Voters as of mIndex.
+  std::string mData;  ///< State as RaftOptions::mMakeSnapshot returns it.
 
   template <class Codec>
   void Fields(Codec& aCodec) {
@@ -63,17 +64,20 @@
   kSnapshot,
 };
 
-/// One message between voters; which fields count depends on the kind.
+/// One message between voters; the kind decides which fields are used.
 struct RaftMessage {
   RaftKind mKind = RaftKind::kAppend;
   std::string mFrom;
   std::string mTo;
   std::int64_t mTerm = 0;
-  std::int64_t mIndex = 0;    ///< Index before the entries; last of a log.
+  /// kAppend: index of the entry before mEntries. Vote requests: the sender's
+  /// last index. Append replies: the last index that matches the leader's log,
+  /// or, if refused, the index after which the leader should continue.
+  std::int64_t mIndex = 0;
   std::int64_t mLogTerm = 0;  ///< Term of the entry at mIndex.
   std::int64_t mCommit = 0;
-  std::int64_t mRound = 0;  ///< Number of the leader's round, echoed.
-  bool mGranted = false;    ///< The answer of a reply.
+  std::int64_t mRound = 0;  ///< The leader's broadcast round; replies echo it.
+  bool mGranted = false;    ///< In replies: whether the request is granted.
   std::vector<LogEntry> mEntries;
   Snapshot mSnapshot;
 
@@ -97,7 +101,7 @@
   }
 };
 
-/// The name of a kind, for logs.
+/// The name of a kind as it stands in logs.
 const char* NameOf(RaftKind aKind);
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/consensus/raft_node.h
+++ b/include/spindleweir/servers/consensus/raft_node.h
@@ -1,5 +1,7 @@
 /// One voter of the replicated log (Raft: Ongaro and Ousterhout 2014, with
-/// pre-vote and leadership checks). No sockets, files or clocks of its own.
+/// pre-vote, and a leader that steps down without answers from a majority).
+/// Uses no sockets, files or clocks directly: the caller passes in the time
+/// and the messages.
 #pragma once
 
 #include <deque>
@@ -19,67 +21,76 @@
 
 enum class RaftRole { kFollower, kPreCandidate, kCandidate, kLeader };
 
-/// How a voter is set up.
+/// Settings and hooks of a voter.
 struct RaftOptions {
   std::string mId;
-  /// The first voters, for an empty storage; it remembers them from then on.
+  /// The initial voters, used if the storage holds none; saved from then on.
   std::vector<std::string> mVoters;
-  Millis mElectionTimeout = 500;  ///< The least; the most is twice as long.
+  Millis mElectionTimeout = 500;  ///< Minimum; the maximum is twice this.
   Millis mHeartbeatInterval = 100;
-  std::size_t mEntriesPerMessage = 64;
-  /// Payload bytes in one message; one entry goes in any case.
-  std::size_t mBytesPerMessage = 256 * 1024;
-  /// Entries that were not answered are sent again after this time.
-  Millis mResend = 400;
+  std::size_t mMaxEntriesPerMessage = 64;
+  /// Maximum payload bytes in a message that holds more than one entry.
+  std::size_t mMaxBytesPerMessage = 256 * 1024;
+  /// Unacknowledged entries are sent again after this time.
+  Millis mResendTimeout = 400;
+  /// A snapshot is made after this many applied entries, or after this many
+  /// payload bytes, whichever comes first.
   std::size_t mSnapshotThresholdEntries = 512;
-  /// Payload bytes after which a snapshot is made in any case.
   std::size_t mSnapshotThresholdBytes = 16 * 1024 * 1024;
   std::uint64_t mSeed = 1;
   RaftStorage* mStorage = nullptr;
   std::function<void(const RaftMessage&)> mSend;
+  /// Called with each committed command, in order.
   std::function<void(const LogEntry&)> mApply;
+  /// Returns the applied state.
   std::function<std::string()> mMakeSnapshot;
+  /// Replaces the applied state by that of a snapshot.
   std::function<void(const std::string&)> mInstallSnapshot;
 };
 
-/// One voter. Call Tick often; give it each message; it calls the hooks.
-/// After a storage failure it is Failed() and does nothing more.
+/// One voter. The caller calls Tick() regularly and Receive() for each message;
+/// the voter calls the hooks in RaftOptions. After a storage failure Failed()
+/// is true and the voter ignores ticks and messages.
 class RaftNode {
  public:
   RaftNode(RaftOptions aOptions, Millis aNow);
 
   void Tick(Millis aNow);
   void Receive(const RaftMessage& aMessage, Millis aNow);
-  /// The call with a message to another voter failed so long after it began.
-  /// One that was turned away at once did not arrive: what it held goes again
-  /// with the next heartbeat.
+  /// A call that carried a message to aTo failed aAfter milliseconds after it
+  /// began. If it failed within a short time, the connection was refused and
+  /// the message did not arrive: its entries are sent again with the next
+  /// heartbeat.
   void OnSendFailed(const std::string& aTo, Millis aAfter);
 
-  /// Adds a command to the log. Returns its index, or 0 where this voter does
-  /// not lead. Acceptance is known when mApply is called for that index with
-  /// the same term.
+  /// Appends a command to the log. Returns its index, or 0 if this voter is not
+  /// the leader. The command is committed when mApply is called for that index
+  /// with the same term.
   std::int64_t Propose(const std::string& aPayload);
-  /// Replaces the voters; the lists may differ by one voter. Returns the
-  /// index, or 0 where this voter does not lead or a change is under way.
+  /// Replaces the voters. The lists must differ by exactly one voter. Returns
+  /// the index of the entry, or 0 if they don't, if this voter is not the
+  /// leader or if another change is not committed yet.
   std::int64_t ProposeVoters(const std::vector<std::string>& aVoters);
-  /// Calls aDone(true) once a majority has confirmed that this voter still
-  /// leads and all that was committed before is applied; else aDone(false).
+  /// Calls aDone(true) once a majority has confirmed that this voter is still
+  /// the leader and all entries committed before this call are applied, or
+  /// aDone(false) if this voter is not the leader or ceases to be.
   void ConfirmRead(std::function<void(bool)> aDone);
 
-  /// On a leader: a time at which a majority still followed it, so that
-  /// nothing was committed elsewhere before; -1: not known.
+  /// On a leader: the latest time at which a majority is known to have followed
+  /// it, so that no other leader had committed anything by then. -1: unknown.
   Millis ConfirmedAt() const;
 
   RaftRole Role() const { return mRole; }
   bool Failed() const { return mFailed; }
-  /// Whether this voter leads and may promise: its own term has a commit.
+  /// Whether this voter is the leader and an entry of its term is committed, so
+  /// that it may answer reads and accept changes.
   bool Leads() const;
-  /// Whether an entry of the newest term is committed, as far as is known here:
-  /// then its leader may promise.
+  /// Whether this voter knows a leader and a committed entry of the current
+  /// term, so that this leader may answer reads and accept changes.
   bool HasCommitInTerm() const;
   const std::string& Leader() const { return mLeader; }
-  /// Whether the leader was heard within the time in which it speaks at least
-  /// twice; of a leader itself, whether it may promise.
+  /// On a follower: whether the last contact with the leader is less than two
+  /// heartbeat intervals ago. On a leader: the same as Leads().
   bool HasLeaderContact(Millis aNow) const;
   std::int64_t Term() const { return mHardState.mTerm; }
   std::int64_t CommitIndex() const { return mCommit; }
@@ -88,26 +99,30 @@
   const std::vector<std::string>& Voters() const { return mVoters; }
 
  private:
+  /// What the leader knows of another voter.
   struct Progress {
-    std::int64_t mNext = 1;
-    std::int64_t mMatch = 0;
-    std::int64_t mRound = 0;
-    Millis mHeardAt = 0;
-    std::int64_t mSentLast = 0;  ///< Last entry under way; 0: none.
+    std::int64_t mNext = 1;   ///< The next entry to send.
+    std::int64_t mMatch = 0;  ///< The last entry known to be stored there.
+    std::int64_t mRound = 0;  ///< The last round that it answered.
+    Millis mLastSeenAt = 0;
+    std::int64_t mLastInFlight = 0;  ///< Last entry in flight; 0: none.
     Millis mSentAt = 0;
   };
-  /// When a round was sent.
+  /// The time at which the leader began a broadcast round.
   struct RoundTime {
     std::int64_t mRound;
     Millis mAt;
   };
+  /// A read that waits for its round to be answered and its index applied.
   struct PendingRead {
     std::int64_t mRound;
     std::int64_t mIndex;
     std::function<void(bool)> mDone;
   };
 
-  void Guard(const std::function<void()>& aStep);
+  /// Runs aStep unless the storage has failed; if it fails now, steps down for
+  /// good.
+  void RunUnlessFailed(const std::function<void()>& aStep);
   void Step(const RaftMessage& aMessage);
   void HandlePreVote(const RaftMessage& aMessage);
   void HandleVote(const RaftMessage& aMessage);
@@ -130,15 +145,16 @@
   void Send(RaftMessage aMessage);
   void AdvanceCommit();
   void ApplyCommitted();
-  void MaybeSnapshot();
+  void SnapshotIfDue();
   void FinishReads();
   void FailReads();
-  void AppendOwn(LogEntry aEntry);
+  void AppendToLog(LogEntry aEntry);
   void RestartElectionTimer();
-  /// Until a leader was heard: after some heartbeats by chance, so that voters
-  /// which start together soon have one. Agreement needs no least time: terms
-  /// and votes are stored before they are told.
-  void RestartElectionTimer(Millis aLeast, Millis aMost);
+  /// Until a first contact with a leader: sets the timer to a random number of
+  /// heartbeat intervals in this range, so that voters which start together
+  /// elect a leader soon. Safety doesn't depend on a minimum timeout, since
+  /// terms and votes are stored before they are sent.
+  void RestartElectionTimer(Millis aMinHeartbeats, Millis aMaxHeartbeats);
 
   bool IsVoter(const std::string& aId) const;
   bool IsMajority(std::size_t aCount) const;
@@ -157,18 +173,18 @@
   std::int64_t mCommit = 0;
   std::int64_t mApplied = 0;
   std::int64_t mRound = 0;
-  std::deque<RoundTime> mRoundTimes;  ///< Of this leadership, oldest first.
-  std::size_t mBytesApplied = 0;      ///< Payloads since the snapshot.
+  std::deque<RoundTime> mRoundTimes;  ///< Of this term as leader, oldest first.
+  std::size_t mBytesSinceSnapshot = 0;  ///< Payload bytes applied.
   std::set<std::string> mVotes;
   std::map<std::string, Progress> mProgress;
-  std::vector<PendingRead> mReads;
+  std::vector<PendingRead> mPendingReads;
   std::mt19937_64 mRandom;
   Millis mNow;
   Millis mElectionAt = 0;
   Millis mHeartbeatAt = 0;
-  Millis mLeaderHeardAt = 0;
-  bool mHeardLeader = false;  ///< Ever, since the start.
-  int mElections = 0;         ///< Begun or voted in, since the start.
+  Millis mLeaderLastSeenAt = 0;
+  bool mHasSeenLeader = false;  ///< Since the process started.
+  int mElectionsSeen = 0;       ///< Candidacies and votes granted.
   bool mFailed = false;
 };
 
--- a/include/spindleweir/servers/consensus/raft_storage.h
+++ b/include/spindleweir/servers/consensus/raft_storage.h
@@ -1,4 +1,4 @@
-/// Where a voter keeps what it must not forget.
+/// Persistent storage of a voter.
 #pragma once
 
 #include <span>
@@ -8,25 +8,27 @@
 
 namespace spindleweir {
 
-/// Everything a voter finds at its start.
+/// The persistent state that a voter loads when it starts.
 struct DurableState {
   HardState mHardState;
-  Snapshot mSnapshot;              ///< mIndex 0: none.
-  std::vector<LogEntry> mEntries;  ///< Those after the snapshot.
+  Snapshot mSnapshot;              ///< mIndex 0: no snapshot.
+  std::vector<LogEntry> mEntries;  ///< Entries after the snapshot.
 };
 
-/// Every call returns only when what it was given lasts, or throws
-/// kStorageFailed, after which the voter promises nothing more.
+/// Each call returns once its data is durable. Throws kStorageFailed if that
+/// can't be guaranteed; the voter then stops taking part.
 class RaftStorage {
  public:
   virtual ~RaftStorage() = default;
   virtual DurableState Load() = 0;
   virtual void SaveHardState(const HardState& aState) = 0;
-  /// Adds entries; those at and after the first one's index are replaced.
+  /// Appends entries. Replaces stored entries from the index of the first of
+  /// aEntries on.
   virtual void Append(std::span<const LogEntry> aEntries) = 0;
-  /// Puts a snapshot in place of all entries but aRest.
+  /// Saves a snapshot and the hard state; of the log entries only aRemaining
+  /// are retained.
   virtual void SaveSnapshot(const Snapshot& aSnapshot,
-                            std::span<const LogEntry> aRest,
+                            std::span<const LogEntry> aRemaining,
                             const HardState& aState) = 0;
 };
 
--- a/servers/consensus/raft_node.cpp
+++ b/servers/consensus/raft_node.cpp
@@ -8,22 +8,25 @@
 
 namespace {
 
-/// A leader that was not heard for so many of its heartbeats may be gone.
-constexpr Millis kHeartbeatsHeard = 2;
-/// Until a leader was heard, a pre-vote that nobody granted is asked for again
-/// after one to this many heartbeats: the others may not have been listening,
-/// and a pre-vote disturbs no one. After the usual time a start of three voters
-/// within 0.25 s of each other took up to 0.7 s to its leader.
-constexpr Millis kHeartbeatsToPreVote = 3;
-/// And an election that nobody won after two to this many: three of five voters
-/// that come back together need all three votes, which two candidates at a time
-/// deny each other (0.53 s to a leader in a day with two lost disks).
-constexpr Millis kHeartbeatsToElection = 4;
-/// After so many elections without a leader the usual time counts all the same:
-/// where a vote (its sync and the call) takes 0.4 s, as on slow disks after a
-/// stop of all voters, each candidacy of 2 to 4 heartbeats of 70 ms ends before
-/// its votes come (plays of three voters: some had no leader within 5 s).
-constexpr int kSoonElections = 3;
+/// A leader without contact for this many heartbeat intervals may have failed.
+constexpr Millis kLeaderContactHeartbeats = 2;
+/// Until a first contact with a leader, an unsuccessful pre-vote is repeated
+/// after one to this many heartbeat intervals: the other voters may not have
+/// been listening yet, and a pre-vote doesn't disturb a running leader. With
+/// the regular election timeout, three voters that start within 0.25 s of each
+/// other took up to 0.7 s to elect a leader.
+constexpr Millis kMaxPreVoteHeartbeats = 3;
+/// Until a first contact with a leader, an election without a winner is
+/// repeated after two to this many heartbeat intervals. Three of five voters
+/// that restart together need all three votes, and two simultaneous candidates
+/// deny them to each other; with two lost disks, electing a leader took 0.53 s.
+constexpr Millis kMaxElectionHeartbeats = 4;
+/// After this many elections without a leader the regular election timeout
+/// applies. If a vote (disk sync and call) takes 0.4 s, as on slow disks after
+/// a restart of all voters, a candidacy of 2 to 4 heartbeat intervals of 70 ms
+/// ends before its votes arrive: three voters may then lack a leader for 5 s
+/// and longer.
+constexpr int kMaxFastElections = 3;
 
 }  // namespace
 
@@ -35,22 +38,22 @@
   mEntries = std::move(state.mEntries);
   mCommit = mSnapshot.mIndex;
   mApplied = mSnapshot.mIndex;
-  mLeaderHeardAt = aNow - mOptions.mElectionTimeout;
+  mLeaderLastSeenAt = aNow - mOptions.mElectionTimeout;
   if (mSnapshot.mIndex > 0) {
     mOptions.mInstallSnapshot(mSnapshot.mData);
   }
   if (mSnapshot.mVoters.empty() && !mOptions.mVoters.empty()) {
-    // The first voters are part of what must be remembered.
+    // A restart may pass no voters, so the initial ones are saved too.
     mSnapshot.mVoters = mOptions.mVoters;
     mOptions.mStorage->SaveSnapshot(mSnapshot, mEntries, mHardState);
   }
   RefreshVoters();
-  // Nobody is known to lead: asking for a pre-vote soon disturbs no one.
+  // No leader is known, so an early pre-vote disturbs none.
   std::uniform_int_distribution<Millis> spread(0, mOptions.mElectionTimeout);
   mElectionAt = mNow + spread(mRandom);
 }
 
-void RaftNode::Guard(const std::function<void()>& aStep) {
+void RaftNode::RunUnlessFailed(const std::function<void()>& aStep) {
   if (mFailed) {
     return;
   }
@@ -60,7 +63,8 @@
     if (error.Code() != ResultCode::kStorageFailed) {
       throw;
     }
-    // What is on the disk is unknown now, so that no promise can be kept.
+    // The state on disk is unknown, so this voter can't vote or acknowledge
+    // entries any more.
     mFailed = true;
     mRole = RaftRole::kFollower;
     mLeader.clear();
@@ -70,16 +74,17 @@
 
 void RaftNode::Tick(Millis aNow) {
   mNow = aNow;
-  Guard([this] {
+  RunUnlessFailed([this] {
     if (mRole == RaftRole::kLeader) {
-      std::size_t heard = 1;
+      std::size_t seen = 1;
       for (const auto& [id, progress] : mProgress) {
         const bool recent =
-            mNow - progress.mHeardAt < 2 * mOptions.mElectionTimeout;
-        heard += (IsVoter(id) && recent) ? 1 : 0;
+            mNow - progress.mLastSeenAt < 2 * mOptions.mElectionTimeout;
+        seen += (IsVoter(id) && recent) ? 1 : 0;
       }
-      if (!IsMajority(heard)) {
-        // Cut off: whoever waits is told now, and reads elsewhere are safe.
+      if (!IsMajority(seen)) {
+        // The leader is partitioned from a majority. Stepping down fails
+        // pending reads now instead of leaving them open.
         BecomeFollower(mHardState.mTerm, "");
         return;
       }
@@ -99,7 +104,7 @@
   if (aMessage.mTo != mOptions.mId) {
     return;
   }
-  Guard([this, &aMessage] { Step(aMessage); });
+  RunUnlessFailed([this, &aMessage] { Step(aMessage); });
 }
 
 void RaftNode::Step(const RaftMessage& aMessage) {
@@ -137,12 +142,13 @@
 }
 
 void RaftNode::HandlePreVote(const RaftMessage& aMessage) {
-  // While a leader is heard nobody else is wanted: a voter that comes back
-  // from a long silence disturbs nothing.
-  const bool quiet = mRole != RaftRole::kLeader &&
-                     mNow - mLeaderHeardAt >= mOptions.mElectionTimeout;
-  const bool granted =
-      quiet && aMessage.mTerm > mHardState.mTerm && LogIsCurrent(aMessage);
+  // A pre-vote is refused while a leader is in contact, so that a voter which
+  // rejoins after a long time doesn't disturb it.
+  const bool noLeaderContact =
+      mRole != RaftRole::kLeader &&
+      mNow - mLeaderLastSeenAt >= mOptions.mElectionTimeout;
+  const bool granted = noLeaderContact && aMessage.mTerm > mHardState.mTerm &&
+                       LogIsCurrent(aMessage);
   RaftMessage reply;
   reply.mKind = RaftKind::kPreVoteReply;
   reply.mTo = aMessage.mFrom;
@@ -152,14 +158,14 @@
 }
 
 void RaftNode::HandleVote(const RaftMessage& aMessage) {
-  const bool free =
+  const bool voteAvailable =
       mHardState.mVotedFor.empty() || mHardState.mVotedFor == aMessage.mFrom;
-  const bool granted =
-      aMessage.mTerm == mHardState.mTerm && free && LogIsCurrent(aMessage);
+  const bool granted = aMessage.mTerm == mHardState.mTerm && voteAvailable &&
+                       LogIsCurrent(aMessage);
   if (granted) {
     mHardState.mVotedFor = aMessage.mFrom;
     mOptions.mStorage->SaveHardState(mHardState);
-    mElections++;
+    mElectionsSeen++;
     RestartElectionTimer();
   }
   Reply(aMessage, RaftKind::kVoteReply, granted, 0);
@@ -188,7 +194,7 @@
   mRole = RaftRole::kPreCandidate;
   mLeader.clear();
   mVotes = {mOptions.mId};
-  RestartElectionTimer(1, kHeartbeatsToPreVote);
+  RestartElectionTimer(1, kMaxPreVoteHeartbeats);
   if (IsMajority(mVotes.size())) {
     StartElection();
     return;
@@ -202,11 +208,11 @@
   mHardState.mVotedFor = mOptions.mId;
   mOptions.mStorage->SaveHardState(mHardState);
   mVotes = {mOptions.mId};
-  mElections++;
-  if (mElections > kSoonElections) {
+  mElectionsSeen++;
+  if (mElectionsSeen > kMaxFastElections) {
     RestartElectionTimer();
   } else {
-    RestartElectionTimer(2, kHeartbeatsToElection);
+    RestartElectionTimer(2, kMaxElectionHeartbeats);
   }
   if (IsMajority(mVotes.size())) {
     BecomeLeader();
@@ -233,14 +239,15 @@
 void RaftNode::BecomeLeader() {
   mRole = RaftRole::kLeader;
   mLeader = mOptions.mId;
-  mHeardLeader = true;
+  mHasSeenLeader = true;
   mProgress.clear();
   mRoundTimes.clear();
   for (const std::string& id : mVoters) {
-    mProgress[id] = {.mNext = LastIndex() + 1, .mHeardAt = mNow};
+    mProgress[id] = {.mNext = LastIndex() + 1, .mLastSeenAt = mNow};
   }
-  // Entries of earlier terms are committed only through one of this term.
-  AppendOwn({});
+  // Entries of earlier terms are committed only together with one of this term
+  // (Raft, section 5.4.2), so a new leader appends an empty entry.
+  AppendToLog({});
 }
 
 void RaftNode::BecomeFollower(std::int64_t aTerm, const std::string& aLeader) {
@@ -258,10 +265,10 @@
 
 std::int64_t RaftNode::Propose(const std::string& aPayload) {
   std::int64_t index = 0;
-  Guard([this, &aPayload, &index] {
+  RunUnlessFailed([this, &aPayload, &index] {
     if (mRole == RaftRole::kLeader) {
       const std::int64_t next = LastIndex() + 1;
-      AppendOwn({.mPayload = aPayload});
+      AppendToLog({.mPayload = aPayload});
       index = next;
     }
   });
@@ -276,20 +283,20 @@
           return std::find(aIn.begin(), aIn.end(), aId) == aIn.end();
         });
   };
-  const bool oneStep =
+  const bool oneVoterChanged =
       missing(aVoters, mVoters) + missing(mVoters, aVoters) == 1;
   bool pending = !Leads();
   for (std::int64_t i = std::max(mCommit, mSnapshot.mIndex) + 1;
        i <= LastIndex(); i++) {
     pending = pending || !EntryAt(i).mVoters.empty();
   }
-  if (aVoters.empty() || !oneStep || pending) {
+  if (aVoters.empty() || !oneVoterChanged || pending) {
     return 0;
   }
   std::int64_t index = 0;
-  Guard([this, &aVoters, &index] {
+  RunUnlessFailed([this, &aVoters, &index] {
     const std::int64_t next = LastIndex() + 1;
-    AppendOwn({.mVoters = aVoters});
+    AppendToLog({.mVoters = aVoters});
     index = next;
   });
   return index;
@@ -320,36 +327,36 @@
     aDone(false);
     return;
   }
-  // The broadcast begins the round that must be answered.
-  mReads.push_back({mRound + 1, mCommit, std::move(aDone)});
+  // BroadcastAppend() starts round mRound + 1, which a majority must answer.
+  mPendingReads.push_back({mRound + 1, mCommit, std::move(aDone)});
   BroadcastAppend();
   FinishReads();
 }
 
 void RaftNode::FinishReads() {
   std::size_t done = 0;
-  while (done < mReads.size()) {
+  while (done < mPendingReads.size()) {
     std::size_t confirmed = IsVoter(mOptions.mId) ? 1 : 0;
     for (const auto& [id, progress] : mProgress) {
-      const bool echoed = progress.mRound >= mReads[done].mRound;
+      const bool echoed = progress.mRound >= mPendingReads[done].mRound;
       confirmed += (id != mOptions.mId && IsVoter(id) && echoed) ? 1 : 0;
     }
-    if (!IsMajority(confirmed) || mApplied < mReads[done].mIndex) {
+    if (!IsMajority(confirmed) || mApplied < mPendingReads[done].mIndex) {
       break;
     }
     done++;
   }
-  const auto end = mReads.begin() + static_cast<std::ptrdiff_t>(done);
-  const std::vector<PendingRead> finished(mReads.begin(), end);
-  mReads.erase(mReads.begin(), end);
+  const auto end = mPendingReads.begin() + static_cast<std::ptrdiff_t>(done);
+  const std::vector<PendingRead> finished(mPendingReads.begin(), end);
+  mPendingReads.erase(mPendingReads.begin(), end);
   for (const PendingRead& read : finished) {
     read.mDone(true);
   }
 }
 
 void RaftNode::FailReads() {
-  const std::vector<PendingRead> reads = std::move(mReads);
-  mReads.clear();
+  const std::vector<PendingRead> reads = std::move(mPendingReads);
+  mPendingReads.clear();
   for (const PendingRead& read : reads) {
     read.mDone(false);
   }
@@ -364,7 +371,8 @@
     return Leads();
   }
   return !mFailed && !mLeader.empty() &&
-         aNow - mLeaderHeardAt < kHeartbeatsHeard * mOptions.mHeartbeatInterval;
+         aNow - mLeaderLastSeenAt <
+             kLeaderContactHeartbeats * mOptions.mHeartbeatInterval;
 }
 
 bool RaftNode::Leads() const {
@@ -394,14 +402,15 @@
   mElectionAt = mNow + mOptions.mElectionTimeout + spread(mRandom);
 }
 
-void RaftNode::RestartElectionTimer(Millis aLeast, Millis aMost) {
-  if (mHeardLeader) {
+void RaftNode::RestartElectionTimer(Millis aMinHeartbeats,
+                                    Millis aMaxHeartbeats) {
+  if (mHasSeenLeader) {
     RestartElectionTimer();
     return;
   }
   std::uniform_int_distribution<Millis> spread(
-      aLeast * mOptions.mHeartbeatInterval,
-      aMost * mOptions.mHeartbeatInterval);
+      aMinHeartbeats * mOptions.mHeartbeatInterval,
+      aMaxHeartbeats * mOptions.mHeartbeatInterval);
   mElectionAt = mNow + spread(mRandom);
 }
 
@@ -414,9 +423,9 @@
 }
 
 bool RaftNode::LogIsCurrent(const RaftMessage& aMessage) const {
-  const std::int64_t own = TermAt(LastIndex());
-  return aMessage.mLogTerm > own ||
-         (aMessage.mLogTerm == own && aMessage.mIndex >= LastIndex());
+  const std::int64_t lastTerm = TermAt(LastIndex());
+  return aMessage.mLogTerm > lastTerm ||
+         (aMessage.mLogTerm == lastTerm && aMessage.mIndex >= LastIndex());
 }
 
 std::int64_t RaftNode::LastIndex() const {
@@ -439,8 +448,9 @@
     }
   }
   for (const std::string& id : mVoters) {
-    // A voter that joins under a leader gets its time to answer.
-    mProgress.try_emplace(id, Progress{.mNext = 1, .mHeardAt = mNow});
+    // A voter that joins while this voter is the leader counts as just seen, so
+    // that it has the full timeout for its first answer.
+    mProgress.try_emplace(id, Progress{.mNext = 1, .mLastSeenAt = mNow});
   }
 }
 
--- a/servers/consensus/raft_replication.cpp
+++ b/servers/consensus/raft_replication.cpp
@@ -1,4 +1,4 @@
-/// The parts of a voter that copy the log: entries, snapshots, commit.
+/// Log replication of a voter: entries, snapshots and commit.
 #include <algorithm>
 
 #include "spindleweir/servers/consensus/raft_node.h"
@@ -7,12 +7,14 @@
 
 namespace {
 
-constexpr std::size_t kRoundsKept = 128;
-/// Where nobody listens a call ends within a round trip, a few milliseconds
-/// between zones, and this leaves room for a late process. A time-out says
-/// nothing: on a choked link entries went again with each heartbeat, up to
-/// 256 KB each 0.1 s instead of each 0.4 s, and choked it further.
-constexpr Millis kTurnedAwayWithin = 200;
+/// Rounds whose start times ConfirmedAt() can look up.
+constexpr std::size_t kMaxRoundTimes = 128;
+/// A call that fails within this time was refused: a refused connection fails
+/// within a round trip, a few milliseconds between zones, and the rest allows
+/// for scheduling delays. A timeout doesn't show whether the message arrived;
+/// sending entries again after timeouts put up to 256 KB each 0.1 s instead of
+/// each 0.4 s on a congested link and congested it further.
+constexpr Millis kRefusedCallWindow = 200;
 
 }  // namespace
 
@@ -22,8 +24,8 @@
     return;
   }
   BecomeFollower(aMessage.mTerm, aMessage.mFrom);
-  mLeaderHeardAt = mNow;
-  mHeardLeader = true;
+  mLeaderLastSeenAt = mNow;
+  mHasSeenLeader = true;
   if (!StoreEntries(aMessage)) {
     const std::int64_t hint = std::min(LastIndex(), aMessage.mIndex - 1);
     Reply(aMessage, RaftKind::kAppendReply, false, hint);
@@ -68,18 +70,18 @@
     return;
   }
   Progress& progress = mProgress[aMessage.mFrom];
-  progress.mHeardAt = mNow;
+  progress.mLastSeenAt = mNow;
   progress.mRound = std::max(progress.mRound, aMessage.mRound);
-  if (aMessage.mGranted && aMessage.mIndex >= progress.mSentLast) {
-    progress.mSentLast = 0;
+  if (aMessage.mGranted && aMessage.mIndex >= progress.mLastInFlight) {
+    progress.mLastInFlight = 0;
   }
   if (!aMessage.mGranted) {
     const std::int64_t before = progress.mNext;
     progress.mNext = std::max(progress.mMatch + 1, aMessage.mIndex + 1);
     if (progress.mNext != before) {
-      // Otherwise the next heartbeat will do: sending the same again at once
-      // would go on without end.
-      progress.mSentLast = 0;
+      // If nothing changed, the next heartbeat is soon enough: sending the same
+      // message at once would repeat without end.
+      progress.mLastInFlight = 0;
       SendAppend(aMessage.mFrom);
     }
     FinishReads();
@@ -95,14 +97,16 @@
 }
 
 void RaftNode::OnSendFailed(const std::string& aTo, Millis aAfter) {
-  if (aAfter >= kTurnedAwayWithin) {
+  if (aAfter >= kRefusedCallWindow) {
     return;
   }
   const auto it = mProgress.find(aTo);
   if (mRole == RaftRole::kLeader && it != mProgress.end()) {
-    // A voter that started after its leader's first entry was sent knew of no
-    // leader that may promise until that was sent again, up to 0.4 s later.
-    it->second.mSentLast = 0;
+    // Marks the entries as no longer in flight. Otherwise a voter that starts
+    // after the leader's first entry was sent would receive that entry only
+    // after mResendTimeout, up to 0.4 s later, and know no ready leader until
+    // then.
+    it->second.mLastInFlight = 0;
   }
 }
 
@@ -112,22 +116,24 @@
     return;
   }
   BecomeFollower(aMessage.mTerm, aMessage.mFrom);
-  mLeaderHeardAt = mNow;
-  mHeardLeader = true;
+  mLeaderLastSeenAt = mNow;
+  mHasSeenLeader = true;
   const Snapshot& snapshot = aMessage.mSnapshot;
   if (snapshot.mIndex > mCommit) {
-    // Entries after it may have been acknowledged, and then count.
-    std::vector<LogEntry> rest;
-    const bool same = snapshot.mIndex <= LastIndex() &&
-                      TermAt(snapshot.mIndex) == snapshot.mTerm;
-    if (same) {
-      rest.assign(mEntries.begin() + static_cast<std::ptrdiff_t>(
-                                         snapshot.mIndex - mSnapshot.mIndex),
-                  mEntries.end());
+    // Entries after the snapshot may have been acknowledged, so they must be
+    // retained if they follow the same log.
+    std::vector<LogEntry> remaining;
+    const bool sameLog = snapshot.mIndex <= LastIndex() &&
+                         TermAt(snapshot.mIndex) == snapshot.mTerm;
+    if (sameLog) {
+      remaining.assign(
+          mEntries.begin() +
+              static_cast<std::ptrdiff_t>(snapshot.mIndex - mSnapshot.mIndex),
+          mEntries.end());
     }
-    mOptions.mStorage->SaveSnapshot(snapshot, rest, mHardState);
+    mOptions.mStorage->SaveSnapshot(snapshot, remaining, mHardState);
     mSnapshot = snapshot;
-    mEntries = std::move(rest);
+    mEntries = std::move(remaining);
     mCommit = snapshot.mIndex;
     mApplied = snapshot.mIndex;
     RefreshVoters();
@@ -136,7 +142,7 @@
   Reply(aMessage, RaftKind::kAppendReply, true, snapshot.mIndex);
 }
 
-void RaftNode::AppendOwn(LogEntry aEntry) {
+void RaftNode::AppendToLog(LogEntry aEntry) {
   aEntry.mIndex = LastIndex() + 1;
   aEntry.mTerm = mHardState.mTerm;
   mOptions.mStorage->Append(std::span(&aEntry, 1));
@@ -148,11 +154,11 @@
 
 void RaftNode::BroadcastAppend() {
   mHeartbeatAt = mNow + mOptions.mHeartbeatInterval;
-  // Each broadcast is a round of its own: who answers it followed this
-  // leader at a time that is known.
+  // Each broadcast has a round number of its own: a voter that answers the
+  // round followed this leader when the round began.
   mRound++;
   mRoundTimes.push_back({mRound, mNow});
-  if (mRoundTimes.size() > kRoundsKept) {
+  if (mRoundTimes.size() > kMaxRoundTimes) {
     mRoundTimes.pop_front();
   }
   for (const std::string& id : mVoters) {
@@ -169,10 +175,10 @@
   message.mTerm = mHardState.mTerm;
   message.mRound = mRound;
   message.mCommit = mCommit;
-  const bool underWay =
-      progress.mSentLast > 0 && mNow - progress.mSentAt < mOptions.mResend;
-  if (progress.mNext <= mSnapshot.mIndex && !underWay) {
-    progress.mSentLast = mSnapshot.mIndex;
+  const bool inFlight = progress.mLastInFlight > 0 &&
+                        mNow - progress.mSentAt < mOptions.mResendTimeout;
+  if (progress.mNext <= mSnapshot.mIndex && !inFlight) {
+    progress.mLastInFlight = mSnapshot.mIndex;
     progress.mSentAt = mNow;
     message.mKind = RaftKind::kSnapshot;
     message.mSnapshot = mSnapshot;
@@ -180,7 +186,7 @@
     return;
   }
   if (progress.mNext <= mSnapshot.mIndex) {
-    // Only to be heard: what stands before is on its way.
+    // Only a heartbeat: the snapshot is still in flight.
     message.mKind = RaftKind::kAppend;
     message.mIndex = LastIndex();
     message.mLogTerm = TermAt(message.mIndex);
@@ -191,7 +197,7 @@
   message.mKind = RaftKind::kAppend;
   message.mIndex = progress.mNext - 1;
   message.mLogTerm = TermAt(message.mIndex);
-  if (!underWay) {
+  if (!inFlight) {
     AddEntries(progress, message);
   }
   Send(std::move(message));
@@ -201,13 +207,14 @@
   std::size_t bytes = 0;
   for (std::int64_t i = aProgress.mNext; i <= LastIndex(); i++) {
     bytes += EntryAt(i).mPayload.size();
-    const bool full = aMessage.mEntries.size() >= mOptions.mEntriesPerMessage ||
-                      bytes > mOptions.mBytesPerMessage;
+    const bool full =
+        aMessage.mEntries.size() >= mOptions.mMaxEntriesPerMessage ||
+        bytes > mOptions.mMaxBytesPerMessage;
     if (!aMessage.mEntries.empty() && full) {
       break;
     }
     aMessage.mEntries.push_back(EntryAt(i));
-    aProgress.mSentLast = i;
+    aProgress.mLastInFlight = i;
     aProgress.mSentAt = mNow;
   }
 }
@@ -235,21 +242,21 @@
   while (mApplied < mCommit) {
     mApplied++;
     const LogEntry entry = EntryAt(mApplied);
-    mBytesApplied += entry.mPayload.size();
+    mBytesSinceSnapshot += entry.mPayload.size();
     if (!entry.mPayload.empty()) {
       mOptions.mApply(entry);
     }
   }
-  MaybeSnapshot();
+  SnapshotIfDue();
 }
 
-void RaftNode::MaybeSnapshot() {
+void RaftNode::SnapshotIfDue() {
   const auto applied = static_cast<std::size_t>(mApplied - mSnapshot.mIndex);
   if (applied < mOptions.mSnapshotThresholdEntries &&
-      mBytesApplied < mOptions.mSnapshotThresholdBytes) {
+      mBytesSinceSnapshot < mOptions.mSnapshotThresholdBytes) {
     return;
   }
-  mBytesApplied = 0;
+  mBytesSinceSnapshot = 0;
   Snapshot snapshot{.mIndex = mApplied, .mTerm = TermAt(mApplied)};
   snapshot.mVoters = mSnapshot.mVoters;
   for (std::int64_t i = mSnapshot.mIndex + 1; i <= mApplied; i++) {
@@ -258,11 +265,11 @@
     }
   }
   snapshot.mData = mOptions.mMakeSnapshot();
-  const std::vector<LogEntry> rest(
+  const std::vector<LogEntry> remaining(
       mEntries.begin() + static_cast<std::ptrdiff_t>(applied), mEntries.end());
-  mOptions.mStorage->SaveSnapshot(snapshot, rest, mHardState);
+  mOptions.mStorage->SaveSnapshot(snapshot, remaining, mHardState);
   mSnapshot = std::move(snapshot);
-  mEntries = rest;
+  mEntries = remaining;
 }
 
 }  // namespace spindleweir
--- a/tests/fuzz/raft_fuzz.cpp
+++ b/tests/fuzz/raft_fuzz.cpp
@@ -1,5 +1,5 @@
-/// Stateful fuzzing of the replicated log against a simple oracle: what was
-/// once accepted stays, in its place, on every voter.
+/// Stateful fuzzing of the replicated log against an oracle: a command that a
+/// voter has applied stays at its position on every voter.
 #include <rapidcheck.h>
 
 #include <map>
@@ -14,58 +14,61 @@
 
 namespace {
 
-/// A disk that keeps all that was saved; a crash loses nothing of it.
+/// Storage in memory that loses nothing in a crash.
 class MemoryStorage : public RaftStorage {
  public:
   DurableState Load() override { return mState; }
   void SaveHardState(const HardState& aState) override {
-    FailIfAsked();
+    ThrowIfFailing();
     mState.mHardState = aState;
   }
   void Append(std::span<const LogEntry> aEntries) override {
-    FailIfAsked();
+    ThrowIfFailing();
     const std::int64_t keep =
         aEntries.front().mIndex - mState.mSnapshot.mIndex - 1;
     mState.mEntries.resize(static_cast<std::size_t>(keep));
     mState.mEntries.insert(mState.mEntries.end(), aEntries.begin(),
                            aEntries.end());
   }
-  void SaveSnapshot(const Snapshot& aSnapshot, std::span<const LogEntry> aRest,
+  void SaveSnapshot(const Snapshot& aSnapshot,
+                    std::span<const LogEntry> aRemaining,
                     const HardState& aState) override {
-    FailIfAsked();
+    ThrowIfFailing();
     mState.mSnapshot = aSnapshot;
-    mState.mEntries.assign(aRest.begin(), aRest.end());
+    mState.mEntries.assign(aRemaining.begin(), aRemaining.end());
     mState.mHardState = aState;
   }
 
-  bool mFail = false;
+  bool mFailing = false;
 
  private:
-  void FailIfAsked() const {
-    if (mFail) {
-      throw Error(ResultCode::kStorageFailed, "asked to fail");
+  void ThrowIfFailing() const {
+    if (mFailing) {
+      throw Error(ResultCode::kStorageFailed,
+                  "the test lets this storage fail");
     }
   }
   DurableState mState;
 };
 
-/// Voters, a network that loses, reorders and doubles, and the oracle.
-class World {
+/// Voters, a network that loses, reorders and duplicates messages, and the
+/// oracle.
+class RaftCluster {
  public:
-  World(int aVoters, bool aPlantedDefect) : mDefect(aPlantedDefect) {
+  RaftCluster(int aVoters, bool aForgetsState) : mForgetsState(aForgetsState) {
     for (int i = 0; i < aVoters; i++) {
       mIds.push_back("v" + std::to_string(i));
     }
     for (const std::string& id : mIds) {
       mStorages[id] = std::make_unique<MemoryStorage>();
-      Start(id);
+      StartVoter(id);
     }
   }
 
-  void Start(const std::string& aId) {
+  void StartVoter(const std::string& aId) {
     mApplied[aId].clear();
-    if (mDefect) {
-      // The planted defect: a voter that forgets what it promised.
+    if (mForgetsState) {
+      // Planted defect: the voter loses its term, vote and log on a restart.
       mStorages[aId] = std::make_unique<MemoryStorage>();
     }
     RaftOptions options;
@@ -79,7 +82,7 @@
     };
     options.mApply = [this, aId](const LogEntry& aEntry) {
       mApplied[aId].push_back(aEntry.mPayload);
-      Judge(aId);
+      CheckHistory(aId);
     };
     options.mMakeSnapshot = [this, aId] {
       std::string data;
@@ -95,43 +98,45 @@
         mApplied[aId].push_back(aData.substr(at, end - at));
         at = end + 1;
       }
-      Judge(aId);
+      CheckHistory(aId);
     };
     mNodes[aId] = std::make_unique<RaftNode>(std::move(options), mNow);
   }
 
-  /// The oracle: all voters' histories are prefixes of one history.
-  void Judge(const std::string& aId) {
-    const std::vector<std::string>& own = mApplied[aId];
-    for (std::size_t i = 0; i < own.size(); i++) {
+  /// Oracle check: the applied commands of all voters are prefixes of one
+  /// history.
+  void CheckHistory(const std::string& aId) {
+    const std::vector<std::string>& history = mApplied[aId];
+    for (std::size_t i = 0; i < history.size(); i++) {
       if (i == mAccepted.size()) {
-        mAccepted.push_back(own[i]);
+        mAccepted.push_back(history[i]);
       }
-      mGood = mGood && mAccepted[i] == own[i];
+      mConsistent = mConsistent && mAccepted[i] == history[i];
     }
   }
 
-  void Step(int aDice) {
+  void Step(int aAction) {
     const std::string& id =
-        mIds[static_cast<std::size_t>(aDice / 16) % mIds.size()];
-    switch (aDice % 16) {
+        mIds[static_cast<std::size_t>(aAction / 16) % mIds.size()];
+    switch (aAction % 16) {
       case 0:
         mNodes[id]->Propose("p" + std::to_string(++mProposals));
         break;
       case 1:
         if (mCrashes < 40) {
           mCrashes++;
-          Start(id);
+          StartVoter(id);
         }
         break;
       case 2:
-        mCut = mCut == id ? "" : id;
+        mPartitioned = mPartitioned == id ? "" : id;
         break;
       case 3:
         if (!mNetwork.empty()) {
-          const auto it =
-              mNetwork.begin() + aDice / 16 % static_cast<int>(mNetwork.size());
-          // Its sender may learn of it, also where a double still arrives.
+          const auto it = mNetwork.begin() +
+                          aAction / 16 % static_cast<int>(mNetwork.size());
+          // The sender may be notified of the loss, even if a duplicate of the
+          // message still arrives.
           if (mProposals % 2 == 0) {
             mNodes[it->mFrom]->OnSendFailed(it->mTo, 0);
           }
@@ -140,12 +145,12 @@
         break;
       case 4:
         if (!mNetwork.empty() && mNetwork.size() < 500) {
-          mNetwork.push_back(
-              mNetwork[static_cast<std::size_t>(aDice / 16) % mNetwork.size()]);
+          mNetwork.push_back(mNetwork[static_cast<std::size_t>(aAction / 16) %
+                                      mNetwork.size()]);
         }
         break;
       case 5:
-        mNow += aDice / 16 % 400;
+        mNow += aAction / 16 % 400;
         mNodes[id]->Tick(mNow);
         break;
       case 6:
@@ -155,40 +160,43 @@
         }
         break;
       case 7:
-        mNodes[id]->ConfirmRead([this, id, seen = mAccepted.size()](bool aYes) {
-          // A confirmed read shows all that was accepted when it was asked.
-          mGood = mGood && (!aYes || mApplied[id].size() >= seen);
-        });
+        mNodes[id]->ConfirmRead(
+            [this, id, seen = mAccepted.size()](bool aConfirmed) {
+              // A confirmed read returns all that was accepted when it started.
+              mConsistent =
+                  mConsistent && (!aConfirmed || mApplied[id].size() >= seen);
+            });
         break;
       default:
-        Deliver(static_cast<std::size_t>(aDice / 16));
+        Deliver(static_cast<std::size_t>(aAction / 16));
         break;
     }
   }
 
-  void Deliver(std::size_t aWhich) {
+  void Deliver(std::size_t aPosition) {
     if (mNetwork.empty()) {
       return;
     }
     const auto it = mNetwork.begin() +
-                    static_cast<std::ptrdiff_t>(aWhich % mNetwork.size());
+                    static_cast<std::ptrdiff_t>(aPosition % mNetwork.size());
     const RaftMessage message = *it;
     mNetwork.erase(it);
-    const bool gone =
-        mGone.contains(message.mFrom) || mGone.contains(message.mTo);
-    if (!gone && message.mFrom != mCut && message.mTo != mCut) {
+    const bool gone = mLostVoters.contains(message.mFrom) ||
+                      mLostVoters.contains(message.mTo);
+    if (!gone && message.mFrom != mPartitioned && message.mTo != mPartitioned) {
       mNodes[message.mTo]->Receive(message, mNow);
     }
   }
 
-  /// Heals everything and lets the voters that are left agree and go on.
-  bool Settle() {
-    mCut.clear();
+  /// Heals the network and runs the remaining voters for 20 s. Returns whether
+  /// they accepted a new command and have equal histories.
+  bool HealAndConverge() {
+    mPartitioned.clear();
     const std::size_t before = mAccepted.size();
     for (int i = 0; i < 400; i++) {
       mNow += 50;
       for (const std::string& id : mIds) {
-        if (!mGone.contains(id)) {
+        if (!mLostVoters.contains(id)) {
           mNodes[id]->Tick(mNow);
         }
       }
@@ -197,7 +205,7 @@
       }
       if (i == 200) {
         for (const std::string& id : mIds) {
-          if (!mGone.contains(id)) {
+          if (!mLostVoters.contains(id)) {
             mNodes[id]->Propose("last");
           }
         }
@@ -205,30 +213,31 @@
     }
     bool equal = mAccepted.size() > before;
     for (const std::string& id : mIds) {
-      equal = equal &&
-              (mGone.contains(id) || mApplied[id].size() == mAccepted.size());
+      equal = equal && (mLostVoters.contains(id) ||
+                        mApplied[id].size() == mAccepted.size());
     }
     return equal;
   }
 
-  bool Good() const { return mGood; }
+  bool IsConsistent() const { return mConsistent; }
 
-  /// Power is lost everywhere, and some disks with it: what was on its way is
-  /// gone, all others start from their disks. A voter is what its disk says it
-  /// is, so that one without comes back as another and has no vote here; the
-  /// planted defect lets it vote under its old name.
-  void LosePowerAndDisks(int aLost, bool aVotesAgain) {
+  /// All voters lose power, and aLost of them their disks. Messages in transit
+  /// are lost; the other voters restart from their disks. The disk determines
+  /// the identity of a voter, so a voter without its disk is no longer a
+  /// member. aVoteAgain plants the defect that it rejoins under its old
+  /// identity.
+  void LosePowerAndDisks(int aLost, bool aVoteAgain) {
     mNetwork.clear();
-    mCut.clear();
+    mPartitioned.clear();
     for (const std::string& id : mIds) {
       const bool lost = aLost-- > 0;
       if (lost) {
         mStorages[id] = std::make_unique<MemoryStorage>();
       }
-      if (lost && !aVotesAgain) {
-        mGone.insert(id);
+      if (lost && !aVoteAgain) {
+        mLostVoters.insert(id);
       } else {
-        Start(id);
+        StartVoter(id);
       }
     }
   }
@@ -239,97 +248,104 @@
   Millis mNow = 0;
 
  private:
-  bool mDefect;
+  bool mForgetsState;
   std::map<std::string, std::vector<std::string>> mApplied;
   std::vector<RaftMessage> mNetwork;
   std::vector<std::string> mAccepted;
-  std::string mCut;
-  std::set<std::string> mGone;  ///< Their disks are lost.
+  std::string mPartitioned;
+  std::set<std::string> mLostVoters;  ///< Voters that lost their disks.
   int mProposals = 0;
   int mCrashes = 0;
   std::uint64_t mSeed = 0;
-  bool mGood = true;
+  bool mConsistent = true;
 };
 
-/// Runs dice against a world; false where the oracle was contradicted.
-bool Survives(int aVoters, const std::vector<int>& aDice, bool aDefect) {
-  World world(aVoters, aDefect);
-  for (int dice : aDice) {
-    world.Step(dice);
-    if (!world.Good()) {
+/// Runs random actions. Returns false if the oracle finds a contradiction.
+bool KeepsAcceptedEntries(int aVoters, const std::vector<int>& aActions,
+                          bool aForgetsState) {
+  RaftCluster cluster(aVoters, aForgetsState);
+  for (int action : aActions) {
+    cluster.Step(action);
+    if (!cluster.IsConsistent()) {
       return false;
     }
   }
-  return aDefect || (world.Settle() && world.Good());
+  return aForgetsState || (cluster.HealAndConverge() && cluster.IsConsistent());
 }
 
-rc::Gen<std::vector<int>> Dice(int aCount) {
+rc::Gen<std::vector<int>> RandomActions(int aCount) {
   return rc::gen::container<std::vector<int>>(static_cast<std::size_t>(aCount),
                                               rc::gen::inRange(0, 16 * 1024));
 }
 
 }  // namespace
 
-Test(raft_fuzz, what_is_accepted_stays_on_three_voters) {
-  cr_assert(rc::check("three voters",
-                      [] { RC_ASSERT(Survives(3, *Dice(1500), false)); }));
+Test(raft_fuzz, committed_entries_survive_faults_with_three_voters) {
+  cr_assert(rc::check("three voters", [] {
+    RC_ASSERT(KeepsAcceptedEntries(3, *RandomActions(1500), false));
+  }));
 }
 
-Test(raft_fuzz, what_is_accepted_stays_on_five_voters) {
-  cr_assert(rc::check("five voters",
-                      [] { RC_ASSERT(Survives(5, *Dice(1500), false)); }));
+Test(raft_fuzz, committed_entries_survive_faults_with_five_voters) {
+  cr_assert(rc::check("five voters", [] {
+    RC_ASSERT(KeepsAcceptedEntries(5, *RandomActions(1500), false));
+  }));
 }
 
-/// False where something accepted is lost with these disks, or the rest stops.
-bool SurvivesLostDisks(int aVoters, int aLost, const std::vector<int>& aDice,
-                       bool aVotesAgain) {
-  World world(aVoters, false);
-  for (int dice : aDice) {
-    world.Step(dice);
+/// Returns false if an accepted command is lost together with the disks, or if
+/// the remaining voters stop accepting commands.
+bool KeepsAcceptedEntriesAfterLostDisks(int aVoters, int aLost,
+                                        const std::vector<int>& aActions,
+                                        bool aVoteAgain) {
+  RaftCluster cluster(aVoters, false);
+  for (int action : aActions) {
+    cluster.Step(action);
   }
-  world.LosePowerAndDisks(aLost, aVotesAgain);
-  return world.Settle() && world.Good();
+  cluster.LosePowerAndDisks(aLost, aVoteAgain);
+  return cluster.HealAndConverge() && cluster.IsConsistent();
 }
 
-Test(raft_fuzz, what_is_accepted_survives_lost_disks_and_lost_power_of_all) {
+Test(raft_fuzz, committed_entries_survive_power_loss_and_lost_disks) {
   cr_assert(rc::check("one disk of three", [] {
-    RC_ASSERT(SurvivesLostDisks(3, 1, *Dice(600), false));
+    RC_ASSERT(
+        KeepsAcceptedEntriesAfterLostDisks(3, 1, *RandomActions(600), false));
   }));
   cr_assert(rc::check("two disks of five", [] {
-    RC_ASSERT(SurvivesLostDisks(5, 2, *Dice(600), false));
+    RC_ASSERT(
+        KeepsAcceptedEntriesAfterLostDisks(5, 2, *RandomActions(600), false));
   }));
 }
 
-Test(raft_fuzz, a_voter_that_lost_its_disk_and_votes_is_caught) {
+Test(raft_fuzz, detects_a_voter_that_votes_after_losing_its_disk) {
   std::mt19937 random(7);
   bool caught = false;
   for (int round = 0; round < 400 && !caught; round++) {
-    std::vector<int> dice;
+    std::vector<int> actions;
     for (int i = 0; i < 600; i++) {
-      dice.push_back(std::uniform_int_distribution<int>(0, 16383)(random));
+      actions.push_back(std::uniform_int_distribution<int>(0, 16383)(random));
     }
-    caught = !SurvivesLostDisks(5, 3, dice, true);
+    caught = !KeepsAcceptedEntriesAfterLostDisks(5, 3, actions, true);
   }
   CHECK(caught);
 }
 
-Test(raft_fuzz, a_voter_that_forgets_is_caught) {
-  // The check must be able to fail: a planted defect has to be found.
+Test(raft_fuzz, detects_a_voter_that_loses_its_persistent_state) {
+  // Verifies that the oracle can fail: it must find a planted defect.
   std::mt19937 random(5);
   bool caught = false;
   for (int round = 0; round < 200 && !caught; round++) {
-    std::vector<int> dice;
+    std::vector<int> actions;
     for (int i = 0; i < 1500; i++) {
-      dice.push_back(std::uniform_int_distribution<int>(0, 16383)(random));
+      actions.push_back(std::uniform_int_distribution<int>(0, 16383)(random));
     }
-    caught = !Survives(3, dice, true);
+    caught = !KeepsAcceptedEntries(3, actions, true);
   }
   CHECK(caught);
 }
 
-Test(raft, the_first_voters_are_remembered) {
-  // Found by a test of a deployment: after a restart of all voters none of
-  // them knew that it was one.
+Test(raft, initial_voters_are_stored_across_restarts) {
+  // Guards against a restart of all voters after which none of them knew that
+  // it was a voter.
   MemoryStorage storage;
   RaftOptions options;
   options.mId = "v0";
@@ -345,9 +361,9 @@
   CHECK(second.Leads());
 }
 
-Test(raft, a_late_snapshot_takes_back_nothing_that_was_acknowledged) {
-  // Found by the fuzzer: a snapshot older than what a voter has acknowledged
-  // made it forget the entries after the snapshot.
+Test(raft, a_stale_snapshot_removes_no_acknowledged_entries) {
+  // Guards against a snapshot older than the acknowledged entries that removed
+  // the entries after it.
   MemoryStorage storage;
   std::vector<RaftMessage> sent;
   RaftOptions options;
@@ -370,59 +386,60 @@
   }
   node.Receive(append, 1);
   REQUIRE(sent.back().mGranted && sent.back().mIndex == 4);
-  RaftMessage late = append;
-  late.mKind = RaftKind::kSnapshot;
-  late.mEntries.clear();
-  late.mSnapshot = {.mIndex = 2, .mTerm = 1, .mVoters = options.mVoters};
-  node.Receive(late, 2);
+  RaftMessage stale = append;
+  stale.mKind = RaftKind::kSnapshot;
+  stale.mEntries.clear();
+  stale.mSnapshot = {.mIndex = 2, .mTerm = 1, .mVoters = options.mVoters};
+  node.Receive(stale, 2);
   CHECK(node.LastIndex() == 4);
   CHECK(storage.Load().mEntries.size() == 2);
 }
 
-Test(raft, a_voter_whose_disk_fails_promises_nothing_more) {
-  World world(3, false);
-  cr_assert(world.Settle());
-  for (const std::string& id : world.mIds) {
-    if (world.mNodes[id]->Role() == RaftRole::kLeader) {
-      world.mStorages[id]->mFail = true;
-      CHECK(world.mNodes[id]->Propose("x") == 0);
-      CHECK(world.mNodes[id]->Failed() && !world.mNodes[id]->Leads());
+Test(raft, a_voter_stops_after_a_storage_failure) {
+  RaftCluster cluster(3, false);
+  cr_assert(cluster.HealAndConverge());
+  for (const std::string& id : cluster.mIds) {
+    if (cluster.mNodes[id]->Role() == RaftRole::kLeader) {
+      cluster.mStorages[id]->mFailing = true;
+      CHECK(cluster.mNodes[id]->Propose("x") == 0);
+      CHECK(cluster.mNodes[id]->Failed() && !cluster.mNodes[id]->Leads());
       break;
     }
   }
-  SECTION("the others go on") {
+  SECTION("the other voters elect a leader") {
     for (int i = 0; i < 100; i++) {
-      world.mNow += 50;
-      for (const std::string& id : world.mIds) {
-        world.mNodes[id]->Tick(world.mNow);
+      cluster.mNow += 50;
+      for (const std::string& id : cluster.mIds) {
+        cluster.mNodes[id]->Tick(cluster.mNow);
       }
       for (std::size_t n = 0; n < 100; n++) {
-        world.Deliver(0);
+        cluster.Deliver(0);
       }
     }
     int leaders = 0;
-    for (const std::string& id : world.mIds) {
-      leaders += world.mNodes[id]->Leads() ? 1 : 0;
+    for (const std::string& id : cluster.mIds) {
+      leaders += cluster.mNodes[id]->Leads() ? 1 : 0;
     }
     CHECK(leaders == 1);
   }
 }
 
-Test(raft, a_lost_voter_is_replaced_one_step_at_a_time) {
-  World world(3, false);
-  cr_assert(world.Settle());
-  for (const std::string& id : world.mIds) {
-    RaftNode& node = *world.mNodes[id];
+Test(raft, only_one_voter_is_changed_at_a_time) {
+  RaftCluster cluster(3, false);
+  cr_assert(cluster.HealAndConverge());
+  for (const std::string& id : cluster.mIds) {
+    RaftNode& node = *cluster.mNodes[id];
     if (!node.Leads()) {
       continue;
     }
-    SECTION("two steps at once are refused") {
+    SECTION("a change of two voters, or to none, is refused") {
       CHECK(node.ProposeVoters({"v0", "x", "y"}) == 0);
       CHECK(node.ProposeVoters({}) == 0);
     }
-    SECTION("one is taken, and no second before it is accepted") {
+    SECTION(
+        "one change is accepted, a second not before the first is committed") {
       std::vector<std::string> fewer;
-      for (const std::string& voter : world.mIds) {
+      for (const std::string& voter : cluster.mIds) {
         if (voter == id || fewer.empty() || fewer.back() == id) {
           fewer.push_back(voter);
         }
@@ -432,7 +449,7 @@
         fewer.back() = id;
       }
       CHECK(node.ProposeVoters(fewer) != 0);
-      CHECK(node.ProposeVoters(world.mIds) == 0);
+      CHECK(node.ProposeVoters(cluster.mIds) == 0);
     }
     return;
   }
--- a/tests/servers/starts_test.cpp
+++ b/tests/servers/startup_test.cpp
@@ -1,3 +1,5 @@
+/// The first seconds of voters, routers and callers: elections, polls of
+/// controls, admission of waiting requests and retry times.
 #include <algorithm>
 #include <limits>
 #include <memory>
@@ -14,8 +16,8 @@
 
 namespace {
 
-/// A disk that takes no time.
-class QuickStorage : public RaftStorage {
+/// Storage in memory; calls take no time.
+class MemoryStorage : public RaftStorage {
  public:
   DurableState Load() override { return mState; }
   void SaveHardState(const HardState& aState) override {
@@ -28,10 +30,11 @@
     mState.mEntries.insert(mState.mEntries.end(), aEntries.begin(),
                            aEntries.end());
   }
-  void SaveSnapshot(const Snapshot& aSnapshot, std::span<const LogEntry> aRest,
+  void SaveSnapshot(const Snapshot& aSnapshot,
+                    std::span<const LogEntry> aRemaining,
                     const HardState& aState) override {
     mState.mSnapshot = aSnapshot;
-    mState.mEntries.assign(aRest.begin(), aRest.end());
+    mState.mEntries.assign(aRemaining.begin(), aRemaining.end());
     mState.mHardState = aState;
   }
 
@@ -39,49 +42,51 @@
   DurableState mState;
 };
 
-/// The start of a voter that does not come.
+/// Start time of a voter that never starts.
 constexpr Millis kNever = 1000000;
 
-/// Voters that start one after the other. What is sent to one that does not run
-/// yet is turned away, all else takes two milliseconds; a vote as long as it is
-/// told.
-class VotersStart {
+/// Simulates voters that start at different times. Calls to a voter that isn't
+/// running yet fail at once, messages take 2 ms, and vote replies aVoteDelay.
+class VoterStartup {
  public:
-  VotersStart(std::vector<Millis> aStarts, std::uint64_t aSeed,
-              Millis aVoteTakes = 2)
-      : mStarts(std::move(aStarts)), mSeed(aSeed), mVoteTakes(aVoteTakes) {
-    for (std::size_t i = 0; i < mStarts.size(); i++) {
+  VoterStartup(std::vector<Millis> aStartTimes, std::uint64_t aSeed,
+               Millis aVoteDelay = 2)
+      : mStartTimes(std::move(aStartTimes)),
+        mSeed(aSeed),
+        mVoteDelay(aVoteDelay) {
+    for (std::size_t i = 0; i < mStartTimes.size(); i++) {
       mIds.push_back("v" + std::to_string(i));
     }
-    mNodes.resize(mStarts.size());
+    mNodes.resize(mStartTimes.size());
   }
 
-  /// From the last start until all know a leader that may promise.
-  Millis SettledAfter() {
-    constexpr Millis kMost = 5000;
+  /// Milliseconds from the last start until all running voters know a leader
+  /// with a committed entry; kTimeLimit if that doesn't happen.
+  Millis TimeToLeader() {
+    constexpr Millis kTimeLimit = 5000;
     Millis last = 0;
-    for (const Millis start : mStarts) {
+    for (const Millis start : mStartTimes) {
       last = start == kNever ? last : std::max(last, start);
     }
-    for (Millis now = 0; now < kMost; now++) {
+    for (Millis now = 0; now < kTimeLimit; now++) {
       Step(now);
-      if (now > last && AllSettled()) {
+      if (now > last && AllKnowLeader()) {
         return now - last;
       }
     }
-    return kMost;
+    return kTimeLimit;
   }
 
  private:
   static constexpr Millis kDelay = 2;
 
-  struct OnTheWay {
+  struct InTransit {
     RaftMessage mMessage;
     Millis mAt;
   };
 
-  /// Of those that run.
-  bool AllSettled() const {
+  /// Whether all running voters know a leader with a committed entry.
+  bool AllKnowLeader() const {
     return std::all_of(mNodes.begin(), mNodes.end(), [](const auto& aNode) {
       return aNode == nullptr || aNode->HasCommitInTerm();
     });
@@ -90,39 +95,40 @@
   void Step(Millis aNow) {
     constexpr Millis kTick = 20;
     for (std::size_t i = 0; i < mIds.size(); i++) {
-      if (aNow == mStarts[i]) {
+      if (aNow == mStartTimes[i]) {
         Start(i, aNow);
       }
-      if (mNodes[i] != nullptr && (aNow - mStarts[i]) % kTick == 0) {
+      if (mNodes[i] != nullptr && (aNow - mStartTimes[i]) % kTick == 0) {
         mNow = aNow;
         mNodes[i]->Tick(aNow);
       }
     }
-    const std::vector<OnTheWay> sent = std::move(mSent);
-    mSent.clear();
-    for (const OnTheWay& item : sent) {
-      if (item.mAt > aNow) {
-        mSent.push_back(item);
+    const std::vector<InTransit> sent = std::move(mMessages);
+    mMessages.clear();
+    for (const InTransit& inTransit : sent) {
+      if (inTransit.mAt > aNow) {
+        mMessages.push_back(inTransit);
         continue;
       }
       const auto it =
-          std::find(mIds.begin(), mIds.end(), item.mMessage.mTo) - mIds.begin();
+          std::find(mIds.begin(), mIds.end(), inTransit.mMessage.mTo) -
+          mIds.begin();
       RaftNode* to = mNodes[static_cast<std::size_t>(it)].get();
       if (to != nullptr) {
         mNow = aNow;
-        to->Receive(item.mMessage, aNow);
+        to->Receive(inTransit.mMessage, aNow);
         continue;
       }
       for (const auto& node : mNodes) {
         if (node != nullptr) {
-          node->OnSendFailed(item.mMessage.mTo, kDelay);
+          node->OnSendFailed(inTransit.mMessage.mTo, kDelay);
         }
       }
     }
   }
 
   void Start(std::size_t aIndex, Millis aNow) {
-    mStorages.push_back(std::make_unique<QuickStorage>());
+    mStorages.push_back(std::make_unique<MemoryStorage>());
     RaftOptions options;
     options.mId = mIds[aIndex];
     options.mVoters = mIds;
@@ -132,7 +138,7 @@
     options.mStorage = mStorages.back().get();
     options.mSend = [this](const RaftMessage& aMessage) {
       const bool isVote = aMessage.mKind == RaftKind::kVoteReply;
-      mSent.push_back({aMessage, mNow + (isVote ? mVoteTakes : kDelay)});
+      mMessages.push_back({aMessage, mNow + (isVote ? mVoteDelay : kDelay)});
     };
     options.mApply = [](const LogEntry&) {};
     options.mMakeSnapshot = [] { return std::string(); };
@@ -140,26 +146,27 @@
     mNodes[aIndex] = std::make_unique<RaftNode>(std::move(options), aNow);
   }
 
-  std::vector<Millis> mStarts;
+  std::vector<Millis> mStartTimes;
   std::uint64_t mSeed;
-  Millis mVoteTakes;
+  Millis mVoteDelay;
   Millis mNow = 0;
   std::vector<std::string> mIds;
-  std::vector<std::unique_ptr<QuickStorage>> mStorages;
+  std::vector<std::unique_ptr<MemoryStorage>> mStorages;
   std::vector<std::unique_ptr<RaftNode>> mNodes;
-  std::vector<OnTheWay> mSent;
+  std::vector<InTransit> mMessages;
 };
 
-/// A leader of three: one follows, calls to the other all fail.
-class FailingCalls {
+/// A leader of three voters: one follows, all calls to the other ("far") fail.
+class UnreachableVoter {
  public:
-  explicit FailingCalls(Millis aFailAfter) : mFailAfter(aFailAfter) {
+  explicit UnreachableVoter(Millis aFailureDelay)
+      : mFailureDelay(aFailureDelay) {
     RaftOptions options;
     options.mId = "leader";
     options.mVoters = {"leader", "follower", "far"};
     options.mStorage = &mStorage;
     options.mSend = [this](const RaftMessage& aMessage) {
-      mSent.push_back(aMessage);
+      mMessages.push_back(aMessage);
     };
     options.mApply = [](const LogEntry&) {};
     options.mMakeSnapshot = [] { return std::string(); };
@@ -167,29 +174,30 @@
     mNode = std::make_unique<RaftNode>(std::move(options), mNow);
   }
 
-  /// Messages with entries to the other, of those in nine heartbeats.
-  int WithEntries() {
+  /// Messages with entries sent to the unreachable voter in 0.9 s, that is nine
+  /// heartbeat intervals.
+  int CountMessagesWithEntries() {
     while (mNode->Role() != RaftRole::kLeader) {
       Step();
     }
-    mWithEntries = 0;
+    mMessagesWithEntries = 0;
     mNode->Propose("p");
     for (int i = 0; i < 90; i++) {
       Step();
     }
-    return mWithEntries;
+    return mMessagesWithEntries;
   }
 
  private:
   void Step() {
     mNow += 10;
     mNode->Tick(mNow);
-    while (!mSent.empty()) {
-      const RaftMessage message = mSent.front();
-      mSent.erase(mSent.begin());
+    while (!mMessages.empty()) {
+      const RaftMessage message = mMessages.front();
+      mMessages.erase(mMessages.begin());
       if (message.mTo == "far") {
-        mWithEntries += message.mEntries.empty() ? 0 : 1;
-        mNode->OnSendFailed("far", mFailAfter);
+        mMessagesWithEntries += message.mEntries.empty() ? 0 : 1;
+        mNode->OnSendFailed("far", mFailureDelay);
         continue;
       }
       RaftMessage reply;
@@ -211,17 +219,17 @@
     }
   }
 
-  Millis mFailAfter;
+  Millis mFailureDelay;
   Millis mNow = 0;
-  int mWithEntries = 0;
-  QuickStorage mStorage;
-  std::vector<RaftMessage> mSent;
+  int mMessagesWithEntries = 0;
+  MemoryStorage mStorage;
+  std::vector<RaftMessage> mMessages;
   std::unique_ptr<RaftNode> mNode;
 };
 
-/// Engines that each hold two of four layers.
-struct SmallZone {
-  SmallZone() {
+/// Three engines that each hold two of four layers.
+struct ThreeEngineZone {
+  ThreeEngineZone() {
     mProfile.mLayers = 4;
     mProfile.mReadPerSecond = 100000;
     mProfile.mKinds = {{.mName = "fast", .mReadFactor = 1},
@@ -248,44 +256,45 @@
   std::vector<std::unique_ptr<UpstreamRecord>> mRecords;
 };
 
-/// Callers that were all refused in the same quarter of a second, at routers
-/// that share the places which come free.
-struct ReturnPlay {
+/// Callers that are refused within the same 250 ms, at routers that share the
+/// slots which become free.
+struct RetrySimulation {
   int mRouterCount = 30;
   int mCallers = 600;
   double mFreePerMilli = 0.2;  ///< Of all routers together.
-  bool mPredicts = true;
+  bool mUsesPrediction = true;
 
-  /// The share of the callers that find no place when they come back.
-  double RefusedAgain() const {
-    constexpr Millis kRefusedWithin = 250;
-    constexpr Millis kLeft = 20000;
+  /// The share of the callers that find no free slot when they retry.
+  double ShareRefusedAgain() const {
+    constexpr Millis kRefusalWindow = 250;
+    constexpr Millis kRemaining = 20000;
     std::mt19937 random(7);
     std::uniform_real_distribution<double> unit(0, 1);
     std::vector<RetrySchedule> routers(static_cast<std::size_t>(mRouterCount));
-    std::vector<Millis> back;
+    std::vector<Millis> returnTimes;
     for (int i = 0; i < mCallers; i++) {
-      const Millis now = i * kRefusedWithin / mCallers;
+      const Millis now = i * kRefusalWindow / mCallers;
       RetrySchedule& router = routers[random() % routers.size()];
-      const AssignedRetry told =
+      const AssignedRetry answer =
           router.Assign({.mNow = now,
-                         .mTimeLeft = kLeft,
+                         .mTimeLeft = kRemaining,
                          .mFreeAfter = 300,
                          .mFreePerMilli = mFreePerMilli / mRouterCount,
                          .mRandom = unit(random)});
-      // Before: 0.6 s and up to 0.8 s by chance, whatever comes free.
+      // Without prediction: 0.6 s and up to 0.8 s at random, regardless of the
+      // slots that become free.
       const auto spread = static_cast<Millis>(600 + 800 * unit(random));
-      back.push_back(now + (mPredicts ? told.mAfter : spread));
+      returnTimes.push_back(now + (mUsesPrediction ? answer.mAfter : spread));
     }
-    std::sort(back.begin(), back.end());
-    double places = 0;
+    std::sort(returnTimes.begin(), returnTimes.end());
+    double slots = 0;
     Millis at = 0;
     int refused = 0;
-    for (const Millis time : back) {
-      places += mFreePerMilli * static_cast<double>(time - at);
+    for (const Millis time : returnTimes) {
+      slots += mFreePerMilli * static_cast<double>(time - at);
       at = time;
-      const bool served = places >= 1;
-      places -= served ? 1 : 0;
+      const bool served = slots >= 1;
+      slots -= served ? 1 : 0;
       refused += served ? 0 : 1;
     }
     return static_cast<double>(refused) / mCallers;
@@ -294,62 +303,63 @@
 
 }  // namespace
 
-Test(starts, voters_that_start_apart_have_a_leader_soon) {
-  std::vector<Millis> after;
+Test(startup, voters_that_start_at_different_times_elect_a_leader_quickly) {
+  std::vector<Millis> delays;
   for (std::uint64_t seed = 1; seed <= 200; seed++) {
-    after.push_back(VotersStart({0, 90, 250}, seed).SettledAfter());
+    delays.push_back(VoterStartup({0, 90, 250}, seed).TimeToLeader());
   }
-  std::sort(after.begin(), after.end());
-  SECTION("all of them within the least time between two elections") {
-    CHECK(after[180] <= 200);
-    CHECK(after.back() <= 300);
+  std::sort(delays.begin(), delays.end());
+  SECTION("within the minimum election timeout with three voters") {
+    CHECK(delays[180] <= 200);
+    CHECK(delays.back() <= 300);
   }
-  SECTION("three of five that need each other's votes as well") {
-    std::vector<Millis> of;
+  SECTION("also when three of five voters need each other's votes") {
+    std::vector<Millis> withThree;
     for (std::uint64_t seed = 1; seed <= 200; seed++) {
-      of.push_back(
-          VotersStart({0, 20, 60, kNever, kNever}, seed).SettledAfter());
+      withThree.push_back(
+          VoterStartup({0, 20, 60, kNever, kNever}, seed).TimeToLeader());
     }
-    std::sort(of.begin(), of.end());
-    CHECK(of[180] <= 300);
+    std::sort(withThree.begin(), withThree.end());
+    CHECK(withThree[180] <= 300);
   }
-  SECTION("voters whose votes take 0.4 s have one as well") {
-    std::vector<Millis> slow;
+  SECTION("also when a vote takes 0.4 s") {
+    std::vector<Millis> withSlowVotes;
     for (std::uint64_t seed = 1; seed <= 200; seed++) {
-      slow.push_back(VotersStart({0, 90, 250}, seed, 400).SettledAfter());
+      withSlowVotes.push_back(
+          VoterStartup({0, 90, 250}, seed, 400).TimeToLeader());
     }
-    std::sort(slow.begin(), slow.end());
-    CHECK(slow[180] <= 3000);
-    CHECK(slow.back() < 5000);
+    std::sort(withSlowVotes.begin(), withSlowVotes.end());
+    CHECK(withSlowVotes[180] <= 3000);
+    CHECK(withSlowVotes.back() < 5000);
   }
-  SECTION("a voter that never comes does not hold up the others") {
-    CHECK(VotersStart({0, 90, kNever}, 3).SettledAfter() <= 300);
+  SECTION("a voter that never starts does not delay the others") {
+    CHECK(VoterStartup({0, 90, kNever}, 3).TimeToLeader() <= 300);
   }
 }
 
-Test(starts, entries_go_again_soon_only_where_they_were_turned_away) {
-  SECTION("nobody listened: with the next heartbeat") {
-    CHECK(FailingCalls(2).WithEntries() >= 8);
+Test(startup, entries_are_resent_early_only_after_a_refused_connection) {
+  SECTION("refused connection: with the next heartbeat") {
+    CHECK(UnreachableVoter(2).CountMessagesWithEntries() >= 8);
   }
-  SECTION("a time-out says nothing: after the usual time") {
-    CHECK(FailingCalls(1000).WithEntries() <= 3);
+  SECTION("timeout: after the resend timeout") {
+    CHECK(UnreachableVoter(1000).CountMessagesWithEntries() <= 3);
   }
 }
 
-Test(starts, a_router_without_a_lease_asks_sooner) {
-  const PolledControl lacking{.mInterval = 150,
-                              .mIsNearest = true,
-                              .mLacksConfiguration = true,
-                              .mLacksLease = true,
-                              .mRouterCount = 8};
-  SECTION("the nearest twice as often, the others four times") {
-    CHECK(NextPollDelay(lacking) == 75);
-    PolledControl far = lacking;
+Test(startup, a_router_without_a_lease_polls_controls_more_often) {
+  const PolledControl withoutLease{.mInterval = 150,
+                                   .mIsNearest = true,
+                                   .mLacksConfiguration = true,
+                                   .mLacksLease = true,
+                                   .mRouterCount = 8};
+  SECTION("the nearest control twice as often, the others four times") {
+    CHECK(NextPollDelay(withoutLease) == 75);
+    PolledControl far = withoutLease;
     far.mIsNearest = false;
     CHECK(NextPollDelay(far) == 150);
   }
-  SECTION("the more seldom the more routers there are, up to the usual") {
-    PolledControl large = lacking;
+  SECTION("less often with more routers, but not below the regular rate") {
+    PolledControl large = withoutLease;
     large.mRouterCount = 150;
     CHECK(NextPollDelay(large) == 120);
     large.mRouterCount = 520;
@@ -357,53 +367,54 @@
     large.mIsNearest = false;
     CHECK(NextPollDelay(large) == 600);
   }
-  SECTION("nor one that does not know yet how many there are") {
-    PolledControl alone = lacking;
+  SECTION("at the regular rate while the number of routers is unknown") {
+    PolledControl alone = withoutLease;
     alone.mRouterCount = 1;
     CHECK(NextPollDelay(alone) == 150);
     alone.mIsNearest = false;
     CHECK(NextPollDelay(alone) == 600);
   }
-  SECTION("and not at all where there are so many that controls have no time") {
-    PolledControl many = lacking;
+  SECTION("at the regular rate if there are more than 200 routers") {
+    PolledControl many = withoutLease;
     many.mRouterCount = 300;
     many.mInterval = 525;
     CHECK(NextPollDelay(many) == 525);
     many.mIsNearest = false;
     CHECK(NextPollDelay(many) == 2100);
   }
-  SECTION("one that did not listen yet as soon as it may") {
-    PolledControl refused = lacking;
+  SECTION("100 ms after a refused connection") {
+    PolledControl refused = withoutLease;
     refused.mWasRefused = true;
     refused.mIsNearest = false;
     CHECK(NextPollDelay(refused) == 100);
     refused.mLacksLease = false;
     CHECK(NextPollDelay(refused) == 600);
   }
-  SECTION("one that takes questions and has no time for them more seldom") {
-    PolledControl busy = lacking;
+  SECTION("less often if polls time out") {
+    PolledControl busy = withoutLease;
     busy.mFailures = 2;
     CHECK(NextPollDelay(busy) == 300);
   }
 }
 
-Test(starts, a_zone_reads_what_its_weakest_layer_reads) {
-  SmallZone zone;
-  SECTION("engines that hold the same layers add up") {
-    // Half of the layers: 200 tokens a millisecond, and 50 by the slow one.
+Test(startup, prefill_capacity_of_a_zone_is_that_of_its_slowest_layer) {
+  ThreeEngineZone zone;
+  SECTION("engines with the same layers add up") {
+    // Engines with half of the layers read 200 tokens per millisecond (fast)
+    // and 50 (slow).
     CHECK(std::abs(zone.Capacity() - 200) < 1e-6);
     zone.Add("slow", {2, 4});
     CHECK(std::abs(zone.Capacity() - 250) < 1e-6);
   }
-  SECTION("without one of the layers nothing is read") {
+  SECTION("zero if no engine holds one of the layers") {
     zone.mRecords.pop_back();
     zone.mRecords.pop_back();
     CHECK(zone.Capacity() == 0);
   }
 }
 
-Test(starts, what_waited_is_let_in_at_the_pace_of_reading) {
-  // 10 tokens a millisecond of which 0.7 are dealt out: 800 take 114 ms.
+Test(startup, waiting_requests_are_admitted_at_the_prefill_rate) {
+  // 0.7 of the 10 tokens per millisecond are granted: 800 tokens take 114 ms.
   WarmUpAdmission admission;
   admission.SetShare(10);
   int keys[30];
@@ -411,23 +422,23 @@
                             .mTarget = 500,
                             .mWaitLimit = 1800,
                             .mPromptTokens = 800};
-  SECTION("as many at once as are read in 0.2 s") {
-    int let = 0;
+  SECTION("the requests that are read within 0.2 s are admitted at once") {
+    int admitted = 0;
     for (int i = 0; i < 10; i++) {
-      let += admission.TryAdmit(&keys[i], fresh, 1000).mVerdict ==
-                     WarmUpVerdict::kAdmit
-                 ? 1
-                 : 0;
+      admitted += admission.TryAdmit(&keys[i], fresh, 1000).mVerdict ==
+                          WarmUpVerdict::kAdmit
+                      ? 1
+                      : 0;
     }
-    CHECK(let == 2);
+    CHECK(admitted == 2);
   }
-  SECTION("and the others as these are read") {
+  SECTION("the others are admitted as these are read") {
     CHECK(admission.TryAdmit(&keys[5], fresh, 1010).mVerdict ==
           WarmUpVerdict::kWait);
     CHECK(admission.TryAdmit(&keys[2], fresh, 1130).mVerdict ==
           WarmUpVerdict::kAdmit);
   }
-  SECTION("who still meets its target goes before one that is late") {
+  SECTION("requests that still meet their target precede late ones") {
     WarmUpAdmission other;
     other.SetShare(10);
     WarmUpRequest late = fresh;
@@ -437,12 +448,12 @@
     }
     (void)other.TryAdmit(&keys[4], late, 1000);
     const WarmUpDecision first = other.TryAdmit(&keys[2], fresh, 1040);
-    const WarmUpDecision after = other.TryAdmit(&keys[4], late, 1040);
-    CHECK(first.mTokensAhead < after.mTokensAhead);
+    const WarmUpDecision second = other.TryAdmit(&keys[4], late, 1040);
+    CHECK(first.mTokensAhead < second.mTokensAhead);
     CHECK(first.mVerdict == WarmUpVerdict::kAdmit);
-    CHECK(after.mVerdict == WarmUpVerdict::kWait);
+    CHECK(second.mVerdict == WarmUpVerdict::kWait);
   }
-  SECTION("who would have left by its turn is refused at once") {
+  SECTION("requests whose caller would leave before their turn are refused") {
     WarmUpAdmission other;
     other.SetShare(1);
     int refused = 0;
@@ -452,7 +463,7 @@
     }
     CHECK(refused >= 8);
   }
-  SECTION("who leaves makes room") {
+  SECTION("a caller that leaves shortens the queue") {
     WarmUpAdmission other;
     other.SetShare(10);
     for (int i = 0; i < 8; i++) {
@@ -462,7 +473,7 @@
     other.Withdraw(&keys[3]);
     CHECK(other.TryAdmit(&keys[7], fresh, 1001).mTokensAhead <= before);
   }
-  SECTION("where nothing is known nobody is held back") {
+  SECTION("all requests are admitted if the capacity is unknown") {
     WarmUpAdmission other;
     for (int i = 0; i < 10; i++) {
       CHECK(other.TryAdmit(&keys[i], fresh, 1000).mVerdict ==
@@ -471,22 +482,22 @@
   }
 }
 
-Test(starts, callers_come_back_when_there_is_room) {
-  SECTION("told a time by chance a half is refused again") {
-    const ReturnPlay play{.mPredicts = false};
-    CHECK(play.RefusedAgain() > 0.45);
+Test(startup, retry_times_follow_the_capacity_that_becomes_free) {
+  SECTION("with random retry times nearly half are refused again") {
+    const RetrySimulation play{.mUsesPrediction = false};
+    CHECK(play.ShareRefusedAgain() > 0.45);
   }
-  SECTION("told what comes free nearly nobody is") {
-    CHECK(ReturnPlay().RefusedAgain() < 0.005);
+  SECTION("with predicted retry times almost none are") {
+    CHECK(RetrySimulation().ShareRefusedAgain() < 0.005);
   }
-  SECTION("nor where one router tells them all") {
-    CHECK(ReturnPlay{.mRouterCount = 1}.RefusedAgain() < 0.005);
+  SECTION("with a single router almost none are either") {
+    CHECK(RetrySimulation{.mRouterCount = 1}.ShareRefusedAgain() < 0.005);
   }
 }
 
-Test(starts, a_time_to_come_back_keeps_its_bounds) {
+Test(startup, a_retry_time_stays_within_its_bounds) {
   RetrySchedule times;
-  SECTION("not before there may be room at all") {
+  SECTION("not before capacity can become free") {
     const AssignedRetry answer = times.Assign({.mNow = 50,
                                                .mTimeLeft = 20000,
                                                .mFreeAfter = 1200,
@@ -495,62 +506,62 @@
     CHECK(answer.mAfter < 1400);
     CHECK(answer.mRoomExpected);
   }
-  SECTION("within the third of its time that a caller waits") {
+  SECTION("within a third of the caller's remaining time") {
     const AssignedRetry answer = times.Assign(
         {.mNow = 50, .mTimeLeft = 900, .mFreeAfter = 5000, .mFreePerMilli = 1});
     CHECK(answer.mAfter == 300);
   }
-  SECTION("nor so far away that the slots until then fill the memory") {
+  SECTION("at most 10 s ahead, so that the slots use little memory") {
     const AssignedRetry answer = times.Assign(
         {.mNow = 50, .mTimeLeft = std::numeric_limits<Millis>::max()});
     CHECK(answer.mAfter <= 10000);
   }
-  SECTION("where nothing comes free they are spread over all of it") {
-    Millis least = 10000;
-    Millis most = 0;
+  SECTION("spread over the whole range if no capacity becomes free") {
+    Millis earliest = 10000;
+    Millis latest = 0;
     for (int i = 0; i < 40; i++) {
       const Millis after =
           times.Assign({.mNow = 50, .mTimeLeft = 12000, .mFreeAfter = 300})
               .mAfter;
-      least = std::min(least, after);
-      most = std::max(most, after);
+      earliest = std::min(earliest, after);
+      latest = std::max(latest, after);
     }
-    CHECK(least < 600);
-    CHECK(most > 3500);
+    CHECK(earliest < 600);
+    CHECK(latest > 3500);
   }
-  SECTION("those that were told before are gone when their time has passed") {
+  SECTION("past retry times no longer count as expected") {
     (void)times.Assign({.mNow = 50, .mTimeLeft = 900, .mFreePerMilli = 1});
     CHECK(times.ExpectedCallers(60) > 0);
     CHECK(times.ExpectedCallers(20000) == 0);
   }
 }
 
-Test(starts, who_has_come_back_is_told_by_the_time_it_has_left) {
+Test(startup, retries_are_recognised_by_their_remaining_time) {
   RetryDetector deadline;
-  SECTION("nothing is told before anyone came") {
+  SECTION("no request is a likely retry before the first one") {
     CHECK(!deadline.IsLikelyRetry(500));
   }
   for (int i = 0; i < 200; i++) {
-    // Of ten requests six are later tries.
+    // Six of ten requests are retries.
     deadline.Record(i % 10 < 4 ? 20000 : 12000);
   }
-  SECTION("less time than at first is a later try") {
+  SECTION("requests with less time than first attempts are retries") {
     CHECK(deadline.IsLikelyRetry(17000));
     CHECK(!deadline.IsLikelyRetry(20000));
     CHECK(!deadline.IsLikelyRetry(0));
   }
-  SECTION("one caller with much more time changes nothing for the others") {
+  SECTION("one caller with much more time does not change the estimate") {
     deadline.Record(30000);
     CHECK(!deadline.IsLikelyRetry(20000));
   }
-  SECTION("nor does one that says it has days, or all of time") {
+  SECTION("nor does a deadline of days or the greatest possible one") {
     constexpr Millis kDay = 86400000;
     deadline.Record(kDay);
     CHECK(!deadline.IsLikelyRetry(20000));
     deadline.Record(std::numeric_limits<Millis>::max());
     CHECK(!deadline.IsLikelyRetry(21000));
   }
-  SECTION("where all have more it follows") {
+  SECTION("the estimate follows if all callers have more time") {
     for (int i = 0; i < 100; i++) {
       deadline.Record(40000);
     }
