--- a/include/spindleweir/servers/engines/engine_model.h
+++ b/include/spindleweir/servers/engines/engine_model.h
@@ -1,45 +1,47 @@
-/// What an engine that holds a range of layers can do and how long it takes:
-/// the one model for choosing paths, admission and placement. Times are in
-/// milliseconds; memory counts tokens times layers.
+/// Capacity and timing of an engine that holds a range of layers. Path choice,
+/// admission and placement use this model. Times are in milliseconds; request
+/// memory is in tokens x layers.
 #pragma once
 
 #include "spindleweir/servers/routes/traffic_configuration.h"
 
 namespace spindleweir {
 
-/// The work that a stage has at a time.
+/// The concurrent work of a stage.
 struct StageLoad {
-  double mDecodingRequests = 0;  ///< Requests that write.
-  double mContextTokens = 0;     ///< Tokens of all writers together.
+  double mDecodingRequests = 0;  ///< Requests that generate tokens.
+  double mContextTokens = 0;     ///< Tokens of all these together.
 };
 
-/// One kind of accelerator of one service.
+/// Model of one accelerator kind of a service.
 class EngineModel {
  public:
   EngineModel(const EngineProfile& aProfile, const AcceleratorKind& aKind)
       : mProfile(aProfile), mKind(aKind) {}
 
-  /// The most layers that fit.
+  /// Maximum number of layers that fit into the memory.
   int MaxLayers() const;
-  /// Room for requests beside aLayers layers, in tokens x layers.
+  /// Memory for requests beside the weights of aLayers layers, in tokens x
+  /// layers.
   double RequestCapacity(int aLayers) const;
-  /// The most layers beside which so many tokens have room.
+  /// Maximum number of layers that leave memory for aTokens tokens.
   int MaxLayersForTokens(double aTokens) const;
-  /// One step of all writers through aLayers layers.
+  /// Time of one decoding step of all requests through aLayers layers.
   double StepMillis(int aLayers, const StageLoad& aLoad) const;
-  /// Reading a prompt through aLayers layers.
+  /// Time to prefill a prompt of aTokens tokens through aLayers layers.
   double PrefillMillis(int aLayers, double aTokens) const;
-  /// Loading aLayers layers while no other engine loads.
+  /// Time to load aLayers layers while no other engine loads.
   double LoadMillis(int aLayers) const;
 
  private:
-  double Share(int aLayers) const;
+  /// The share of all layers that aLayers layers are.
+  double LayerShare(int aLayers) const;
 
   const EngineProfile& mProfile;
   const AcceleratorKind& mKind;
 };
 
-/// Milliseconds that a token takes from one engine to the next.
+/// Milliseconds to transfer a token's activations from one engine to the next.
 double HopMillis(const EngineProfile& aProfile, bool aOtherZone);
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/placement/engine_report.h
+++ b/include/spindleweir/servers/placement/engine_report.h
@@ -1,4 +1,4 @@
-/// What an engine says of itself.
+/// The state that an engine reports.
 #pragma once
 
 #include <cstdint>
@@ -8,26 +8,26 @@
 
 namespace spindleweir {
 
-/// One engine's report, as its adapter reads it.
+/// One engine's report, as its adapter parses it.
 struct EngineReport {
   std::string mEngine;  ///< The VM's name.
   std::string mZone;
   std::string mAccelerator;
-  int mMemoryLayers = 0;    ///< How many layers fit.
-  double mLayerMicros = 0;  ///< Microseconds a layer and step.
-  int mBatch = 1;           ///< Tokens a step at most.
-  std::string mModel;       ///< Empty: nothing loaded.
+  int mMemoryLayers = 0;    ///< Layers that fit into its memory.
+  double mLayerMicros = 0;  ///< Microseconds per layer and step.
+  int mBatch = 1;           ///< Maximum tokens per step.
+  std::string mModel;       ///< Empty: no weights loaded.
   std::string mVersion;
-  int mFirst = 0;
-  int mLast = 0;
+  int mFirst = 0;  ///< First layer that it holds.
+  int mLast = 0;   ///< One past the last layer.
   bool mLoading = false;
-  int mQueue = 0;          ///< Streams that it holds.
-  double mStepMillis = 0;  ///< Measured time of a step; 0: none yet.
+  int mQueue = 0;          ///< Streams in the engine.
+  double mStepMillis = 0;  ///< Measured step time; 0: no step yet.
   bool mLeaving = false;
-  std::int64_t mIncarnation = 0;  ///< Grows with each start.
-  std::int64_t mEpoch = 0;        ///< The greatest order epoch it has seen.
+  std::int64_t mIncarnation = 0;  ///< Increases with each start.
+  std::int64_t mEpoch = 0;        ///< The greatest order epoch received.
 
-  /// Tokens a second that it can do with aLayers layers.
+  /// Tokens per second that the engine can process with aLayers layers.
   double TokensPerSecond(int aLayers) const {
     constexpr double kMicrosPerSecond = 1e6;
     const double micros = mLayerMicros * aLayers;
--- a/include/spindleweir/servers/placement/layer_planner.h
+++ b/include/spindleweir/servers/placement/layer_planner.h
@@ -1,7 +1,7 @@
-/// Decides which layers each engine of a service holds. A zone is worth what
-/// share of its demand it has room for, now and after the loss of any one
-/// engine; of whole rows of the fastest engines and of groups whose engines
-/// share their layers, the placement with most of it is taken.
+/// Decides which layers each engine of a service holds. The value of a zone is
+/// the share of its demand that it has capacity for, now and after the loss of
+/// any single engine. Pipelines of the fastest engines and groups whose engines
+/// share layers are planned, and the placement with the greatest value is used.
 #pragma once
 
 #include <string>
@@ -12,7 +12,7 @@
 
 namespace spindleweir {
 
-/// One engine that is to hold other layers.
+/// An order to an engine to hold other layers.
 struct LayerOrder {
   std::string mInstance;
   LayerRange mLayers;
@@ -20,10 +20,11 @@
   bool operator==(const LayerOrder&) const = default;
 };
 
-/// Orders for the engines that hold nothing, and for layers that no engine of
-/// a zone holds any more: engines whose layers others hold too take them, else
-/// those beside the hole grow into it. Where neither is to be done, the one
-/// move that gains clearly more than its load costs.
+/// Returns orders for the engines that hold no layers, and for layers that no
+/// engine of a zone holds any more: redundant engines, whose layers others hold
+/// too, take these over, or else the engines next to the gap extend their
+/// ranges. If neither applies, the single move whose gain clearly exceeds the
+/// cost of its load.
 std::vector<LayerOrder> PlanLayers(
     const EngineProfile& aProfile,
     const std::vector<const UpstreamRecord*>& aEngines);
--- a/include/spindleweir/servers/placement/order_planner.h
+++ b/include/spindleweir/servers/placement/order_planner.h
@@ -15,19 +15,20 @@
 /// An order to one engine.
 struct EngineOrder {
   OrderKind mKind = OrderKind::kLoad;
-  StagePlacement mStage;  ///< For kDrop only the engine counts.
-  double mGain = 0;       ///< Tokens a second that it brings.
+  StagePlacement mStage;  ///< For kDrop only engine and zone are set.
+  double mGain = 0;       ///< Tokens per second that the load adds.
 };
 
-/// What the decision looks at.
+/// Input of PlanOrders().
 struct OrderInput {
-  std::span<const StagePlacement> mPlacement;  ///< Wanted in the zone.
-  std::span<const EngineReport> mEngines;      ///< Of the zone.
-  int mMaxLoads = 4;  ///< Loads at a time: the weights store is slow.
+  std::span<const StagePlacement> mPlacement;  ///< The zone's accepted stages.
+  std::span<const EngineReport> mEngines;      ///< The zone's engines.
+  int mMaxLoads = 4;  ///< Concurrent loads: the weights store is slow.
 };
 
-/// The orders to give now, the greatest gain first; loads under way count
-/// against the maximum.
+/// Returns the orders to send now: first drops of unwanted weights, then loads,
+/// one for the slowest stage at a time, the greatest gain first among equals.
+/// Loads in progress count against mMaxLoads.
 std::vector<EngineOrder> PlanOrders(const OrderInput& aInput);
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/placement/placement_planner.h
+++ b/include/spindleweir/servers/placement/placement_planner.h
@@ -1,4 +1,4 @@
-/// Turns an intent and the engines there are into a plan.
+/// Makes a plan from an intent and the available engines.
 #pragma once
 
 #include <set>
@@ -11,21 +11,21 @@
 
 namespace spindleweir {
 
-/// What the planner looks at.
+/// Input of MakePlan().
 struct PlacementInput {
   const Intent& mIntent;
-  /// The accepted configuration: its placement is kept where it is good.
+  /// The accepted configuration. Its placement is kept if it is good enough.
   const Configuration& mCurrent;
-  std::span<const EngineReport> mEngines;  ///< Those that answer.
-  /// Engines that must get no stage: drained, leaving or dead.
+  std::span<const EngineReport> mEngines;  ///< Engines that answer.
+  /// Engines that must not get a stage: drained, leaving or dead.
   const std::set<std::string>& mUnusable;
-  /// How much worse than the best the present placement may be before stages
-  /// move: moving costs load time and cache.
+  /// Share by which the current placement may be slower than the best one
+  /// before stages move. A move costs load time and cached data.
   double mHysteresis = 0.1;
 };
 
-/// The placement, what it changes, gives and lacks. Ids and times are the
-/// caller's to fill in.
+/// Returns the placement, its changes, capacity and shortages. The caller sets
+/// ids and times.
 Plan MakePlan(const PlacementInput& aInput);
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/placement/stage_split.h
+++ b/include/spindleweir/servers/placement/stage_split.h
@@ -1,4 +1,5 @@
-/// Splits a model's layers over engines of mixed speed and memory.
+/// Splits a model's layers into stages over engines of different speed and
+/// memory.
 #pragma once
 
 #include <span>
@@ -9,26 +10,30 @@
 
 namespace spindleweir {
 
-/// A split: boundaries 0 = b0 < b1 < ... = layers, and a stage an engine.
+/// A split: boundaries 0 = b0 < b1 < ... = layers, and a stage for each engine.
 struct StageSplit {
   std::vector<int> mBoundaries;
-  std::vector<int> mStageOf;    ///< For each engine; -1: left out.
-  double mTokensPerSecond = 0;  ///< The smallest stage's.
-  int mLeastEngines = 0;        ///< Engines of the smallest stage.
+  std::vector<int> mStageOf;    ///< For each engine; -1: no stage.
+  double mTokensPerSecond = 0;  ///< Of the slowest stage.
+  int mMinEnginesPerStage = 0;  ///< Of the stage with the fewest.
 };
 
-/// The best split found: the smallest stage's tokens a second as great as
-/// hill climbing over boundaries finds it. Prefers splits in which every stage
-/// keeps an engine after one loss. No stages where the model does not fit.
+/// Returns the best split that hill climbing over the boundaries finds: the
+/// greatest tokens per second of the slowest stage. Prefers splits in which
+/// each stage still has an engine after one loss. Without stages if the model
+/// doesn't fit.
 StageSplit SplitStages(std::span<const EngineReport> aEngines, int aLayers);
 
-/// Deals the engines that have no stage, in the given order, each to the
-/// slowest stage so far that it fits; then sets the split's totals over all.
-void DealToSlowest(std::span<const EngineReport> aEngines,
-                   std::span<const std::size_t> aOrder, StageSplit& aSplit);
+/// Assigns the engines that have no stage, in the given order, each to the
+/// stage that is slowest so far and that fits into its memory. Then recomputes
+/// the totals of the split.
+void AssignToSlowestStage(std::span<const EngineReport> aEngines,
+                          std::span<const std::size_t> aOrder,
+                          StageSplit& aSplit);
 
-/// Assigns the engines to given boundaries: the slowest stage so far gets the
-/// next fastest engine that fits.
+/// Assigns the engines to given boundaries: each goes to the stage that is
+/// slowest so far and fits into its memory, engines with the fewest such stages
+/// first.
 StageSplit AssignEngines(std::span<const EngineReport> aEngines,
                          const std::vector<int>& aBoundaries);
 
--- a/servers/engines/engine_model.cpp
+++ b/servers/engines/engine_model.cpp
@@ -12,8 +12,8 @@
 constexpr double kPairsPerUnit = 1e6;
 constexpr double kBitsPerByte = 8;
 constexpr double kBitsPerMbit = 1e6;
-/// Between two engines of a zone, one way.
-constexpr double kSameZoneMillis = 0.2;
+/// Delay between two engines of a zone, one way.
+constexpr double kSameZoneDelay = 0.2;
 
 }  // namespace
 
@@ -27,46 +27,50 @@
 double EngineModel::RequestCapacity(int aLayers) const {
   const double bytes =
       (mKind.mMemoryMb - aLayers * mProfile.mLayerMb) * kBytesPerMb;
-  const double each = mProfile.mTokenBytes / std::max(1, mProfile.mLayers);
-  return each <= 0 ? 0 : std::max(0.0, bytes / each);
+  const double bytesPerTokenLayer =
+      mProfile.mTokenBytes / std::max(1, mProfile.mLayers);
+  return bytesPerTokenLayer <= 0 ? 0
+                                 : std::max(0.0, bytes / bytesPerTokenLayer);
 }
 
 int EngineModel::MaxLayersForTokens(double aTokens) const {
-  const double each = mProfile.mTokenBytes / std::max(1, mProfile.mLayers);
-  const double layerMb = mProfile.mLayerMb + aTokens * each / kBytesPerMb;
-  const double most =
+  const double bytesPerTokenLayer =
+      mProfile.mTokenBytes / std::max(1, mProfile.mLayers);
+  const double layerMb =
+      mProfile.mLayerMb + aTokens * bytesPerTokenLayer / kBytesPerMb;
+  const double maxLayers =
       layerMb <= 0 ? mProfile.mLayers : mKind.mMemoryMb / layerMb;
-  return std::min(MaxLayers(), static_cast<int>(most));
+  return std::min(MaxLayers(), static_cast<int>(maxLayers));
 }
 
-double EngineModel::Share(int aLayers) const {
+double EngineModel::LayerShare(int aLayers) const {
   return static_cast<double>(aLayers) / std::max(1, mProfile.mLayers);
 }
 
 double EngineModel::StepMillis(int aLayers, const StageLoad& aLoad) const {
-  const double whole =
+  const double allLayersMillis =
       mProfile.mStepMillis + aLoad.mDecodingRequests * mProfile.mRequestMillis +
       aLoad.mContextTokens / kTokensPerContext * mProfile.mContextMillis;
-  return Share(aLayers) * mKind.mStepFactor * whole;
+  return LayerShare(aLayers) * mKind.mStepFactor * allLayersMillis;
 }
 
 double EngineModel::PrefillMillis(int aLayers, double aTokens) const {
-  const double plain =
+  const double linear =
       mProfile.mReadPerSecond <= 0
           ? 0
           : aTokens / mProfile.mReadPerSecond * kMillisPerSecond;
-  const double pairs =
+  const double quadratic =
       aTokens * aTokens / 2 / kPairsPerUnit * mProfile.mPairMillis;
-  return Share(aLayers) * mKind.mReadFactor * (plain + pairs);
+  return LayerShare(aLayers) * mKind.mReadFactor * (linear + quadratic);
 }
 
 double EngineModel::LoadMillis(int aLayers) const {
-  return Share(aLayers) * mProfile.mLoadSeconds * kMillisPerSecond;
+  return LayerShare(aLayers) * mProfile.mLoadSeconds * kMillisPerSecond;
 }
 
 double HopMillis(const EngineProfile& aProfile, bool aOtherZone) {
   const double mbps = aOtherZone ? aProfile.mPipeMbps : aProfile.mLinkMbps;
-  const double delay = aOtherZone ? aProfile.mZoneDelay : kSameZoneMillis;
+  const double delay = aOtherZone ? aProfile.mZoneDelay : kSameZoneDelay;
   const double bits = aProfile.mActivationBytes * kBitsPerByte;
   return delay +
          (mbps <= 0 ? 0 : bits / (mbps * kBitsPerMbit) * kMillisPerSecond);
--- a/servers/placement/layer_groups.cpp
+++ b/servers/placement/layer_groups.cpp
@@ -8,138 +8,142 @@
 namespace {
 
 /// Engines that hold the same layers.
-constexpr int kSharing = 2;
-
-/// The cards of one kind. Each is alone with its layers or
-/// shares them.
-struct KindOfCards {
-  Cards mCards;
-  int mLayersAlone = 0;
-  int mLayersShared = 0;
+constexpr int kEnginesPerGroup = 2;
+
+/// The engines of one accelerator kind, and how many layers each can hold if it
+/// is unpaired or shares its layers.
+struct EnginesOfKind {
+  CandidateEngines mEngines;
+  int mMaxLayersAlone = 0;
+  int mMaxLayersShared = 0;
 };
 
-/// For each kind, how many cards are alone.
-struct Split {
-  std::vector<int> mAlone;
+/// For each kind, how many engines are unpaired: no other engine holds their
+/// layers.
+struct GroupSplit {
+  std::vector<int> mUnpairedByKind;
   int mLayers = 0;
-  int mSingles = 0;
-  bool mWhole = false;  ///< All layers are held.
+  int mUnpaired = 0;
+  bool mCoversAllLayers = false;
 };
 
-/// Cards that hold the same layers.
+/// Engines that hold the same layers.
 struct Group {
-  Cards mCards;
-  int mLayers = 0;  ///< That fit.
+  CandidateEngines mEngines;
+  int mLayers = 0;  ///< Layers that fit.
 };
 
-std::vector<KindOfCards> ByKind(const EngineProfile& aProfile,
-                                const Cards& aCards, double aTokens) {
-  std::vector<KindOfCards> kinds;
-  for (const Card& card : aCards) {
+std::vector<EnginesOfKind> GroupByKind(const EngineProfile& aProfile,
+                                       const CandidateEngines& aEngines,
+                                       double aTokens) {
+  std::vector<EnginesOfKind> kinds;
+  for (const CandidateEngine& engine : aEngines) {
     const auto it = std::find_if(
-        kinds.begin(), kinds.end(), [&card](const KindOfCards& aKind) {
-          return aKind.mCards.front().mKind == card.mKind;
+        kinds.begin(), kinds.end(), [&engine](const EnginesOfKind& aKind) {
+          return aKind.mEngines.front().mKind == engine.mKind;
         });
     if (it != kinds.end()) {
-      it->mCards.push_back(card);
+      it->mEngines.push_back(engine);
       continue;
     }
-    const EngineModel model(aProfile, *card.mKind);
-    kinds.push_back(
-        {.mCards = {card},
-         .mLayersAlone = model.MaxLayersForTokens(aTokens),
-         .mLayersShared = model.MaxLayersForTokens(aTokens / kSharing)});
+    const EngineModel model(aProfile, *engine.mKind);
+    kinds.push_back({.mEngines = {engine},
+                     .mMaxLayersAlone = model.MaxLayersForTokens(aTokens),
+                     .mMaxLayersShared =
+                         model.MaxLayersForTokens(aTokens / kEnginesPerGroup)});
   }
   return kinds;
 }
 
-/// Tries each number of cards alone, kind by kind; keeps the split with the
-/// fewest, and of these the one with the most layers.
-class SplitSearch {
+/// Tries each number of unpaired engines, kind by kind. Returns the split with
+/// the fewest unpaired engines, and among these the one with the most layers.
+class GroupSplitSearch {
  public:
-  SplitSearch(const std::vector<KindOfCards>& aKinds, int aLayers)
+  GroupSplitSearch(const std::vector<EnginesOfKind>& aKinds, int aLayers)
       : mKinds(aKinds), mLayers(aLayers) {}
 
-  Split Find() {
-    Split split;
+  GroupSplit Find() {
+    GroupSplit split;
     Try(split);
     return mBest;
   }
 
  private:
-  void Try(Split& aSplit) {
-    const std::size_t n = aSplit.mAlone.size();
+  void Try(GroupSplit& aSplit) {
+    const std::size_t n = aSplit.mUnpairedByKind.size();
     if (n == mKinds.size()) {
-      Judge(aSplit);
+      Evaluate(aSplit);
       return;
     }
-    const KindOfCards& kind = mKinds[n];
-    const int count = static_cast<int>(kind.mCards.size());
-    for (int alone = 0; alone <= count; alone++) {
-      const int rest = count - alone;
-      if (rest == 1) {
+    const EnginesOfKind& kind = mKinds[n];
+    const int count = static_cast<int>(kind.mEngines.size());
+    for (int unpaired = 0; unpaired <= count; unpaired++) {
+      const int paired = count - unpaired;
+      if (paired == 1) {
         continue;
       }
-      const int layers =
-          alone * kind.mLayersAlone + rest / kSharing * kind.mLayersShared;
-      aSplit.mAlone.push_back(alone);
+      const int layers = unpaired * kind.mMaxLayersAlone +
+                         paired / kEnginesPerGroup * kind.mMaxLayersShared;
+      aSplit.mUnpairedByKind.push_back(unpaired);
       aSplit.mLayers += layers;
-      aSplit.mSingles += alone;
+      aSplit.mUnpaired += unpaired;
       Try(aSplit);
-      aSplit.mAlone.pop_back();
+      aSplit.mUnpairedByKind.pop_back();
       aSplit.mLayers -= layers;
-      aSplit.mSingles -= alone;
+      aSplit.mUnpaired -= unpaired;
     }
   }
 
-  void Judge(const Split& aSplit) {
+  void Evaluate(const GroupSplit& aSplit) {
     if (aSplit.mLayers < mLayers) {
       return;
     }
-    const bool fewer = aSplit.mSingles < mBest.mSingles;
-    const bool roomier =
-        aSplit.mSingles == mBest.mSingles && aSplit.mLayers > mBest.mLayers;
-    if (!mBest.mWhole || fewer || roomier) {
+    const bool fewer = aSplit.mUnpaired < mBest.mUnpaired;
+    const bool moreLayers =
+        aSplit.mUnpaired == mBest.mUnpaired && aSplit.mLayers > mBest.mLayers;
+    if (!mBest.mCoversAllLayers || fewer || moreLayers) {
       mBest = aSplit;
-      mBest.mWhole = true;
+      mBest.mCoversAllLayers = true;
     }
   }
 
-  const std::vector<KindOfCards>& mKinds;
+  const std::vector<EnginesOfKind>& mKinds;
   int mLayers;
-  Split mBest;
+  GroupSplit mBest;
 };
 
-std::vector<Group> MakeGroups(const std::vector<KindOfCards>& aKinds,
-                              const Split& aSplit) {
+std::vector<Group> MakeGroups(const std::vector<EnginesOfKind>& aKinds,
+                              const GroupSplit& aSplit) {
   std::vector<Group> groups;
   for (std::size_t i = 0; i < aKinds.size(); i++) {
-    const KindOfCards& kind = aKinds[i];
-    const auto alone = static_cast<std::size_t>(aSplit.mAlone[i]);
-    for (std::size_t n = 0; n < alone; n++) {
-      groups.push_back({{kind.mCards[n]}, kind.mLayersAlone});
+    const EnginesOfKind& kind = aKinds[i];
+    const auto unpaired = static_cast<std::size_t>(aSplit.mUnpairedByKind[i]);
+    for (std::size_t n = 0; n < unpaired; n++) {
+      groups.push_back({{kind.mEngines[n]}, kind.mMaxLayersAlone});
     }
-    for (std::size_t n = alone; n < kind.mCards.size(); n += kSharing) {
-      if (n + 1 == kind.mCards.size()) {
-        // The odd one joins the last pair.
-        groups.back().mCards.push_back(kind.mCards[n]);
+    for (std::size_t n = unpaired; n < kind.mEngines.size();
+         n += kEnginesPerGroup) {
+      if (n + 1 == kind.mEngines.size()) {
+        // The odd engine joins the last pair.
+        groups.back().mEngines.push_back(kind.mEngines[n]);
         continue;
       }
       groups.push_back(
-          {{kind.mCards[n], kind.mCards[n + 1]}, kind.mLayersShared});
+          {{kind.mEngines[n], kind.mEngines[n + 1]}, kind.mMaxLayersShared});
     }
   }
-  // A stream whose first engine is lost begins anew at all others: the first
-  // layers go to engines that share them.
+  // A stream that loses its first engine restarts at all of its engines, so the
+  // first layers go to engines that share them.
   std::stable_sort(groups.begin(), groups.end(),
                    [](const Group& aLeft, const Group& aRight) {
-                     return aLeft.mCards.size() > aRight.mCards.size();
+                     return aLeft.mEngines.size() > aRight.mEngines.size();
                    });
   return groups;
 }
 
-/// Deals the layers in proportion to what fits.
-std::vector<LayerOrder> Deal(const std::vector<Group>& aGroups, int aLayers) {
+/// Assigns the layers in proportion to the number that fits into each group.
+std::vector<LayerOrder> AssignLayers(const std::vector<Group>& aGroups,
+                                     int aLayers) {
   double total = 0;
   for (const Group& group : aGroups) {
     total += group.mLayers;
@@ -150,8 +154,8 @@
   for (const Group& group : aGroups) {
     sum += group.mLayers;
     const int to = static_cast<int>(std::lround(aLayers * sum / total));
-    for (const Card& card : group.mCards) {
-      orders.push_back({card.mRecord->mInstance, {from, to}});
+    for (const CandidateEngine& engine : group.mEngines) {
+      orders.push_back({engine.mRecord->mInstance, {from, to}});
     }
     from = to;
   }
@@ -164,11 +168,14 @@
 }  // namespace
 
 std::vector<LayerOrder> PlanGroups(const EngineProfile& aProfile,
-                                   const Cards& aCards, double aTokens) {
-  const std::vector<KindOfCards> kinds = ByKind(aProfile, aCards, aTokens);
-  const Split split = SplitSearch(kinds, aProfile.mLayers).Find();
-  return split.mWhole ? Deal(MakeGroups(kinds, split), aProfile.mLayers)
-                      : std::vector<LayerOrder>();
+                                   const CandidateEngines& aEngines,
+                                   double aTokens) {
+  const std::vector<EnginesOfKind> kinds =
+      GroupByKind(aProfile, aEngines, aTokens);
+  const GroupSplit split = GroupSplitSearch(kinds, aProfile.mLayers).Find();
+  return split.mCoversAllLayers
+             ? AssignLayers(MakeGroups(kinds, split), aProfile.mLayers)
+             : std::vector<LayerOrder>();
 }
 
 }  // namespace spindleweir
--- a/servers/placement/layer_groups.h
+++ b/servers/placement/layer_groups.h
@@ -1,18 +1,20 @@
 /// Splits the layers of a zone whose memory holds the weights more than once
-/// but not twice: as many engines as can be share their layers with another.
+/// but less than twice. As many engines as possible share their layers with
+/// another engine.
 #pragma once
 
 #include <vector>
 
-#include "servers/placement/layer_cards.h"
+#include "servers/placement/layer_coverage.h"
 #include "spindleweir/servers/placement/layer_planner.h"
 
 namespace spindleweir {
 
-/// Layers for each card, where an engine that is alone with its layers has room
-/// for aTokens and each of two that share theirs for half of them; empty where
-/// the zone cannot hold all layers so.
+/// Orders that assign layers to each engine. An engine alone with its layers
+/// has capacity for aTokens, and each of two that share their layers for half
+/// of that. Empty if the zone can't hold all layers under these conditions.
 std::vector<LayerOrder> PlanGroups(const EngineProfile& aProfile,
-                                   const Cards& aCards, double aTokens);
+                                   const CandidateEngines& aEngines,
+                                   double aTokens);
 
 }  // namespace spindleweir
--- a/servers/placement/layer_planner.cpp
+++ b/servers/placement/layer_planner.cpp
@@ -4,7 +4,7 @@
 #include <map>
 
 #include "servers/placement/layer_groups.h"
-#include "servers/placement/layer_rows.h"
+#include "servers/placement/layer_pipelines.h"
 #include "servers/placement/zone_cells.h"
 #include "servers/placement/zone_repair.h"
 #include "servers/placement/zone_value.h"
@@ -13,117 +13,126 @@
 
 namespace {
 
-/// Parts of the tokens that a zone should have room for, with which groups
-/// are tried: less room lets more engines share their layers.
-constexpr double kRoomsTried[] = {1.3, 1.15, 1.0, 0.85, 0.7, 0.55, 0.4, 0.25};
+/// Factors on the tokens that a zone should have capacity for; groups are
+/// planned with each of them. Less capacity lets more engines share their
+/// layers.
+constexpr double kCapacityFactors[] = {1.3, 1.15, 1.0, 0.85,
+                                       0.7, 0.55, 0.4, 0.25};
 
-/// Engines of a zone that are placed one by one in a plan; the others follow
-/// with the next. Each takes up to 3 ms of a core, which a leader lacks for
-/// its answers to voters meanwhile.
-constexpr std::size_t kPlacedAtOnce = 8;
+/// Engines of a zone that are placed one by one in a plan; the next plan places
+/// the others. Each takes up to 3 ms of CPU time, during which the leader can't
+/// answer voters.
+constexpr std::size_t kMaxPlacementsPerPlan = 8;
 
-/// The engines of a zone.
+/// The engines of a zone, by whether they hold layers.
 struct Zone {
-  Cards mHolding;
-  Cards mEmpty;
-  bool mChanging = false;  ///< An order to one of them is under way.
+  CandidateEngines mWithLayers;
+  CandidateEngines mWithoutLayers;
+  bool mOrderInFlight = false;  ///< An engine carries out an order.
 };
 
-/// The layers that a card was just dealt; empty: none.
-LayerRange RangeOf(const std::vector<LayerOrder>& aOrders, const Card& aCard) {
+/// The layers that aOrders assign to an engine; empty if none.
+LayerRange AssignedLayers(const std::vector<LayerOrder>& aOrders,
+                          const CandidateEngine& aEngine) {
   for (const LayerOrder& order : aOrders) {
-    if (order.mInstance == aCard.mRecord->mInstance) {
+    if (order.mInstance == aEngine.mRecord->mInstance) {
       return order.mLayers;
     }
   }
   return {};
 }
 
-/// A way to deal layers to a zone that holds none.
-struct Deal {
+/// Orders for an empty zone or cell, and the value of the zone with them.
+struct LayerAssignment {
   std::vector<LayerOrder> mOrders;
   ZoneValue mValue;
 };
 
-/// Places what a deal has left over, and judges it.
-Deal Complete(const EngineProfile& aProfile, const Cards& aCards,
-              std::vector<LayerOrder> aOrders) {
-  Deal deal{.mOrders = std::move(aOrders), .mValue = {}};
-  std::vector<Holder> holders;
-  Cards left;
-  for (const Card& card : aCards) {
-    const LayerRange layers = RangeOf(deal.mOrders, card);
+/// Places the engines that aOrders leave without layers, and evaluates the
+/// result.
+LayerAssignment CompleteAssignment(const EngineProfile& aProfile,
+                                   const CandidateEngines& aEngines,
+                                   std::vector<LayerOrder> aOrders) {
+  LayerAssignment assignment{.mOrders = std::move(aOrders), .mValue = {}};
+  std::vector<PlacedEngine> placed;
+  CandidateEngines unplaced;
+  for (const CandidateEngine& engine : aEngines) {
+    const LayerRange layers = AssignedLayers(assignment.mOrders, engine);
     if (layers.Count() > 0) {
-      holders.push_back({card, layers});
+      placed.push_back({engine, layers});
     } else {
-      left.push_back(card);
+      unplaced.push_back(engine);
     }
   }
-  for (const Card& card : left) {
-    deal.mOrders.push_back(PlaceEmpty(aProfile, card, holders));
+  for (const CandidateEngine& engine : unplaced) {
+    assignment.mOrders.push_back(PlaceEmptyEngine(aProfile, engine, placed));
   }
-  deal.mValue = ValueOf(aProfile, holders);
-  return deal;
+  assignment.mValue = EvaluateZone(aProfile, placed);
+  return assignment;
 }
 
-/// Deals layers to the engines of a cell where none holds any.
+/// Assigns layers to the engines of a cell in which no engine holds any.
 std::vector<LayerOrder> PlanEmptyCell(const EngineProfile& aProfile,
-                                      const Cards& aCards) {
-  Deal best = Complete(aProfile, aCards, PlanRows(aCards, aProfile.mLayers));
+                                      const CandidateEngines& aEngines) {
+  LayerAssignment best = CompleteAssignment(
+      aProfile, aEngines, PlanPipelines(aEngines, aProfile.mLayers));
   if (aProfile.mCapacityTokens <= 0) {
     return best.mOrders;
   }
-  for (double part : kRoomsTried) {
+  for (double factor : kCapacityFactors) {
     std::vector<LayerOrder> orders =
-        PlanGroups(aProfile, aCards, part * aProfile.mCapacityTokens);
+        PlanGroups(aProfile, aEngines, factor * aProfile.mCapacityTokens);
     if (orders.empty()) {
       continue;
     }
-    Deal deal = Complete(aProfile, aCards, std::move(orders));
-    if (deal.mValue > best.mValue) {
-      best = std::move(deal);
+    LayerAssignment assignment =
+        CompleteAssignment(aProfile, aEngines, std::move(orders));
+    if (assignment.mValue > best.mValue) {
+      best = std::move(assignment);
     }
   }
   return best.mOrders;
 }
 
 std::vector<LayerOrder> PlanZone(const EngineProfile& aProfile, Zone aZone) {
-  std::sort(aZone.mEmpty.begin(), aZone.mEmpty.end(),
-            [](const Card& aLeft, const Card& aRight) {
+  std::sort(aZone.mWithoutLayers.begin(), aZone.mWithoutLayers.end(),
+            [](const CandidateEngine& aLeft, const CandidateEngine& aRight) {
               if (aLeft.mKind->mStepFactor != aRight.mKind->mStepFactor) {
                 return aLeft.mKind->mStepFactor < aRight.mKind->mStepFactor;
               }
               return aLeft.mRecord->mInstance < aRight.mRecord->mInstance;
             });
   std::vector<LayerOrder> orders;
-  const std::vector<Cards> cells = DivideIntoCells(aProfile, aZone.mEmpty);
-  if (aZone.mHolding.empty() || cells.size() > 1) {
-    // So many at once make whole cells of their own, whatever others hold.
-    for (const Cards& cell : cells) {
+  const std::vector<CandidateEngines> cells =
+      DivideIntoCells(aProfile, aZone.mWithoutLayers);
+  if (aZone.mWithLayers.empty() || cells.size() > 1) {
+    // This many new engines form complete cells of their own, independent of
+    // the layers that other engines hold.
+    for (const CandidateEngines& cell : cells) {
       for (const LayerOrder& order : PlanEmptyCell(aProfile, cell)) {
         orders.push_back(order);
       }
     }
     return orders;
   }
-  std::vector<Holder> holders;
-  for (const Card& card : aZone.mHolding) {
-    holders.push_back({card, card.mRecord->mLayers});
+  std::vector<PlacedEngine> placed;
+  for (const CandidateEngine& engine : aZone.mWithLayers) {
+    placed.push_back({engine, engine.mRecord->mLayers});
   }
-  for (const Card& card : aZone.mEmpty) {
-    if (orders.size() == kPlacedAtOnce) {
+  for (const CandidateEngine& engine : aZone.mWithoutLayers) {
+    if (orders.size() == kMaxPlacementsPerPlan) {
       return orders;
     }
-    orders.push_back(PlaceEmpty(aProfile, card, holders));
+    orders.push_back(PlaceEmptyEngine(aProfile, engine, placed));
   }
   if (orders.empty()) {
-    orders = CloseHoles(aProfile, holders);
+    orders = FillGaps(aProfile, placed);
   }
-  if (orders.empty() && !aZone.mChanging) {
-    orders = JoinHoles(aProfile, holders);
+  if (orders.empty() && !aZone.mOrderInFlight) {
+    orders = MergeGaps(aProfile, placed);
   }
-  if (orders.empty() && !aZone.mChanging) {
-    orders = Rebalance(aProfile, holders);
+  if (orders.empty() && !aZone.mOrderInFlight) {
+    orders = Rebalance(aProfile, placed);
   }
   return orders;
 }
@@ -139,16 +148,17 @@
     if (kind == nullptr || record->mState != UpstreamState::kReady) {
       continue;
     }
-    const Card card{record, kind, EngineModel(aProfile, *kind).MaxLayers()};
-    if (card.mMost <= 0) {
+    const CandidateEngine engine{record, kind,
+                                 EngineModel(aProfile, *kind).MaxLayers()};
+    if (engine.mMaxLayers <= 0) {
       continue;
     }
     Zone& zone = zones[record->mZone];
-    zone.mChanging = zone.mChanging || record->mBusy;
-    // Layers that the model does not have are of other weights.
+    zone.mOrderInFlight = zone.mOrderInFlight || record->mBusy;
+    // A range beyond the model's layers belongs to other weights.
     const bool holds =
         record->mLayers.Count() > 0 && record->mLayers.mTo <= aProfile.mLayers;
-    (holds ? zone.mHolding : zone.mEmpty).push_back(card);
+    (holds ? zone.mWithLayers : zone.mWithoutLayers).push_back(engine);
   }
   std::vector<LayerOrder> orders;
   for (const auto& [name, zone] : zones) {
--- a/servers/placement/order_planner.cpp
+++ b/servers/placement/order_planner.cpp
@@ -15,14 +15,15 @@
          aEngine.mFirst == aStage.mFirst && aEngine.mLast == aStage.mLast;
 }
 
-/// Tokens a second of each stage that stands already, by its first layer.
+/// Tokens per second of each stage that engines already hold, by model and
+/// first layer.
 using StageSpeeds = std::map<std::string, double>;
 
 std::string StageKey(const StagePlacement& aStage) {
   return aStage.mModel + "/" + std::to_string(aStage.mFirst);
 }
 
-StageSpeeds SpeedsNow(const OrderInput& aInput, const StageIndex& aWanted) {
+StageSpeeds CurrentSpeeds(const OrderInput& aInput, const StageIndex& aWanted) {
   StageSpeeds speeds;
   for (const StagePlacement& stage : aInput.mPlacement) {
     speeds.try_emplace(StageKey(stage), 0);
@@ -41,7 +42,7 @@
 
 std::vector<EngineOrder> PlanOrders(const OrderInput& aInput) {
   const StageIndex wanted(aInput.mPlacement);
-  StageSpeeds speeds = SpeedsNow(aInput, wanted);
+  StageSpeeds speeds = CurrentSpeeds(aInput, wanted);
   std::vector<EngineOrder> loads;
   std::vector<EngineOrder> orders;
   int loading = 0;
@@ -60,12 +61,12 @@
       continue;
     }
     if (!Holds(engine, *stage)) {
-      const double own = engine.TokensPerSecond(stage->mLast - stage->mFirst);
-      loads.push_back({OrderKind::kLoad, *stage, own});
+      const double gain = engine.TokensPerSecond(stage->mLast - stage->mFirst);
+      loads.push_back({OrderKind::kLoad, *stage, gain});
     }
   }
-  // One at a time to the stage that holds back the whole, as it will be with
-  // the loads already chosen.
+  // Chooses the loads one by one, each for the stage that is slowest with the
+  // loads chosen so far: it limits the whole model.
   while (!loads.empty() && loading < aInput.mMaxLoads) {
     const auto it = std::min_element(
         loads.begin(), loads.end(),
--- a/servers/placement/placement_planner.cpp
+++ b/servers/placement/placement_planner.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// The usable engines of one zone, by name.
+/// The usable engines of one zone, sorted by name.
 struct ZoneEngines {
   std::string mZone;
   std::vector<EngineReport> mEngines;
@@ -39,14 +39,14 @@
   return list;
 }
 
-/// Deals a zone's engines to the models that may run there, by share; an
-/// engine stays with the model that it holds while that model is under its
+/// Assigns a zone's engines to the models that may run there, by share. An
+/// engine keeps the model that it holds as long as that model is below its
 /// share.
-std::vector<std::vector<EngineReport>> DealEngines(const PlacementInput& aInput,
-                                                   const StageIndex& aPresent,
-                                                   const ZoneEngines& aZone) {
+std::vector<std::vector<EngineReport>> AssignEnginesToModels(
+    const PlacementInput& aInput, const StageIndex& aCurrent,
+    const ZoneEngines& aZone) {
   const std::vector<ModelSpec>& models = aInput.mIntent.mModels;
-  std::vector<std::vector<EngineReport>> dealt(models.size());
+  std::vector<std::vector<EngineReport>> assigned(models.size());
   const auto allowed = [&](const ModelSpec& aModel,
                            const EngineReport& aEngine) {
     return Allows(aModel.mZones, aZone.mZone) &&
@@ -57,49 +57,50 @@
     shares += Allows(model.mZones, aZone.mZone) ? model.mShare : 0;
   }
   const auto count = static_cast<double>(aZone.mEngines.size());
-  std::vector<const EngineReport*> rest;
+  std::vector<const EngineReport*> unassigned;
   for (const EngineReport& engine : aZone.mEngines) {
-    const StagePlacement* held = aPresent.Find(engine.mEngine);
-    bool kept = false;
+    const StagePlacement* held = aCurrent.Find(engine.mEngine);
+    bool stays = false;
     for (std::size_t i = 0; i < models.size() && held != nullptr; i++) {
       const double target = std::ceil(count * models[i].mShare / shares);
-      const bool room = static_cast<double>(dealt[i].size()) < target;
+      const bool room = static_cast<double>(assigned[i].size()) < target;
       if (held->mModel == models[i].mName && room &&
           allowed(models[i], engine)) {
-        dealt[i].push_back(engine);
-        kept = true;
+        assigned[i].push_back(engine);
+        stays = true;
       }
     }
-    if (!kept) {
-      rest.push_back(&engine);
+    if (!stays) {
+      unassigned.push_back(&engine);
     }
   }
-  for (const EngineReport* engine : rest) {
-    int poorest = -1;
-    double least = 0;
+  for (const EngineReport* engine : unassigned) {
+    int leastFilled = -1;
+    double minFill = 0;
     for (std::size_t i = 0; i < models.size(); i++) {
       const double filled =
-          static_cast<double>(dealt[i].size()) / models[i].mShare;
-      if (allowed(models[i], *engine) && (poorest < 0 || filled < least)) {
-        poorest = static_cast<int>(i);
-        least = filled;
+          static_cast<double>(assigned[i].size()) / models[i].mShare;
+      if (allowed(models[i], *engine) &&
+          (leastFilled < 0 || filled < minFill)) {
+        leastFilled = static_cast<int>(i);
+        minFill = filled;
       }
     }
-    if (poorest >= 0) {
-      dealt[static_cast<std::size_t>(poorest)].push_back(*engine);
+    if (leastFilled >= 0) {
+      assigned[static_cast<std::size_t>(leastFilled)].push_back(*engine);
     }
   }
-  return dealt;
+  return assigned;
 }
 
-/// The present split of a model in a zone over the engines that are left;
-/// without stages where it does not tile the layers any more.
-StageSplit PresentSplit(const StageIndex& aPresent, const ModelSpec& aModel,
+/// The current split of a model in a zone over the remaining engines; without
+/// stages if they no longer cover the layers as a sequence of stages.
+StageSplit CurrentSplit(const StageIndex& aCurrent, const ModelSpec& aModel,
                         std::span<const EngineReport> aEngines) {
   std::vector<int> boundaries = {0, aModel.mLayers};
   std::vector<const StagePlacement*> stages;
   for (const EngineReport& engine : aEngines) {
-    const StagePlacement* stage = aPresent.Find(engine.mEngine);
+    const StagePlacement* stage = aCurrent.Find(engine.mEngine);
     const bool same = stage != nullptr && stage->mModel == aModel.mName &&
                       stage->mVersion == aModel.mVersion &&
                       stage->mLast <= aModel.mLayers;
@@ -130,12 +131,13 @@
   return split;
 }
 
-/// Gives engines of one kind the stages they already hold, where the split
-/// has a place of that stage for their kind: fewer moves for the same result.
-void KeepInPlace(const StageIndex& aPresent, const ModelSpec& aModel,
-                 std::span<const EngineReport> aEngines, StageSplit& aSplit) {
+/// Swaps stages among identical engines so that engines keep the stage they
+/// already hold, which needs fewer moves for the same result.
+void KeepHeldStages(const StageIndex& aCurrent, const ModelSpec& aModel,
+                    std::span<const EngineReport> aEngines,
+                    StageSplit& aSplit) {
   for (std::size_t i = 0; i < aEngines.size(); i++) {
-    const StagePlacement* held = aPresent.Find(aEngines[i].mEngine);
+    const StagePlacement* held = aCurrent.Find(aEngines[i].mEngine);
     if (held == nullptr || held->mModel != aModel.mName) {
       continue;
     }
@@ -149,7 +151,7 @@
       continue;
     }
     for (std::size_t j = 0; j < aEngines.size(); j++) {
-      const StagePlacement* other = aPresent.Find(aEngines[j].mEngine);
+      const StagePlacement* other = aCurrent.Find(aEngines[j].mEngine);
       const bool otherStays =
           other != nullptr && other->mFirst == held->mFirst &&
           other->mLast == held->mLast && other->mModel == aModel.mName;
@@ -164,27 +166,29 @@
   }
 }
 
-void AddModel(const PlacementInput& aInput, const StageIndex& aPresent,
+void AddModel(const PlacementInput& aInput, const StageIndex& aCurrent,
               const ModelSpec& aModel, const std::string& aZone,
               std::span<const EngineReport> aEngines, Plan& aPlan) {
   StageSplit split = SplitStages(aEngines, aModel.mLayers);
-  StageSplit present = PresentSplit(aPresent, aModel, aEngines);
+  StageSplit current = CurrentSplit(aCurrent, aModel, aEngines);
   const bool held =
-      std::any_of(present.mStageOf.begin(), present.mStageOf.end(),
+      std::any_of(current.mStageOf.begin(), current.mStageOf.end(),
                   [](int aStage) { return aStage >= 0; });
   if (held) {
-    // Engines without a stage join what runs; nothing has to move for them.
+    // Engines without a stage join the running stages, so that no engine has to
+    // move.
     std::vector<std::size_t> order(aEngines.size());
     std::iota(order.begin(), order.end(), 0);
-    DealToSlowest(aEngines, order, present);
+    AssignToSlowestStage(aEngines, order, current);
   }
-  const bool coverKept = present.mLeastEngines >= 2 || split.mLeastEngines < 2;
-  if (coverKept && present.mTokensPerSecond > 0 &&
-      present.mTokensPerSecond >=
+  const bool redundancyKept =
+      current.mMinEnginesPerStage >= 2 || split.mMinEnginesPerStage < 2;
+  if (redundancyKept && current.mTokensPerSecond > 0 &&
+      current.mTokensPerSecond >=
           split.mTokensPerSecond * (1 - aInput.mHysteresis)) {
-    split = present;
+    split = current;
   } else {
-    KeepInPlace(aPresent, aModel, aEngines, split);
+    KeepHeldStages(aCurrent, aModel, aEngines, split);
   }
   if (split.mTokensPerSecond <= 0) {
     aPlan.mShort.push_back("model " + aModel.mName + " does not fit in zone " +
@@ -208,20 +212,20 @@
        .mZone = aZone,
        .mStages = static_cast<int>(split.mBoundaries.size()) - 1,
        .mTokensPerSecond = split.mTokensPerSecond,
-       .mSurvivesOneLoss = split.mLeastEngines >= 2});
-  if (split.mLeastEngines < 2) {
+       .mSurvivesOneLoss = split.mMinEnginesPerStage >= 2});
+  if (split.mMinEnginesPerStage < 2) {
     aPlan.mShort.push_back("model " + aModel.mName + " in zone " + aZone +
                            " has a stage on one engine only; its loss stops "
                            "the model there");
   }
 }
 
-/// A zone of which nothing is heard is cut off rather than gone: what is
-/// accepted there stays, so that it goes on serving.
-void KeepSilentZones(const PlacementInput& aInput, Plan& aPlan) {
-  std::set<std::string> heard;
+/// A zone without any report is treated as partitioned rather than lost: its
+/// accepted stages stay in the plan, so that it continues to serve.
+void KeepStagesOfSilentZones(const PlacementInput& aInput, Plan& aPlan) {
+  std::set<std::string> reported;
   for (const EngineReport& engine : aInput.mEngines) {
-    heard.insert(engine.mZone);
+    reported.insert(engine.mZone);
   }
   std::set<std::string> silent;
   for (const StagePlacement& stage : aInput.mCurrent.mPlacement) {
@@ -229,7 +233,7 @@
     const bool allowed = model != nullptr &&
                          model->mVersion == stage.mVersion &&
                          Allows(model->mZones, stage.mZone);
-    if (!heard.contains(stage.mZone) && allowed) {
+    if (!reported.contains(stage.mZone) && allowed) {
       aPlan.mPlacement.push_back(stage);
       silent.insert(stage.mZone);
     }
@@ -240,11 +244,11 @@
   }
 }
 
-void ListChanges(const PlacementInput& aInput, const StageIndex& aPresent,
+void ListChanges(const PlacementInput& aInput, const StageIndex& aCurrent,
                  Plan& aPlan) {
   const StageIndex planned(aPlan.mPlacement);
   for (const StagePlacement& stage : aPlan.mPlacement) {
-    const StagePlacement* before = aPresent.Find(stage.mEngine);
+    const StagePlacement* before = aCurrent.Find(stage.mEngine);
     const char* action = "load";
     if (before != nullptr) {
       action = *before == stage ? "keep" : "move";
@@ -275,20 +279,20 @@
 }  // namespace
 
 Plan MakePlan(const PlacementInput& aInput) {
-  const StageIndex present(aInput.mCurrent.mPlacement);
+  const StageIndex current(aInput.mCurrent.mPlacement);
   Plan plan;
   plan.mIntent = aInput.mIntent;
   for (const ZoneEngines& zone : GroupByZone(aInput)) {
-    const auto dealt = DealEngines(aInput, present, zone);
-    for (std::size_t i = 0; i < dealt.size(); i++) {
+    const auto assigned = AssignEnginesToModels(aInput, current, zone);
+    for (std::size_t i = 0; i < assigned.size(); i++) {
       const ModelSpec& model = aInput.mIntent.mModels[i];
       if (Allows(model.mZones, zone.mZone)) {
-        AddModel(aInput, present, model, zone.mZone, dealt[i], plan);
+        AddModel(aInput, current, model, zone.mZone, assigned[i], plan);
       }
     }
   }
-  KeepSilentZones(aInput, plan);
-  ListChanges(aInput, present, plan);
+  KeepStagesOfSilentZones(aInput, plan);
+  ListChanges(aInput, current, plan);
   CheckModelsPlaced(aInput, plan);
   return plan;
 }
--- a/servers/placement/stage_index.h
+++ b/servers/placement/stage_index.h
@@ -1,4 +1,4 @@
-/// Finds the stage of an engine in a placement without a walk through all.
+/// Looks up the stage of an engine in a placement.
 #pragma once
 
 #include <span>
@@ -9,8 +9,8 @@
 
 namespace spindleweir {
 
-/// An index over stages that must outlive it. Of two stages on one engine the
-/// first counts.
+/// An index over stages, which must outlive it. If an engine has two stages,
+/// the first one is found.
 class StageIndex {
  public:
   explicit StageIndex(std::span<const StagePlacement> aStages) {
--- a/servers/placement/stage_split.cpp
+++ b/servers/placement/stage_split.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr int kMaximumStagesTried = 16;
-constexpr int kMaximumClimbs = 64;
+constexpr int kMaxStagesTried = 16;
+constexpr int kMaxClimbSteps = 64;
 
 int Layers(const std::vector<int>& aBoundaries, int aStage) {
   const auto n = static_cast<std::size_t>(aStage);
@@ -24,8 +24,8 @@
   return boundaries;
 }
 
-/// Engines that can hold few layers come first, since they have the fewest
-/// stages to choose from; among equals the fastest.
+/// Engines that fit into few stages come first, since they have the least
+/// choice; among equals the fastest.
 std::vector<std::size_t> OrderOfAssignment(
     std::span<const EngineReport> aEngines, const std::vector<int>& aBounds) {
   const int stages = static_cast<int>(aBounds.size()) - 1;
@@ -49,18 +49,20 @@
 }
 
 bool IsBetter(const StageSplit& aNew, const StageSplit& aOld) {
-  const bool newCovered = aNew.mLeastEngines >= 2;
-  const bool oldCovered = aOld.mLeastEngines >= 2;
+  const bool newCovered = aNew.mMinEnginesPerStage >= 2;
+  const bool oldCovered = aOld.mMinEnginesPerStage >= 2;
   if (newCovered != oldCovered) {
     return newCovered && aNew.mTokensPerSecond > 0;
   }
-  constexpr double kGain = 1 + 1e-9;
-  return aNew.mTokensPerSecond > aOld.mTokensPerSecond * kGain;
+  constexpr double kMinGainFactor = 1 + 1e-9;
+  return aNew.mTokensPerSecond > aOld.mTokensPerSecond * kMinGainFactor;
 }
 
-/// Moves one boundary at a time by one layer while that helps.
-StageSplit Climb(std::span<const EngineReport> aEngines, StageSplit aBest) {
-  for (int i = 0; i < kMaximumClimbs; i++) {
+/// Hill climbing: moves one boundary by one layer at a time as long as the
+/// split improves.
+StageSplit ClimbToBest(std::span<const EngineReport> aEngines,
+                       StageSplit aBest) {
+  for (int i = 0; i < kMaxClimbSteps; i++) {
     StageSplit next = aBest;
     for (std::size_t b = 1; b + 1 < aBest.mBoundaries.size(); b++) {
       for (int step : {-1, 1}) {
@@ -85,8 +87,9 @@
 
 }  // namespace
 
-void DealToSlowest(std::span<const EngineReport> aEngines,
-                   std::span<const std::size_t> aOrder, StageSplit& aSplit) {
+void AssignToSlowestStage(std::span<const EngineReport> aEngines,
+                          std::span<const std::size_t> aOrder,
+                          StageSplit& aSplit) {
   const int stages = static_cast<int>(aSplit.mBoundaries.size()) - 1;
   std::vector<double> speed(static_cast<std::size_t>(stages), 0);
   std::vector<int> count(static_cast<std::size_t>(stages), 0);
@@ -121,7 +124,7 @@
     }
   }
   aSplit.mTokensPerSecond = *std::min_element(speed.begin(), speed.end());
-  aSplit.mLeastEngines = *std::min_element(count.begin(), count.end());
+  aSplit.mMinEnginesPerStage = *std::min_element(count.begin(), count.end());
 }
 
 StageSplit AssignEngines(std::span<const EngineReport> aEngines,
@@ -129,19 +132,20 @@
   StageSplit split;
   split.mBoundaries = aBoundaries;
   split.mStageOf.assign(aEngines.size(), -1);
-  DealToSlowest(aEngines, OrderOfAssignment(aEngines, aBoundaries), split);
+  AssignToSlowestStage(aEngines, OrderOfAssignment(aEngines, aBoundaries),
+                       split);
   return split;
 }
 
 StageSplit SplitStages(std::span<const EngineReport> aEngines, int aLayers) {
   StageSplit best;
-  const int most = std::min(
-      {kMaximumStagesTried, aLayers, static_cast<int>(aEngines.size())});
-  for (int stages = 1; stages <= most; stages++) {
+  const int maxStages =
+      std::min({kMaxStagesTried, aLayers, static_cast<int>(aEngines.size())});
+  for (int stages = 1; stages <= maxStages; stages++) {
     StageSplit split =
         AssignEngines(aEngines, EqualBoundaries(aLayers, stages));
     if (stages > 1) {
-      split = Climb(aEngines, std::move(split));
+      split = ClimbToBest(aEngines, std::move(split));
     }
     if (IsBetter(split, best)) {
       best = std::move(split);
--- a/servers/placement/zone_cells.cpp
+++ b/servers/placement/zone_cells.cpp
@@ -6,29 +6,29 @@
 
 namespace {
 
-/// Engines of a cell: zones of 33 to 43 are what the value of a placement was
-/// measured on; 25 such cells take 50 ms of a core to place.
-constexpr std::size_t kCellEngines = 40;
-/// A cell holds the weights so many times at least, so that the loss of an
-/// engine can be covered in it.
-constexpr int kTimesHeld = 2;
+/// Minimum number of engines in a cell. The zone value is verified for zones of
+/// 33 to 43 engines; placing 25 cells of this size takes 50 ms of CPU time.
+constexpr std::size_t kEnginesPerCell = 40;
+/// A cell has memory for at least this many copies of the weights, so that it
+/// can cover the loss of an engine.
+constexpr int kMinCopiesPerCell = 2;
 
 }  // namespace
 
-std::vector<Cards> DivideIntoCells(const EngineProfile& aProfile,
-                                   const Cards& aCards) {
+std::vector<CandidateEngines> DivideIntoCells(
+    const EngineProfile& aProfile, const CandidateEngines& aEngines) {
   int fit = 0;
-  for (const Card& card : aCards) {
-    fit += card.MostIn(kWeightShare);
+  for (const CandidateEngine& engine : aEngines) {
+    fit += engine.MaxLayersInShare(kWeightShare);
   }
   const auto byWeights = static_cast<std::size_t>(
-      fit / std::max(1, kTimesHeld * aProfile.mLayers));
+      fit / std::max(1, kMinCopiesPerCell * aProfile.mLayers));
   const std::size_t n = std::max<std::size_t>(
-      1, std::min(aCards.size() / kCellEngines, byWeights));
-  std::vector<Cards> cells(n);
-  // In turn by speed: each cell gets its part of the fast ones.
-  for (std::size_t i = 0; i < aCards.size(); i++) {
-    cells[i % n].push_back(aCards[i]);
+      1, std::min(aEngines.size() / kEnginesPerCell, byWeights));
+  std::vector<CandidateEngines> cells(n);
+  // Round robin by speed: each cell gets its share of the fast engines.
+  for (std::size_t i = 0; i < aEngines.size(); i++) {
+    cells[i % n].push_back(aEngines[i]);
   }
   return cells;
 }
--- a/servers/placement/zone_cells.h
+++ b/servers/placement/zone_cells.h
@@ -4,17 +4,18 @@
 
 #include <vector>
 
-#include "servers/placement/layer_cards.h"
+#include "servers/placement/layer_coverage.h"
 
 namespace spindleweir {
 
-/// Cells of about the same engines each; one with all of them where the zone is
-/// small or holds the weights too seldom. The load that this answers: a zone's
-/// demand grows with its engines, while the profile's is that of one path. As
-/// one cell 1,000 engines took 22 s of a core to place, 53 ms as 25
-/// (`spindleweir-bench control`, a third of 3,000), and the leader answers
-/// nobody meanwhile. Takes the cards by speed, the fastest first.
-std::vector<Cards> DivideIntoCells(const EngineProfile& aProfile,
-                                   const Cards& aCards);
+/// Returns cells with about equal engines, or a single one if the zone is small
+/// or has memory for too few copies of the weights. aEngines must be sorted by
+/// speed, the fastest first.
+/// A zone's demand grows with its engines, while the profile states that of one
+/// path. Placing 1,000 engines as one cell took 22 s of CPU time, and 53 ms as
+/// 25 cells (`spindleweir-bench control`, a third of 3,000 engines); the leader
+/// answers no requests meanwhile.
+std::vector<CandidateEngines> DivideIntoCells(const EngineProfile& aProfile,
+                                              const CandidateEngines& aEngines);
 
 }  // namespace spindleweir
--- a/servers/placement/zone_repair.cpp
+++ b/servers/placement/zone_repair.cpp
@@ -9,83 +9,91 @@
 
 namespace {
 
-/// What a move must gain, in served share, to be worth a load.
-constexpr double kWorthALoad = 0.04;
+/// Minimum gain in served share that justifies loading layers.
+constexpr double kMinGainForLoad = 0.04;
 
-/// A placement with its worth.
-struct Choice {
+/// A range of layers for an engine, and the value of the zone with it.
+struct LayerChoice {
   LayerRange mLayers;
   ZoneValue mValue;
-  double mHeld = 0;  ///< Memory that others bring to each of the layers.
+  /// Breaks ties between equal values, the smaller the better: the memory of
+  /// the other engines for each of the layers, or that of the engine to move.
+  double mMemoryCostMb = 0;
 
-  bool BetterThan(const Choice& aOther) const {
+  bool IsBetterThan(const LayerChoice& aOther) const {
     return mValue != aOther.mValue ? mValue > aOther.mValue
-                                   : mHeld < aOther.mHeld;
+                                   : mMemoryCostMb < aOther.mMemoryCostMb;
   }
 };
 
-LayerCover CoverOf(const EngineProfile& aProfile,
-                   const std::vector<Holder>& aHolders) {
-  LayerCover cover(aProfile.mLayers);
-  for (const Holder& holder : aHolders) {
-    cover.Add(holder.mLayers);
+LayerCoverage CoverageOf(const EngineProfile& aProfile,
+                         const std::vector<PlacedEngine>& aPlaced) {
+  LayerCoverage coverage(aProfile.mLayers);
+  for (const PlacedEngine& engine : aPlaced) {
+    coverage.Add(engine.mLayers);
   }
-  return cover;
+  return coverage;
 }
 
-/// Memory that the holders bring to each layer.
+/// Memory in MB that the engines contribute to each layer.
 std::vector<double> MemoryByLayer(const EngineProfile& aProfile,
-                                  const std::vector<Holder>& aHolders) {
+                                  const std::vector<PlacedEngine>& aPlaced) {
   std::vector<double> memory(static_cast<std::size_t>(aProfile.mLayers), 0.0);
-  for (const Holder& holder : aHolders) {
-    const LayerRange& layers = holder.mLayers;
+  for (const PlacedEngine& engine : aPlaced) {
+    const LayerRange& layers = engine.mLayers;
     for (int i = layers.mFrom; i < layers.mTo; i++) {
       memory[static_cast<std::size_t>(i)] +=
-          holder.mCard.mKind->mMemoryMb / layers.Count();
+          engine.mCandidate.mKind->mMemoryMb / layers.Count();
     }
   }
   return memory;
 }
 
-/// How many layers a card may be given.
+/// Range of the number of layers that an engine may be given.
 struct LayerCounts {
-  int mLeast = 1;  ///< Room for a zone's whole demand beside them.
-  int mMost = 1;   ///< Room for half of it.
+  int mMinLayers = 1;  ///< With capacity for a zone's whole demand.
+  int mMaxLayers = 1;  ///< With capacity for half of the demand.
 };
 
-LayerCounts CountsFor(const EngineProfile& aProfile, const Card& aCard) {
+LayerCounts LayerCountsFor(const EngineProfile& aProfile,
+                           const CandidateEngine& aEngine) {
   const double tokens = aProfile.mCapacityTokens;
   if (tokens <= 0) {
-    const int n = std::max(1, aCard.MostIn(kWeightShare));
-    return {.mLeast = n, .mMost = n};
+    const int n = std::max(1, aEngine.MaxLayersInShare(kWeightShare));
+    return {.mMinLayers = n, .mMaxLayers = n};
   }
-  const EngineModel model(aProfile, *aCard.mKind);
-  const int least = std::max(1, model.MaxLayersForTokens(tokens));
-  return {.mLeast = least,
-          .mMost = std::max(least, model.MaxLayersForTokens(tokens / 2))};
+  const EngineModel model(aProfile, *aEngine.mKind);
+  const int minLayers = std::max(1, model.MaxLayersForTokens(tokens));
+  return {
+      .mMinLayers = minLayers,
+      .mMaxLayers = std::max(minLayers, model.MaxLayersForTokens(tokens / 2))};
 }
 
-/// The best layers for a card beside those that hold layers.
-Choice BestBeside(const EngineProfile& aProfile, const Card& aCard,
-                  const std::vector<Holder>& aOthers) {
+/// The best layers for an engine beside the engines that hold layers already.
+LayerChoice BestLayersFor(const EngineProfile& aProfile,
+                          const CandidateEngine& aEngine,
+                          const std::vector<PlacedEngine>& aOthers) {
   const std::vector<double> memory = MemoryByLayer(aProfile, aOthers);
-  const LayerCounts counts = CountsFor(aProfile, aCard);
-  std::vector<HolderClass> classes = ClassesOf(aOthers);
-  // Where all is served already, also after any loss, one more changes nothing
-  // in that; judging 75 places by 200 classes took 3 ms of a core each time.
-  const ZoneValue before = ValueOf(aProfile, classes);
-  const bool perfect = before.mServed >= 1 && before.mHeld == aProfile.mLayers;
-  classes.push_back({aCard.mKind, {}, 1});
-  Choice best;
-  for (int n = counts.mLeast; n <= counts.mMost; n++) {
+  const LayerCounts counts = LayerCountsFor(aProfile, aEngine);
+  std::vector<PlacedEngineClass> classes = GroupIntoClasses(aOthers);
+  // If the whole demand is served now and after any single loss, another engine
+  // doesn't change the value. Evaluating 75 ranges with 200 classes took 3 ms
+  // of CPU time for each engine.
+  const ZoneValue before = EvaluateZone(aProfile, classes);
+  const bool perfect =
+      before.mServedShare >= 1 && before.mLayersHeld == aProfile.mLayers;
+  classes.push_back({aEngine.mKind, {}, 1});
+  LayerChoice best;
+  for (int n = counts.mMinLayers; n <= counts.mMaxLayers; n++) {
     for (int from = 0; from + n <= aProfile.mLayers; from++) {
       classes.back().mLayers = {from, from + n};
-      Choice choice{.mLayers = classes.back().mLayers,
-                    .mValue = perfect ? before : ValueOf(aProfile, classes)};
+      LayerChoice choice{
+          .mLayers = classes.back().mLayers,
+          .mValue = perfect ? before : EvaluateZone(aProfile, classes)};
       for (int i = from; i < from + n; i++) {
-        choice.mHeld += memory[static_cast<std::size_t>(i)] / n;
+        choice.mMemoryCostMb += memory[static_cast<std::size_t>(i)] / n;
       }
-      if (best.mLayers.Count() == 0 || choice.BetterThan(best)) {
+      if (best.mLayers.Count() == 0 || choice.IsBetterThan(best)) {
         best = choice;
       }
     }
@@ -93,183 +101,191 @@
   return best;
 }
 
-/// Whether a holder is the first of its class: those behind it could do no
-/// better.
-bool IsFirstOfClass(const std::vector<Holder>& aHolders, std::size_t aAt) {
-  const Holder& holder = aHolders[aAt];
-  const auto end = aHolders.begin() + static_cast<std::ptrdiff_t>(aAt);
-  return std::none_of(aHolders.begin(), end, [&holder](const Holder& aOther) {
-    return aOther.mCard.mKind == holder.mCard.mKind &&
-           aOther.mLayers == holder.mLayers;
-  });
+/// Whether an engine is the first of its class. The others of the class would
+/// give the same result.
+bool IsFirstOfClass(const std::vector<PlacedEngine>& aPlaced,
+                    std::size_t aIndex) {
+  const PlacedEngine& engine = aPlaced[aIndex];
+  const auto end = aPlaced.begin() + static_cast<std::ptrdiff_t>(aIndex);
+  return std::none_of(
+      aPlaced.begin(), end, [&engine](const PlacedEngine& aOther) {
+        return aOther.mCandidate.mKind == engine.mCandidate.mKind &&
+               aOther.mLayers == engine.mLayers;
+      });
 }
 
-/// How many layers more a card may take.
-int Growth(const Holder* aHolder) {
-  if (aHolder == nullptr) {
+/// The number of layers by which an engine can extend its range.
+int LayersToGrow(const PlacedEngine* aEngine) {
+  if (aEngine == nullptr) {
     return 0;
   }
-  const int most = aHolder->mCard.MostIn(kMostWeightShare);
-  return std::max(0, most - aHolder->mLayers.Count());
+  const int maxLayers = aEngine->mCandidate.MaxLayersInShare(kMaxWeightShare);
+  return std::max(0, maxLayers - aEngine->mLayers.Count());
 }
 
-/// Closes a hole by cards beside it that take more; each load is short, and
-/// what they hold goes on serving.
-void GrowInto(const std::vector<Holder>& aHolders, const LayerRange& aHole,
-              std::vector<LayerOrder>& aOut) {
-  const Holder* left = nullptr;
-  const Holder* right = nullptr;
-  for (const Holder& holder : aHolders) {
-    const bool endsThere = holder.mLayers.mTo == aHole.mFrom;
-    const bool beginsThere = holder.mLayers.mFrom == aHole.mTo;
-    if (endsThere && Growth(&holder) > Growth(left)) {
-      left = &holder;
+/// Fills a gap by extending the ranges of the engines next to it. Each load is
+/// short, and the engines continue to serve the layers that they hold.
+void GrowIntoGap(const std::vector<PlacedEngine>& aPlaced,
+                 const LayerRange& aGap, std::vector<LayerOrder>& aOut) {
+  const PlacedEngine* left = nullptr;
+  const PlacedEngine* right = nullptr;
+  for (const PlacedEngine& engine : aPlaced) {
+    const bool endsThere = engine.mLayers.mTo == aGap.mFrom;
+    const bool beginsThere = engine.mLayers.mFrom == aGap.mTo;
+    if (endsThere && LayersToGrow(&engine) > LayersToGrow(left)) {
+      left = &engine;
     }
-    if (beginsThere && Growth(&holder) > Growth(right)) {
-      right = &holder;
+    if (beginsThere && LayersToGrow(&engine) > LayersToGrow(right)) {
+      right = &engine;
     }
   }
-  const int most = Growth(left) + Growth(right);
-  if (most == 0) {
+  const int maxGrowth = LayersToGrow(left) + LayersToGrow(right);
+  if (maxGrowth == 0) {
     return;
   }
-  const int needed = std::min(aHole.Count(), most);
+  const int needed = std::min(aGap.Count(), maxGrowth);
   const int byLeft = std::min(
-      Growth(left), static_cast<int>(std::lround(
-                        needed * static_cast<double>(Growth(left)) / most)));
-  const int byRight = std::min(Growth(right), needed - byLeft);
+      LayersToGrow(left),
+      static_cast<int>(std::lround(
+          needed * static_cast<double>(LayersToGrow(left)) / maxGrowth)));
+  const int byRight = std::min(LayersToGrow(right), needed - byLeft);
   if (byLeft > 0) {
-    aOut.push_back({left->mCard.mRecord->mInstance,
+    aOut.push_back({left->mCandidate.mRecord->mInstance,
                     {left->mLayers.mFrom, left->mLayers.mTo + byLeft}});
   }
   if (byRight > 0) {
-    aOut.push_back({right->mCard.mRecord->mInstance,
+    aOut.push_back({right->mCandidate.mRecord->mInstance,
                     {right->mLayers.mFrom - byRight, right->mLayers.mTo}});
   }
 }
 
-/// Moves the spare engine to a hole that leaves the zone with most; nullptr:
-/// no engine can be spared.
-const Holder* MoveSpare(const EngineProfile& aProfile, const LayerRange& aHole,
-                        std::vector<Holder>& aHolders) {
-  const LayerCover cover = CoverOf(aProfile, aHolders);
-  Holder* spare = nullptr;
-  Choice best;
-  for (std::size_t i = 0; i < aHolders.size(); i++) {
-    Holder& holder = aHolders[i];
-    const int n =
-        std::min(aHole.Count(), holder.mCard.MostIn(kMostWeightShare));
-    if (n <= 0 || !cover.Holds(holder.mLayers, 2) ||
-        !IsFirstOfClass(aHolders, i)) {
+/// Moves the redundant engine to the gap by which the zone's value becomes
+/// greatest. Returns nullptr if no engine is redundant.
+const PlacedEngine* MoveRedundantEngine(const EngineProfile& aProfile,
+                                        const LayerRange& aGap,
+                                        std::vector<PlacedEngine>& aPlaced) {
+  const LayerCoverage coverage = CoverageOf(aProfile, aPlaced);
+  PlacedEngine* redundant = nullptr;
+  LayerChoice best;
+  for (std::size_t i = 0; i < aPlaced.size(); i++) {
+    PlacedEngine& engine = aPlaced[i];
+    const int n = std::min(aGap.Count(),
+                           engine.mCandidate.MaxLayersInShare(kMaxWeightShare));
+    if (n <= 0 || !coverage.Holds(engine.mLayers, 2) ||
+        !IsFirstOfClass(aPlaced, i)) {
       continue;
     }
-    const LayerRange before = holder.mLayers;
-    holder.mLayers = {aHole.mFrom, aHole.mFrom + n};
-    const Choice choice{.mLayers = holder.mLayers,
-                        .mValue = ValueOf(aProfile, aHolders),
-                        .mHeld = holder.mCard.mKind->mMemoryMb};
-    holder.mLayers = before;
-    if (spare == nullptr || choice.BetterThan(best)) {
-      spare = &holder;
+    const LayerRange before = engine.mLayers;
+    engine.mLayers = {aGap.mFrom, aGap.mFrom + n};
+    const LayerChoice choice{
+        .mLayers = engine.mLayers,
+        .mValue = EvaluateZone(aProfile, aPlaced),
+        .mMemoryCostMb = engine.mCandidate.mKind->mMemoryMb};
+    engine.mLayers = before;
+    if (redundant == nullptr || choice.IsBetterThan(best)) {
+      redundant = &engine;
       best = choice;
     }
   }
-  if (spare != nullptr) {
-    spare->mLayers = best.mLayers;
+  if (redundant != nullptr) {
+    redundant->mLayers = best.mLayers;
   }
-  return spare;
+  return redundant;
 }
 
-/// An order as a list; empty where it names no engine.
-std::vector<LayerOrder> OneOrNone(const LayerOrder& aOrder) {
+/// The order as a list; empty if the order names no engine.
+std::vector<LayerOrder> ToList(const LayerOrder& aOrder) {
   return aOrder.mInstance.empty() ? std::vector<LayerOrder>()
                                   : std::vector<LayerOrder>{aOrder};
 }
 
 }  // namespace
 
-LayerOrder PlaceEmpty(const EngineProfile& aProfile, const Card& aCard,
-                      std::vector<Holder>& aHolders) {
-  const LayerRange layers = BestBeside(aProfile, aCard, aHolders).mLayers;
-  aHolders.push_back({aCard, layers});
-  return {aCard.mRecord->mInstance, aHolders.back().mLayers};
+LayerOrder PlaceEmptyEngine(const EngineProfile& aProfile,
+                            const CandidateEngine& aEngine,
+                            std::vector<PlacedEngine>& aPlaced) {
+  const LayerRange layers = BestLayersFor(aProfile, aEngine, aPlaced).mLayers;
+  aPlaced.push_back({aEngine, layers});
+  return {aEngine.mRecord->mInstance, aPlaced.back().mLayers};
 }
 
-std::vector<LayerOrder> CloseHoles(const EngineProfile& aProfile,
-                                   std::vector<Holder> aHolders) {
+std::vector<LayerOrder> FillGaps(const EngineProfile& aProfile,
+                                 std::vector<PlacedEngine> aPlaced) {
   std::vector<LayerOrder> orders;
-  LayerRange hole = CoverOf(aProfile, aHolders).FirstHole();
-  while (hole.Count() > 0) {
-    const Holder* spare = MoveSpare(aProfile, hole, aHolders);
-    if (spare == nullptr) {
-      GrowInto(aHolders, hole, orders);
+  LayerRange gap = CoverageOf(aProfile, aPlaced).FirstGap();
+  while (gap.Count() > 0) {
+    const PlacedEngine* redundant = MoveRedundantEngine(aProfile, gap, aPlaced);
+    if (redundant == nullptr) {
+      GrowIntoGap(aPlaced, gap, orders);
       break;
     }
-    orders.push_back({spare->mCard.mRecord->mInstance, spare->mLayers});
-    hole = CoverOf(aProfile, aHolders).FirstHole();
+    orders.push_back(
+        {redundant->mCandidate.mRecord->mInstance, redundant->mLayers});
+    gap = CoverageOf(aProfile, aPlaced).FirstGap();
   }
   return orders;
 }
 
-std::vector<LayerOrder> JoinHoles(const EngineProfile& aProfile,
-                                  std::vector<Holder> aHolders) {
-  const LayerCover present = CoverOf(aProfile, aHolders);
+std::vector<LayerOrder> MergeGaps(const EngineProfile& aProfile,
+                                  std::vector<PlacedEngine> aPlaced) {
+  const LayerCoverage current = CoverageOf(aProfile, aPlaced);
   LayerOrder order;
-  int fewest = present.Edges();
-  int mostHeld = 0;
-  for (std::size_t i = 0; i < aHolders.size(); i++) {
-    if (!IsFirstOfClass(aHolders, i)) {
+  int fewestEdges = current.CountEdges();
+  int maxLayersHeld = 0;
+  for (std::size_t i = 0; i < aPlaced.size(); i++) {
+    if (!IsFirstOfClass(aPlaced, i)) {
       continue;
     }
-    Holder& holder = aHolders[i];
-    const LayerRange before = holder.mLayers;
-    for (const LayerRange& hole : present.Holes()) {
-      const int n =
-          std::min(hole.Count(), holder.mCard.MostIn(kMostWeightShare));
-      holder.mLayers = {hole.mFrom, hole.mFrom + n};
-      const int edges = CoverOf(aProfile, aHolders).Edges();
-      const int held = ValueOf(aProfile, aHolders).mHeld;
-      const bool better =
-          edges < fewest ||
-          (edges == fewest && !order.mInstance.empty() && held > mostHeld);
+    PlacedEngine& engine = aPlaced[i];
+    const LayerRange before = engine.mLayers;
+    for (const LayerRange& gap : current.Gaps()) {
+      const int n = std::min(
+          gap.Count(), engine.mCandidate.MaxLayersInShare(kMaxWeightShare));
+      engine.mLayers = {gap.mFrom, gap.mFrom + n};
+      const int edges = CoverageOf(aProfile, aPlaced).CountEdges();
+      const int held = EvaluateZone(aProfile, aPlaced).mLayersHeld;
+      const bool better = edges < fewestEdges ||
+                          (edges == fewestEdges && !order.mInstance.empty() &&
+                           held > maxLayersHeld);
       if (n > 0 && better) {
-        fewest = edges;
-        mostHeld = held;
-        order = {holder.mCard.mRecord->mInstance, holder.mLayers};
+        fewestEdges = edges;
+        maxLayersHeld = held;
+        order = {engine.mCandidate.mRecord->mInstance, engine.mLayers};
       }
     }
-    holder.mLayers = before;
+    engine.mLayers = before;
   }
-  return OneOrNone(order);
+  return ToList(order);
 }
 
 std::vector<LayerOrder> Rebalance(const EngineProfile& aProfile,
-                                  const std::vector<Holder>& aHolders) {
-  if (aHolders.empty() || aProfile.mCapacityTokens <= 0) {
+                                  const std::vector<PlacedEngine>& aPlaced) {
+  if (aPlaced.empty() || aProfile.mCapacityTokens <= 0) {
     return {};
   }
-  const ZoneValue present = ValueOf(aProfile, aHolders);
-  if (present.mServed > 1 - kWorthALoad) {
+  const ZoneValue current = EvaluateZone(aProfile, aPlaced);
+  if (current.mServedShare > 1 - kMinGainForLoad) {
     return {};
   }
-  const LayerCover cover = CoverOf(aProfile, aHolders);
+  const LayerCoverage coverage = CoverageOf(aProfile, aPlaced);
   LayerOrder order;
-  double gained = kWorthALoad;
-  for (std::size_t i = 0; i < aHolders.size(); i++) {
-    const Holder& holder = aHolders[i];
-    if (!cover.Holds(holder.mLayers, 2) || !IsFirstOfClass(aHolders, i)) {
+  double bestGain = kMinGainForLoad;
+  for (std::size_t i = 0; i < aPlaced.size(); i++) {
+    const PlacedEngine& engine = aPlaced[i];
+    if (!coverage.Holds(engine.mLayers, 2) || !IsFirstOfClass(aPlaced, i)) {
       continue;
     }
-    std::vector<Holder> others = aHolders;
+    std::vector<PlacedEngine> others = aPlaced;
     others.erase(others.begin() + static_cast<std::ptrdiff_t>(i));
-    const Choice choice = BestBeside(aProfile, holder.mCard, others);
-    const double gain = choice.mValue.mServed - present.mServed;
-    if (choice.mValue.mHeld >= present.mHeld && gain > gained) {
-      gained = gain;
-      order = {holder.mCard.mRecord->mInstance, choice.mLayers};
+    const LayerChoice choice =
+        BestLayersFor(aProfile, engine.mCandidate, others);
+    const double gain = choice.mValue.mServedShare - current.mServedShare;
+    if (choice.mValue.mLayersHeld >= current.mLayersHeld && gain > bestGain) {
+      bestGain = gain;
+      order = {engine.mCandidate.mRecord->mInstance, choice.mLayers};
     }
   }
-  return OneOrNone(order);
+  return ToList(order);
 }
 
 }  // namespace spindleweir
--- a/servers/placement/zone_repair.h
+++ b/servers/placement/zone_repair.h
@@ -1,32 +1,35 @@
-/// Changes to a zone that holds layers: for engines that hold nothing, for
-/// layers that nobody holds, and for a zone that has become lopsided.
+/// Changes to a zone that holds layers: places empty engines, fills gaps of
+/// layers that no engine holds, and rebalances.
 #pragma once
 
 #include <vector>
 
-#include "servers/placement/layer_cards.h"
+#include "servers/placement/layer_coverage.h"
 #include "spindleweir/servers/placement/layer_planner.h"
 
 namespace spindleweir {
 
-/// Gives an empty card the layers where the zone gains most, and adds it to
-/// the holders.
-LayerOrder PlaceEmpty(const EngineProfile& aProfile, const Card& aCard,
-                      std::vector<Holder>& aHolders);
-
-/// Closes the holes of a zone that has lost engines: spare engines take what
-/// nobody holds, as many as it needs; else those beside a hole grow into it.
-std::vector<LayerOrder> CloseHoles(const EngineProfile& aProfile,
-                                   std::vector<Holder> aHolders);
-
-/// For a zone that cannot be whole: the one move after which paths go over to
-/// other zones less often; empty where there is none.
-std::vector<LayerOrder> JoinHoles(const EngineProfile& aProfile,
-                                  std::vector<Holder> aHolders);
-
-/// The one move by which a whole zone gains most; empty where none is worth
-/// the load. What the engine gives up is held by others.
+/// Assigns to an engine without layers those with which the zone's value is
+/// greatest, and appends the engine to aPlaced.
+LayerOrder PlaceEmptyEngine(const EngineProfile& aProfile,
+                            const CandidateEngine& aEngine,
+                            std::vector<PlacedEngine>& aPlaced);
+
+/// Fills the gaps of a zone that has lost engines. Redundant engines, whose
+/// layers others hold too, take over as many layers as needed; if there are
+/// none, the engines next to a gap extend their ranges.
+std::vector<LayerOrder> FillGaps(const EngineProfile& aProfile,
+                                 std::vector<PlacedEngine> aPlaced);
+
+/// For a zone that can't hold all layers: the single move that reduces how
+/// often paths cross to other zones; empty if there is none.
+std::vector<LayerOrder> MergeGaps(const EngineProfile& aProfile,
+                                  std::vector<PlacedEngine> aPlaced);
+
+/// For a zone that holds all layers: the single move with the greatest gain;
+/// empty if no gain justifies the load. Other engines hold the layers that the
+/// moved engine gives up.
 std::vector<LayerOrder> Rebalance(const EngineProfile& aProfile,
-                                  const std::vector<Holder>& aHolders);
+                                  const std::vector<PlacedEngine>& aPlaced);
 
 }  // namespace spindleweir
--- a/servers/placement/zone_value.cpp
+++ b/servers/placement/zone_value.cpp
@@ -6,11 +6,12 @@
 
 namespace {
 
-/// How much what is served now counts beside what is served after a loss.
-constexpr double kNow = 0.5;
+/// Weight of the share served now, against the mean share served after a loss.
+constexpr double kCurrentWeight = 0.5;
 
-/// Tokens for which an engine has room at each of its layers.
-double RoomOf(const EngineProfile& aProfile, const HolderClass& aClass) {
+/// Capacity of an engine in tokens, at each of its layers.
+double TokensPerLayer(const EngineProfile& aProfile,
+                      const PlacedEngineClass& aClass) {
   const int n = aClass.mLayers.Count();
   return n <= 0 ? 0
                 : EngineModel(aProfile, *aClass.mKind).RequestCapacity(n) / n;
@@ -18,68 +19,73 @@
 
 }  // namespace
 
-std::vector<HolderClass> ClassesOf(const std::vector<Holder>& aHolders) {
-  std::vector<HolderClass> classes;
-  for (const Holder& holder : aHolders) {
-    const auto it = std::find_if(classes.begin(), classes.end(),
-                                 [&holder](const HolderClass& aClass) {
-                                   return aClass.mKind == holder.mCard.mKind &&
-                                          aClass.mLayers == holder.mLayers;
-                                 });
+std::vector<PlacedEngineClass> GroupIntoClasses(
+    const std::vector<PlacedEngine>& aPlaced) {
+  std::vector<PlacedEngineClass> classes;
+  for (const PlacedEngine& engine : aPlaced) {
+    const auto it =
+        std::find_if(classes.begin(), classes.end(),
+                     [&engine](const PlacedEngineClass& aClass) {
+                       return aClass.mKind == engine.mCandidate.mKind &&
+                              aClass.mLayers == engine.mLayers;
+                     });
     if (it != classes.end()) {
       it->mCount++;
     } else {
-      classes.push_back({holder.mCard.mKind, holder.mLayers, 1});
+      classes.push_back({engine.mCandidate.mKind, engine.mLayers, 1});
     }
   }
   return classes;
 }
 
-ZoneValue ValueOf(const EngineProfile& aProfile,
-                  const std::vector<HolderClass>& aClasses) {
+ZoneValue EvaluateZone(const EngineProfile& aProfile,
+                       const std::vector<PlacedEngineClass>& aClasses) {
   const auto layers = static_cast<std::size_t>(aProfile.mLayers);
-  std::vector<double> room(layers, 0.0);
-  std::vector<int> holders(layers, 0);
+  std::vector<double> capacityByLayer(layers, 0.0);
+  std::vector<int> enginesByLayer(layers, 0);
   int engines = 0;
-  for (const HolderClass& own : aClasses) {
-    const double brought = RoomOf(aProfile, own) * own.mCount;
-    engines += own.mCount;
-    for (int i = own.mLayers.mFrom; i < own.mLayers.mTo; i++) {
-      room[static_cast<std::size_t>(i)] += brought;
-      holders[static_cast<std::size_t>(i)] += own.mCount;
+  for (const PlacedEngineClass& engineClass : aClasses) {
+    const double capacity =
+        TokensPerLayer(aProfile, engineClass) * engineClass.mCount;
+    engines += engineClass.mCount;
+    for (int i = engineClass.mLayers.mFrom; i < engineClass.mLayers.mTo; i++) {
+      capacityByLayer[static_cast<std::size_t>(i)] += capacity;
+      enginesByLayer[static_cast<std::size_t>(i)] += engineClass.mCount;
     }
   }
-  const auto served = [&aProfile](double aRoom) {
+  const auto servedShare = [&aProfile](double aCapacity) {
     const double wanted = aProfile.mCapacityTokens;
-    return wanted <= 0 ? 1 : std::clamp(aRoom / wanted, 0.0, 1.0);
+    return wanted <= 0 ? 1 : std::clamp(aCapacity / wanted, 0.0, 1.0);
   };
   ZoneValue value;
-  double now = 1;
+  double current = 1;
   for (std::size_t i = 0; i < layers; i++) {
-    if (holders[i] > 0) {
-      value.mHeld++;
-      now = std::min(now, served(room[i]));
+    if (enginesByLayer[i] > 0) {
+      value.mLayersHeld++;
+      current = std::min(current, servedShare(capacityByLayer[i]));
     }
   }
-  double after = 0;
-  for (const HolderClass& own : aClasses) {
-    const double lost = RoomOf(aProfile, own);
-    double without = now;
-    for (int i = own.mLayers.mFrom; i < own.mLayers.mTo; i++) {
+  double afterLoss = 0;
+  for (const PlacedEngineClass& engineClass : aClasses) {
+    const double lost = TokensPerLayer(aProfile, engineClass);
+    double withoutOne = current;
+    for (int i = engineClass.mLayers.mFrom; i < engineClass.mLayers.mTo; i++) {
       const auto at = static_cast<std::size_t>(i);
-      const double left = holders[at] > 1 ? served(room[at] - lost) : 0;
-      without = std::min(without, left);
+      const double remainingShare =
+          enginesByLayer[at] > 1 ? servedShare(capacityByLayer[at] - lost) : 0;
+      withoutOne = std::min(withoutOne, remainingShare);
     }
-    after += without * own.mCount;
+    afterLoss += withoutOne * engineClass.mCount;
   }
-  value.mServed = kNow * now + (1 - kNow) * after /
-                                   static_cast<double>(std::max(1, engines));
+  value.mServedShare =
+      kCurrentWeight * current + (1 - kCurrentWeight) * afterLoss /
+                                     static_cast<double>(std::max(1, engines));
   return value;
 }
 
-ZoneValue ValueOf(const EngineProfile& aProfile,
-                  const std::vector<Holder>& aHolders) {
-  return ValueOf(aProfile, ClassesOf(aHolders));
+ZoneValue EvaluateZone(const EngineProfile& aProfile,
+                       const std::vector<PlacedEngine>& aPlaced) {
+  return EvaluateZone(aProfile, GroupIntoClasses(aPlaced));
 }
 
 }  // namespace spindleweir
--- a/servers/placement/zone_value.h
+++ b/servers/placement/zone_value.h
@@ -1,42 +1,45 @@
-/// What a placement of a zone is worth: the share of the zone's demand that it
-/// has room for, now and after the loss of any one engine.
+/// The value of a zone's placement: the share of the zone's demand that its
+/// engines have capacity for, now and after the loss of any single engine.
 #pragma once
 
 #include <vector>
 
-#include "servers/placement/layer_cards.h"
+#include "servers/placement/layer_coverage.h"
 
 namespace spindleweir {
 
-/// The worth of one placement; the greater the better.
+/// The value of a placement. Layers held count before the served share.
 struct ZoneValue {
-  int mHeld = 0;       ///< Layers that someone holds.
-  double mServed = 0;  ///< 0 to 1.
+  int mLayersHeld = 0;      ///< Layers that at least one engine holds.
+  double mServedShare = 0;  ///< 0 to 1.
 
   bool operator==(const ZoneValue&) const = default;
   bool operator>(const ZoneValue& aOther) const {
-    return mHeld != aOther.mHeld ? mHeld > aOther.mHeld
-                                 : mServed > aOther.mServed;
+    return mLayersHeld != aOther.mLayersHeld
+               ? mLayersHeld > aOther.mLayersHeld
+               : mServedShare > aOther.mServedShare;
   }
 };
 
-/// Holders that are alike for what a zone is worth.
-struct HolderClass {
+/// Engines that are equivalent for the value of a zone: same kind, same layers.
+struct PlacedEngineClass {
   const AcceleratorKind* mKind = nullptr;
   LayerRange mLayers;
   int mCount = 0;
 };
 
-/// The holders by what they are and hold. Large zones hold the same ranges many
-/// times: 1,000 engines fall into about 40 classes, and all that judges a zone
-/// goes by these.
-std::vector<HolderClass> ClassesOf(const std::vector<Holder>& aHolders);
-
-/// The demand is the tokens at once that the profile says an engine is built
-/// for; where it says none, there is room enough everywhere.
-ZoneValue ValueOf(const EngineProfile& aProfile,
-                  const std::vector<HolderClass>& aClasses);
-ZoneValue ValueOf(const EngineProfile& aProfile,
-                  const std::vector<Holder>& aHolders);
+/// Groups engines by kind and layers. Large zones hold the same ranges many
+/// times: 1,000 engines form about 40 classes, so the zone value is computed
+/// over classes.
+std::vector<PlacedEngineClass> GroupIntoClasses(
+    const std::vector<PlacedEngine>& aPlaced);
+
+/// The demand is the number of simultaneous tokens in the engine profile
+/// (mCapacityTokens). If the profile has none, any capacity counts as
+/// sufficient.
+ZoneValue EvaluateZone(const EngineProfile& aProfile,
+                       const std::vector<PlacedEngineClass>& aClasses);
+ZoneValue EvaluateZone(const EngineProfile& aProfile,
+                       const std::vector<PlacedEngine>& aPlaced);
 
 }  // namespace spindleweir
--- a/tests/servers/large_zone_test.cpp
+++ b/tests/servers/large_zone_test.cpp
@@ -23,7 +23,7 @@
   return profile;
 }
 
-/// A zone with the mix of kinds that the users have, ten times over or more.
+/// A zone with a typical mix of accelerator kinds, but with many more engines.
 struct LargeZone {
   explicit LargeZone(int aCount) {
     for (int i = 0; i < aCount; i++) {
@@ -35,7 +35,7 @@
     }
   }
 
-  /// Plans once; the orders are carried out at once.
+  /// Plans once and carries out the orders at once. Returns their number.
   std::size_t Place() {
     std::vector<const UpstreamRecord*> views;
     for (const UpstreamRecord& record : mRecords) {
@@ -54,18 +54,18 @@
     return orders.size();
   }
 
-  /// Tokens that the zone has room for at the layer with the least.
-  double LeastRoom() const {
-    std::vector<double> room(kLayers, 0.0);
+  /// Capacity in tokens of the layer with the least.
+  double MinCapacity() const {
+    std::vector<double> capacity(kLayers, 0.0);
     for (const UpstreamRecord& record : mRecords) {
       const int n = record.mLayers.Count();
       for (int i = record.mLayers.mFrom; i < record.mLayers.mTo; i++) {
         const AcceleratorKind* kind = mProfile.FindKind(record.mKind);
-        room[static_cast<std::size_t>(i)] +=
+        capacity[static_cast<std::size_t>(i)] +=
             EngineModel(mProfile, *kind).RequestCapacity(n) / n;
       }
     }
-    return *std::min_element(room.begin(), room.end());
+    return *std::min_element(capacity.begin(), capacity.end());
   }
 
   EngineProfile mProfile = Profile();
@@ -74,41 +74,42 @@
 
 }  // namespace
 
-Test(large_zone, its_room_grows_with_its_engines) {
-  // Placed as one cell, the zone's room beyond the demand of one path counted
-  // for nothing: left-over engines all took the same few layers.
+Test(large_zone, capacity_grows_with_the_number_of_engines) {
+  // Guards against placing a large zone as one cell: capacity beyond the demand
+  // of one path didn't count, and all remaining engines got the same few
+  // layers.
   LargeZone one(40);
   one.Place();
-  const double roomOfOne = one.LeastRoom();
+  const double capacityOfOne = one.MinCapacity();
   for (const int times : {2, 5, 25}) {
     LargeZone zone(40 * times);
     CHECK(zone.Place() == zone.mRecords.size());
-    CHECK(zone.LeastRoom() > 0.9 * roomOfOne * times);
-    SECTION("what is placed stays where it is") {
+    CHECK(zone.MinCapacity() > 0.9 * capacityOfOne * times);
+    SECTION("a second plan moves nothing") {
       CHECK(zone.Place() == 0);
     }
   }
 }
 
-Test(large_zone, many_engines_that_come_together_make_cells_of_their_own) {
+Test(large_zone, engines_that_join_together_form_their_own_cells) {
   LargeZone zone(200);
   zone.Place();
-  const double before = zone.LeastRoom();
+  const double before = zone.MinCapacity();
   for (UpstreamRecord more : LargeZone(120).mRecords) {
     more.mInstance = "late-" + more.mInstance;
     zone.mRecords.push_back(more);
   }
   CHECK(zone.Place() == 120);
-  CHECK(zone.LeastRoom() > 1.5 * before);
+  CHECK(zone.MinCapacity() > 1.5 * before);
 }
 
-Test(large_zone, a_loss_leaves_every_layer_held) {
+Test(large_zone, all_layers_stay_held_after_losses) {
   LargeZone zone(400);
   zone.Place();
-  const double before = zone.LeastRoom();
+  const double before = zone.MinCapacity();
   for (int lost = 0; lost < 40; lost++) {
     zone.mRecords.erase(zone.mRecords.begin() + lost * 7);
   }
   zone.Place();
-  CHECK(zone.LeastRoom() > 0.8 * before);
+  CHECK(zone.MinCapacity() > 0.8 * before);
 }
--- a/tests/servers/layers_test.cpp
+++ b/tests/servers/layers_test.cpp
@@ -30,8 +30,8 @@
   return profile;
 }
 
-/// Engines of a test, with orders carried out at once.
-struct Engines {
+/// Engines of a test. Orders are carried out at once.
+struct EngineSet {
   void Add(const std::string& aZone, const std::string& aKind, int aCount) {
     for (int i = 0; i < aCount; i++) {
       UpstreamRecord record;
@@ -61,7 +61,7 @@
     }
     return orders.size();
   }
-  void Lose(const std::string& aInstance) {
+  void Remove(const std::string& aInstance) {
     std::erase_if(mRecords, [&](const UpstreamRecord& aRecord) {
       return aRecord.mInstance == aInstance;
     });
@@ -74,8 +74,8 @@
     }
     return nullptr;
   }
-  /// Whether each layer is held in a zone.
-  bool Whole(const std::string& aZone, int aLayers) const {
+  /// Whether the engines of a zone together hold each layer.
+  bool CoversAllLayers(const std::string& aZone, int aLayers) const {
     std::vector<bool> held(static_cast<std::size_t>(aLayers), false);
     for (const UpstreamRecord& record : mRecords) {
       for (int i = record.mLayers.mFrom; i < record.mLayers.mTo; i++) {
@@ -88,16 +88,16 @@
   std::vector<UpstreamRecord> mRecords;
 };
 
-/// Engines as in a zone of the users.
-Engines Zone() {
-  Engines engines;
+/// Engines as in a typical zone.
+EngineSet TypicalZone() {
+  EngineSet engines;
   engines.Add("z", "fast", 1);
   engines.Add("z", "middle", 3);
   engines.Add("z", "slow", 8);
   return engines;
 }
 
-PathQuery Question(const EngineProfile& aProfile, const Engines& aEngines) {
+PathQuery Question(const EngineProfile& aProfile, const EngineSet& aEngines) {
   PathQuery question;
   question.mProfile = &aProfile;
   question.mZone = "z";
@@ -109,7 +109,7 @@
   return question;
 }
 
-/// Each layer once and in order.
+/// Whether the path covers each layer once and in order.
 bool IsWhole(const LayerPath& aPath, int aLayers) {
   int reached = 0;
   std::set<std::string> used;
@@ -125,62 +125,63 @@
 
 }  // namespace
 
-Test(layers, a_zone_gets_whole_rows_within_memory) {
+Test(layers, a_zone_holds_all_layers_within_memory) {
   const EngineProfile profile = Profile();
-  Engines engines = Zone();
+  EngineSet engines = TypicalZone();
   engines.Place(profile);
-  CHECK(engines.Whole("z", profile.mLayers));
+  CHECK(engines.CoversAllLayers("z", profile.mLayers));
   for (const UpstreamRecord& record : engines.mRecords) {
     const EngineModel model(profile, *profile.FindKind(record.mKind));
     CHECK(record.mLayers.Count() > 0);
     CHECK(record.mLayers.Count() <= model.MaxLayers());
     CHECK(model.RequestCapacity(record.mLayers.Count()) > 0);
   }
-  SECTION("what is placed stays where it is") {
+  SECTION("a second plan moves nothing") {
     CHECK(engines.Place(profile) == 0);
   }
-  SECTION("any one engine may go: the rest still holds all layers") {
+  SECTION("after the loss of any engine the others hold all layers") {
     for (const UpstreamRecord& record : engines.mRecords) {
-      Engines rest = engines;
-      rest.Lose(record.mInstance);
-      CHECK(rest.Whole("z", profile.mLayers));
+      EngineSet rest = engines;
+      rest.Remove(record.mInstance);
+      CHECK(rest.CoversAllLayers("z", profile.mLayers));
     }
   }
 }
 
-Test(layers, an_engine_that_says_layers_beyond_the_model_is_placed_anew) {
+Test(layers, an_engine_that_reports_layers_beyond_the_model_is_placed_again) {
   const EngineProfile profile = Profile();
-  Engines engines;
+  EngineSet engines;
   engines.Add("a", "fast", 12);
   while (engines.Place(profile) > 0) {
   }
-  UpstreamRecord& stray = engines.mRecords.front();
-  for (const LayerRange& said : {LayerRange{70, 90}, LayerRange{80, 9000}}) {
-    stray.mLayers = said;
+  UpstreamRecord& engine = engines.mRecords.front();
+  for (const LayerRange& reported :
+       {LayerRange{70, 90}, LayerRange{80, 9000}}) {
+    engine.mLayers = reported;
     const std::vector<LayerOrder> orders = PlanLayers(profile, engines.Views());
     REQUIRE(orders.size() == 1);
-    CHECK(orders[0].mInstance == stray.mInstance);
+    CHECK(orders[0].mInstance == engine.mInstance);
     CHECK(orders[0].mLayers.Count() > 0 && orders[0].mLayers.mTo <= 80);
   }
 }
 
-Test(layers, holes_are_closed_by_those_who_are_there) {
+Test(layers, gaps_are_filled_by_the_remaining_engines) {
   const EngineProfile profile = Profile();
-  Engines engines = Zone();
+  EngineSet engines = TypicalZone();
   engines.Place(profile);
-  SECTION("any two engines may go, one after the other") {
+  SECTION("the gaps after the loss of any two engines are filled") {
     for (std::size_t i = 0; i < engines.mRecords.size(); i++) {
       for (std::size_t k = 0; k < i; k++) {
-        Engines rest = engines;
-        rest.Lose(engines.mRecords[i].mInstance);
-        rest.Lose(engines.mRecords[k].mInstance);
+        EngineSet rest = engines;
+        rest.Remove(engines.mRecords[i].mInstance);
+        rest.Remove(engines.mRecords[k].mInstance);
         for (int step = 0; step < 6 && rest.Place(profile) > 0; step++) {
         }
-        CHECK(rest.Whole("z", profile.mLayers));
+        CHECK(rest.CoversAllLayers("z", profile.mLayers));
       }
     }
   }
-  SECTION("an engine that comes back empty gets layers again") {
+  SECTION("an engine that rejoins without layers gets layers again") {
     engines.mRecords[0].mLayers = {};
     CHECK(engines.Place(profile) == 1);
     CHECK(engines.mRecords[0].mLayers.Count() > 0);
@@ -189,8 +190,9 @@
 
 namespace {
 
-/// Small cards: a zone holds the weights once and a half.
-EngineProfile SmallCards() {
+/// Engines with little memory: the zone has memory for one and a half copies of
+/// the weights.
+EngineProfile SmallEngines() {
   EngineProfile profile = Profile();
   profile.mTokenBytes = 426000;
   profile.mCapacityTokens = 100000;
@@ -200,27 +202,27 @@
   return profile;
 }
 
-Engines SmallZone() {
-  Engines engines;
+EngineSet SmallZone() {
+  EngineSet engines;
   engines.Add("z", "fast", 1);
   engines.Add("z", "middle", 7);
   engines.Add("z", "slow", 5);
   return engines;
 }
 
-/// Engines whose loss leaves the zone whole.
-int CountSpared(const Engines& aEngines, int aLayers) {
-  int spared = 0;
+/// The number of engines after whose loss the zone still holds all layers.
+int CountRedundant(const EngineSet& aEngines, int aLayers) {
+  int redundant = 0;
   for (const UpstreamRecord& record : aEngines.mRecords) {
-    Engines rest = aEngines;
-    rest.Lose(record.mInstance);
-    spared += rest.Whole("z", aLayers) ? 1 : 0;
+    EngineSet rest = aEngines;
+    rest.Remove(record.mInstance);
+    redundant += rest.CoversAllLayers("z", aLayers) ? 1 : 0;
   }
-  return spared;
+  return redundant;
 }
 
-/// Tokens for which the layer with the least room has some.
-double LeastRoom(const EngineProfile& aProfile, const Engines& aEngines) {
+/// Capacity in tokens of the layer with the least.
+double MinCapacity(const EngineProfile& aProfile, const EngineSet& aEngines) {
   double least = 1e12;
   for (int layer = 0; layer < aProfile.mLayers; layer++) {
     double room = 0;
@@ -239,51 +241,52 @@
 }  // namespace
 
 Test(layers,
-     in_a_zone_that_holds_the_weights_once_and_a_half_engines_share_layers) {
-  const EngineProfile profile = SmallCards();
-  Engines engines = SmallZone();
+     engines_share_layers_in_a_zone_with_memory_for_one_and_a_half_copies) {
+  const EngineProfile profile = SmallEngines();
+  EngineSet engines = SmallZone();
   engines.Place(profile);
-  CHECK(engines.Whole("z", profile.mLayers));
-  // A row with cover for what is held least spares 5 of these 13.
-  CHECK(CountSpared(engines, profile.mLayers) >= 7);
-  CHECK(LeastRoom(profile, engines) >= 0.8 * profile.mCapacityTokens);
-  SECTION("a hole is closed by as many spare engines as it needs") {
-    // The one card with room for so many layers is lost.
-    Engines rest = engines;
-    rest.Lose(rest.mRecords.front().mInstance);
-    CHECK(!rest.Whole("z", profile.mLayers));
+  CHECK(engines.CoversAllLayers("z", profile.mLayers));
+  // A single pipeline with spare engines for the layers held least leaves 5 of
+  // these 13 engines redundant.
+  CHECK(CountRedundant(engines, profile.mLayers) >= 7);
+  CHECK(MinCapacity(profile, engines) >= 0.8 * profile.mCapacityTokens);
+  SECTION("a gap is filled by as many redundant engines as needed") {
+    // The lost engine is the only one with memory for this many layers.
+    EngineSet rest = engines;
+    rest.Remove(rest.mRecords.front().mInstance);
+    CHECK(!rest.CoversAllLayers("z", profile.mLayers));
     CHECK(rest.Place(profile) >= 2);
-    CHECK(rest.Whole("z", profile.mLayers));
+    CHECK(rest.CoversAllLayers("z", profile.mLayers));
   }
-  SECTION("an engine that comes back makes the zone worth more") {
-    Engines rest = engines;
+  SECTION("an engine that rejoins adds redundancy") {
+    EngineSet rest = engines;
     rest.mRecords.back().mLayers = {};
-    const int before = CountSpared(rest, profile.mLayers);
+    const int before = CountRedundant(rest, profile.mLayers);
     CHECK(rest.Place(profile) == 1);
-    CHECK(CountSpared(rest, profile.mLayers) > before);
+    CHECK(CountRedundant(rest, profile.mLayers) > before);
   }
-  SECTION("one loss after the other, each mended; nothing moves to and fro") {
-    Engines rest = engines;
+  SECTION("successive losses are repaired without endless moves") {
+    EngineSet rest = engines;
     for (int lost = 0; lost < 3; lost++) {
-      rest.Lose(rest.mRecords[rest.mRecords.size() / 2].mInstance);
+      rest.Remove(rest.mRecords[rest.mRecords.size() / 2].mInstance);
       int steps = 0;
       while (rest.Place(profile) > 0) {
         REQUIRE(++steps < 20);
       }
-      CHECK(rest.Whole("z", profile.mLayers));
-      CHECK(LeastRoom(profile, rest) >= 0.5 * profile.mCapacityTokens);
+      CHECK(rest.CoversAllLayers("z", profile.mLayers));
+      CHECK(MinCapacity(profile, rest) >= 0.5 * profile.mCapacityTokens);
     }
   }
-  SECTION("what cannot be whole is left with one hole, at an end") {
-    // A path then goes over to another zone once; with two holes inside it
-    // would four times, and the pipe between zones would be full.
-    Engines rest = engines;
+  SECTION("an incomplete zone is left with a single gap, at an end") {
+    // A path then crosses to another zone once. With two gaps inside the range
+    // it would cross four times and overload the link between zones.
+    EngineSet rest = engines;
     while (rest.mRecords.size() > 6) {
-      rest.Lose(rest.mRecords[rest.mRecords.size() / 2].mInstance);
+      rest.Remove(rest.mRecords[rest.mRecords.size() / 2].mInstance);
       for (int step = 0; step < 20 && rest.Place(profile) > 0; step++) {
       }
     }
-    CHECK(!rest.Whole("z", profile.mLayers));
+    CHECK(!rest.CoversAllLayers("z", profile.mLayers));
     CHECK(rest.Place(profile) == 0);
     std::vector<bool> held(static_cast<std::size_t>(profile.mLayers), false);
     for (const UpstreamRecord& record : rest.mRecords) {
@@ -297,40 +300,40 @@
     }
     CHECK(edges <= 1);
   }
-  SECTION("while an order is under way nothing else is moved") {
-    // Two pairs hold the same layers: one engine of them has the layers of an
-    // engine that is alone now to take.
-    Engines rest = engines;
+  SECTION("no other engine moves while an order is in progress") {
+    // Two pairs hold the same layers, so one of these engines could take over
+    // the layers of an engine that is now unpaired.
+    EngineSet rest = engines;
     std::vector<UpstreamRecord*> spares;
     for (UpstreamRecord& record : rest.mRecords) {
-      Engines without = engines;
-      without.Lose(record.mInstance);
-      const bool spare =
-          record.mKind == "middle" && without.Whole("z", profile.mLayers);
+      EngineSet without = engines;
+      without.Remove(record.mInstance);
+      const bool spare = record.mKind == "middle" &&
+                         without.CoversAllLayers("z", profile.mLayers);
       if (spare) {
         spares.push_back(&record);
       }
     }
     REQUIRE(spares.size() >= 4);
     spares[1]->mLayers = spares[2]->mLayers;
-    REQUIRE(rest.Whole("z", profile.mLayers));
-    Engines busy = rest;
+    REQUIRE(rest.CoversAllLayers("z", profile.mLayers));
+    EngineSet busy = rest;
     busy.mRecords.front().mBusy = true;
     CHECK(busy.Place(profile) == 0);
     CHECK(rest.Place(profile) == 1);
   }
 }
 
-Test(layers, a_path_passes_each_layer_once_and_in_order) {
+Test(layers, a_path_covers_each_layer_once_and_in_order) {
   const EngineProfile profile = Profile();
-  Engines engines = Zone();
+  EngineSet engines = TypicalZone();
   engines.Add("other", "fast", 2);
   engines.Add("other", "middle", 2);
   engines.Place(profile);
   PathQuery question = Question(profile, engines);
   const PathResult answer = ChoosePath(question);
   CHECK(IsWhole(answer.mPath, profile.mLayers));
-  SECTION("without one engine after the other") {
+  SECTION("each single engine can be avoided") {
     for (const UpstreamRecord& record : engines.mRecords) {
       question.mExcludedEngines = {record.mInstance};
       const LayerPath path = ChoosePath(question).mPath;
@@ -340,7 +343,7 @@
       }
     }
   }
-  SECTION("full engines are passed by; where all are, that is said") {
+  SECTION("full engines are skipped; if all are full, the answer says so") {
     question.mExcludedEngines.clear();
     const std::string first = answer.mPath.front().mInstance;
     question.mLoadOf = [&](const std::string& aInstance) {
@@ -353,9 +356,9 @@
     CHECK(ChoosePath(question).mPath.empty());
     CHECK(ChoosePath(question).mLacksRoom);
   }
-  SECTION("where the own zone is full the whole path is in another") {
-    // Found on the users' platform, grown: paths went over to another zone
-    // midway, and the pipe between the zones held up all of them.
+  SECTION("if the local zone is full, the whole path is in another zone") {
+    // Guards against paths that cross to another zone midway, which the link
+    // between zones slows down for all.
     const auto full = [&engines](const std::string& aInstance, int aFrom) {
       const UpstreamRecord* record = engines.Find(aInstance);
       const bool counts = record->mZone == "z" && record->mLayers.mTo > aFrom;
@@ -372,8 +375,8 @@
       }
     }
   }
-  SECTION("a path goes over midway only where it may") {
-    // The own zone lacks the upper layers, the other one the lower.
+  SECTION("a path crosses zones midway only if allowed") {
+    // The local zone lacks the upper layers, the other zone the lower ones.
     question.mLoadOf = [&engines](const std::string& aInstance) {
       const UpstreamRecord* record = engines.Find(aInstance);
       const bool upper = record->mLayers.mTo > 40;
@@ -387,7 +390,7 @@
     CHECK(ChoosePath(question).mLacksRoom);
     question.mMayCrossZones = true;
   }
-  SECTION("a part of the layers alone") {
+  SECTION("a path for a part of the layers") {
     question.mLoadOf = [](const std::string&) { return EngineLoad{}; };
     question.mLayers = {20, 50};
     const LayerPath path = ChoosePath(question).mPath;
@@ -396,35 +399,35 @@
   }
 }
 
-Test(layers, the_model_follows_the_pages) {
+Test(layers, the_engine_model_matches_its_formulas) {
   const EngineProfile profile = Profile();
   const EngineModel fast(profile, *profile.FindKind("fast"));
   CHECK(fast.MaxLayers() == 41);
-  // 72,000 MB less 40 layers, at 11,475 bytes a token and layer.
+  // 72,000 MB minus 40 layers, at 11,475 bytes per token and layer.
   CHECK(std::abs(fast.RequestCapacity(40) - 2000e6 / 11475) < 1);
   CHECK(std::abs(fast.StepMillis(40, {}) - 0.5 * 2.4 * 1.02) < 1e-9);
   CHECK(std::abs(fast.LoadMillis(40) - 7000) < 1e-9);
 }
 
-Test(layers, the_pipe_between_zones_is_shared) {
-  // Found on the users' platform, grown: paths that went over paused for half
-  // a second and more, all others for a tenth.
+Test(layers, the_bandwidth_between_zones_is_shared) {
+  // Guards against an overloaded link between zones: streams that crossed it
+  // paused for 0.5 s and more, all others for 0.1 s.
   EngineProfile profile = Profile();
   profile.mPipeMbps = 10;
   profile.mActivationBytes = 1000;
   InterZoneBudget pipe({.mShare = 0.5, .mBurst = 1000});
-  SECTION("a share for each router, and a debt is waited out") {
-    // 5 Mbit/s for 10 routers: 0.5 Mbit in a second.
+  SECTION("each router has a share and waits until a debt is paid") {
+    // 5 Mbit/s for 10 routers: 0.5 Mbit/s each.
     CHECK(pipe.Allows(profile, 10, 0));
     pipe.Spend(profile, 125, 1);
     CHECK(!pipe.Allows(profile, 10, 900));
     CHECK(pipe.Allows(profile, 10, 1100));
   }
-  SECTION("what stays in a zone costs nothing") {
+  SECTION("traffic within a zone costs nothing") {
     pipe.Spend(profile, 1e9, 0);
     CHECK(pipe.Allows(profile, 10, 1200));
   }
-  SECTION("nothing is saved up beyond a burst") {
+  SECTION("unused allowance accumulates up to the burst only") {
     CHECK(pipe.Allows(profile, 10, 100000));
     pipe.Spend(profile, 63, 1);
     CHECK(pipe.Allows(profile, 10, 101000));
--- a/tests/servers/placement_test.cpp
+++ b/tests/servers/placement_test.cpp
@@ -23,8 +23,9 @@
   return engine;
 }
 
-/// The best throughput over all boundaries and assignments.
-double BestByTrying(std::span<const EngineReport> aEngines, int aLayers) {
+/// The best throughput over all boundaries and assignments of engines.
+double BestByExhaustiveSearch(std::span<const EngineReport> aEngines,
+                              int aLayers) {
   double best = 0;
   const auto count = static_cast<int>(aEngines.size());
   for (int mask = 0; mask < 1 << (aLayers - 1); mask++) {
@@ -87,7 +88,7 @@
 
 }  // namespace
 
-Test(placement, splits_come_close_to_the_best_there_is) {
+Test(placement, splits_reach_95_percent_of_the_best_throughput) {
   std::mt19937 random(3);
   const auto pick = [&random](int aLeast, int aMost) {
     return std::uniform_int_distribution<int>(aLeast, aMost)(random);
@@ -100,19 +101,20 @@
     for (int i = 0; i < count; i++) {
       engines.push_back(Engine("e", 500.0 * pick(1, 4), pick(2, 6)));
     }
-    const double best = BestByTrying(engines, 6);
+    const double best = BestByExhaustiveSearch(engines, 6);
     const StageSplit split = SplitStages(engines, 6);
     CHECK((best > 0) == (split.mTokensPerSecond > 0));
     if (best > 0) {
-      // Cover for a loss goes before throughput, where there is a choice.
-      sum += split.mLeastEngines >= 2 ? 1 : split.mTokensPerSecond / best;
+      // A split that survives a loss counts as best, since it is preferred to a
+      // higher throughput.
+      sum += split.mMinEnginesPerStage >= 2 ? 1 : split.mTokensPerSecond / best;
       rounds++;
     }
   }
   CHECK(sum / rounds >= 0.95);
 }
 
-Test(placement, a_plan_tiles_the_layers_and_tells_what_it_lacks) {
+Test(placement, a_plan_covers_all_layers_and_lists_shortages) {
   const std::vector<EngineReport> engines = ZoneOf(6);
   const Intent intent = OneModel(12);
   const Configuration none;
@@ -123,7 +125,7 @@
                               .mUnusable = unusable});
   REQUIRE(plan.mCapacity.size() == 1 && plan.mForbidden.empty());
   CHECK(plan.mCapacity[0].mSurvivesOneLoss && plan.mShort.empty());
-  SECTION("every layer is held, and no engine beyond its memory") {
+  SECTION("two engines hold each layer, within their memory") {
     std::vector<int> held(12, 0);
     for (const StagePlacement& stage : plan.mPlacement) {
       CHECK(stage.mLast - stage.mFirst <= 8);
@@ -133,7 +135,7 @@
     }
     CHECK(*std::min_element(held.begin(), held.end()) >= 2);
   }
-  SECTION("the same again moves nothing") {
+  SECTION("planning again moves nothing") {
     const Configuration accepted = Accepted(plan);
     const Plan again = MakePlan({.mIntent = intent,
                                  .mCurrent = accepted,
@@ -143,7 +145,7 @@
       CHECK(change.mAction == "keep");
     }
   }
-  SECTION("a model that fits nowhere cannot be confirmed") {
+  SECTION("a plan for a model that fits nowhere cannot be confirmed") {
     const Intent large = OneModel(100);
     const Plan refused = MakePlan({.mIntent = large,
                                    .mCurrent = none,
@@ -153,7 +155,7 @@
   }
 }
 
-Test(placement, losses_are_repaired_together_and_a_second_one_survived) {
+Test(placement, plans_avoid_lost_engines_and_survive_repeated_losses) {
   std::vector<EngineReport> engines = ZoneOf(8);
   const Intent intent = OneModel(12);
   const Configuration none;
@@ -178,7 +180,7 @@
   }
 }
 
-Test(placement, a_zone_that_is_cut_off_keeps_its_stages) {
+Test(placement, a_partitioned_zone_keeps_its_stages) {
   std::vector<EngineReport> engines = ZoneOf(6);
   for (int i = 0; i < 6; i++) {
     engines.push_back(Engine("y" + std::to_string(i), 1000, 8, "y"));
@@ -202,7 +204,7 @@
   CHECK(inY == 6 && !cut.mShort.empty());
 }
 
-Test(placement, zones_and_hardware_are_kept_to) {
+Test(placement, zone_and_hardware_limits_are_respected) {
   std::vector<EngineReport> engines = ZoneOf(6);
   Intent intent = OneModel(6);
   intent.mModels[0].mHardware = {"a100"};
@@ -224,7 +226,7 @@
   CHECK(!MakePlan(input).mForbidden.empty());
 }
 
-Test(orders, loads_go_to_the_stage_that_holds_back_the_whole) {
+Test(orders, loads_go_to_the_slowest_stage_first) {
   std::vector<EngineReport> engines = {
       Engine("a", 1000, 8), Engine("b", 1000, 8), Engine("c", 1000, 8)};
   engines[0].mModel = "m";
@@ -233,19 +235,19 @@
   const std::vector<StagePlacement> wanted = {{"a", "z", "m", "1", 0, 6},
                                               {"b", "z", "m", "1", 0, 6},
                                               {"c", "z", "m", "1", 6, 12}};
-  SECTION("the stage without any engine first") {
+  SECTION("the stage without any engine comes first") {
     const auto orders =
         PlanOrders({.mPlacement = wanted, .mEngines = engines, .mMaxLoads = 1});
     REQUIRE(orders.size() == 1);
     CHECK(orders[0].mStage.mEngine == "c");
   }
-  SECTION("loads under way count against the maximum") {
+  SECTION("loads in progress count against the maximum") {
     engines[2].mLoading = true;
     CHECK(
         PlanOrders({.mPlacement = wanted, .mEngines = engines, .mMaxLoads = 1})
             .empty());
   }
-  SECTION("what is not wanted is dropped") {
+  SECTION("unwanted weights are dropped") {
     const auto orders = PlanOrders({.mPlacement = {}, .mEngines = engines});
     REQUIRE(orders.size() == 1);
     CHECK(orders[0].mKind == OrderKind::kDrop);
