--- a/include/spindleweir/servers/explain/loss_report.h
+++ b/include/spindleweir/servers/explain/loss_report.h
@@ -1,5 +1,5 @@
-/// Counts what became of all requests in the logs of all processes: how many
-/// were lost or late by which cause, where and when.
+/// Counts the outcomes of all requests in the logs of all processes: how many
+/// were lost or late, by cause, zone, route and time.
 #pragma once
 
 #include <json/value.h>
@@ -14,71 +14,71 @@
 
 /// Why a request was not served in time.
 enum class LossCause {
-  kNone,             ///< It was.
-  kNoPath,           ///< No upstream that the configuration allows.
-  kNoRoom,           ///< Those that could take it were full.
-  kNoLease,          ///< The configuration was not confirmed any more.
-  kNoConfiguration,  ///< None was known yet.
-  kDeadline,         ///< Its time ran out.
-  kNotAllowed,       ///< No such key or route: not a loss of the system's.
+  kNone,             ///< Served in time.
+  kNoPath,           ///< The configuration allows no available upstream.
+  kNoRoom,           ///< All suitable upstreams were full.
+  kNoLease,          ///< Control no longer confirmed the configuration.
+  kNoConfiguration,  ///< The router had no configuration yet.
+  kDeadline,         ///< The caller's deadline passed.
+  kNotAllowed,       ///< Unknown key or route: not a fault of the system.
   kOtherRefusal,
-  kBrokenOff,       ///< The stream was cut and nothing could go on with it.
-  kUpstreamFailed,  ///< The upstream ran it and answered a failure.
-  kRouterEnded,     ///< A planned stop cut it at the end of its grace.
+  kBrokenOff,       ///< The stream broke and could not be resumed.
+  kUpstreamFailed,  ///< The upstream ran it and answered an error.
+  kRouterEnded,     ///< A planned stop ended it after the grace time.
   kCallerGone,
-  kFirstLate,  ///< Late by its first event.
-  kResumed,    ///< Late, cut and taken up by another attempt.
-  kMoved,      ///< Late, moved to other engines.
-  kSlow,       ///< Late though nothing was done to it.
+  kFirstLate,  ///< Late: the first event.
+  kResumed,    ///< Late: broke, and another attempt resumed it.
+  kMoved,      ///< Late: moved to other engines.
+  kSlow,       ///< Late without a break or move.
 };
 
-/// From when on an answer counts as late, in milliseconds.
+/// Limits in milliseconds above which an answer counts as late.
 struct LatencyLimits {
-  std::int64_t mFirstEventMs = 500;
-  std::int64_t mPauseMs = 200;
+  std::int64_t mFirstEventMs = 500;  ///< From the request on.
+  std::int64_t mPauseMs = 200;       ///< Between two events.
 };
 
-/// Requests counted under one name.
+/// Number of requests, or events, with a name.
 struct LossCount {
   std::string mName;
   std::int64_t mCount = 0;
 };
 
-/// The counts of a log.
+/// The counts over all lines added.
 struct LossSummary {
   std::int64_t mRequests = 0;
   std::vector<LossCount> mCauses;        ///< Most frequent first.
   std::vector<LossCount> mZones;         ///< "zone cause".
   std::vector<LossCount> mRoutes;        ///< "route cause".
-  std::vector<LossCount> mTimes;         ///< "second cause", in order of time.
-  std::vector<LossCount> mAvoidReasons;  ///< Why upstreams were left alone.
+  std::vector<LossCount> mTimes;         ///< "second cause", by time.
+  std::vector<LossCount> mAvoidReasons;  ///< Why upstreams were avoided.
 };
 
-/// Collects lines and counts. One line of a caller's each attempt: a caller
-/// that comes back is counted again.
+/// Collects log lines and counts requests. Each attempt of a caller has a line
+/// of its own, so a caller that retries is counted again.
 class LossReport {
  public:
   explicit LossReport(LatencyLimits aLimits = {}) : mLimits(aLimits) {}
 
-  /// Takes a line of a log; what stands before its JSON is passed over.
-  /// Returns whether it is one.
+  /// Adds a log line. Text before its JSON is ignored. Returns whether the line
+  /// is a log line.
   bool AddLine(std::string_view aLine);
   LossSummary Summary() const;
 
  private:
-  /// What the lines say of one request of one process.
-  struct Seen {
+  /// What earlier lines say about a request that has not ended.
+  struct RequestState {
     bool mAttemptFailed = false;
     bool mMoved = false;
-    std::int64_t mCode = 0;  ///< Of its refusal.
+    std::int64_t mCode = 0;  ///< Result code if refused.
   };
 
-  LossCause CauseOf(const Json::Value& aLine, const Seen& aSeen) const;
+  LossCause CauseOf(const Json::Value& aLine, const RequestState& aState) const;
   void CountRequest(const Json::Value& aLine);
 
   LatencyLimits mLimits;
-  std::map<std::string, std::string> mZoneOf;  ///< By process.
-  std::map<std::string, Seen> mOpen;           ///< By request.
+  std::map<std::string, std::string> mZoneOf;         ///< By process.
+  std::map<std::string, RequestState> mOpenRequests;  ///< By request.
   std::int64_t mRequests = 0;
   std::map<std::string, std::int64_t> mCauses;
   std::map<std::string, std::int64_t> mZones;
--- a/servers/explain/log_line.cpp
+++ b/servers/explain/log_line.cpp
@@ -21,12 +21,12 @@
   }
 }
 
-std::string TextOf(const Json::Value& aLine, const char* aName) {
+std::string TextField(const Json::Value& aLine, const char* aName) {
   const Json::Value& value = aLine[aName];
   return value.isString() ? value.asString() : std::string();
 }
 
-std::int64_t NumberOf(const Json::Value& aLine, const char* aName) {
+std::int64_t NumberField(const Json::Value& aLine, const char* aName) {
   const Json::Value& value = aLine[aName];
   return value.isIntegral() ? value.asInt64() : 0;
 }
--- a/servers/explain/log_line.h
+++ b/servers/explain/log_line.h
@@ -1,4 +1,4 @@
-/// Reading of log lines.
+/// Parsing of log lines.
 #pragma once
 
 #include <json/value.h>
@@ -10,14 +10,14 @@
 
 namespace spindleweir {
 
-/// The JSON of a line, whatever stands before it; nothing where it is none of
-/// a log of ours.
+/// Parses the JSON of a log line; text before it is ignored. Returns nothing if
+/// the line isn't a JSON object with an "event".
 std::optional<Json::Value> ReadLogLine(std::string_view aLine);
 
-/// A field that is a text; empty where it is none.
-std::string TextOf(const Json::Value& aLine, const char* aName);
+/// The value of a string field; empty if the field is missing or not a string.
+std::string TextField(const Json::Value& aLine, const char* aName);
 
-/// A field that is a whole number; 0 where it is none.
-std::int64_t NumberOf(const Json::Value& aLine, const char* aName);
+/// The value of an integer field; 0 if the field is missing or not an integer.
+std::int64_t NumberField(const Json::Value& aLine, const char* aName);
 
 }  // namespace spindleweir
--- a/servers/explain/loss_report.cpp
+++ b/servers/explain/loss_report.cpp
@@ -69,7 +69,7 @@
   }
 }
 
-std::vector<LossCount> MostFirst(
+std::vector<LossCount> SortedByCount(
     const std::map<std::string, std::int64_t>& aCounts) {
   std::vector<LossCount> counts;
   for (const auto& [name, count] : aCounts) {
@@ -90,17 +90,17 @@
     return false;
   }
   const Json::Value& line = *read;
-  const std::string event = TextOf(line, "event");
-  const std::string request = TextOf(line, "request");
+  const std::string event = TextField(line, "event");
+  const std::string request = TextField(line, "request");
   if (event == "started") {
-    mZoneOf[TextOf(line, "process")] = TextOf(line, "zone");
+    mZoneOf[TextField(line, "process")] = TextField(line, "zone");
   } else if (event == "attempt_failed") {
-    mOpen[request].mAttemptFailed = true;
+    mOpenRequests[request].mAttemptFailed = true;
   } else if (event == "repath") {
-    mOpen[request].mMoved = true;
-    mAvoidReasons["moved, engine " + TextOf(line, "why")]++;
+    mOpenRequests[request].mMoved = true;
+    mAvoidReasons["moved, engine " + TextField(line, "why")]++;
   } else if (event == "refused") {
-    mOpen[request].mCode = NumberOf(line, "code");
+    mOpenRequests[request].mCode = NumberField(line, "code");
   } else if (event == "upstream_unreachable" || event == "upstream_silent") {
     mAvoidReasons[event]++;
   } else if (event == "request") {
@@ -110,10 +110,10 @@
 }
 
 LossCause LossReport::CauseOf(const Json::Value& aLine,
-                              const Seen& aSeen) const {
-  const std::string outcome = TextOf(aLine, "outcome");
+                              const RequestState& aState) const {
+  const std::string outcome = TextField(aLine, "outcome");
   if (outcome == "refused") {
-    return CauseOfRefusal(aSeen.mCode);
+    return CauseOfRefusal(aState.mCode);
   }
   if (outcome == "broken_off") {
     return LossCause::kBrokenOff;
@@ -127,39 +127,39 @@
   if (outcome == "caller_gone") {
     return LossCause::kCallerGone;
   }
-  if (NumberOf(aLine, "first_ms") > mLimits.mFirstEventMs) {
+  if (NumberField(aLine, "first_ms") > mLimits.mFirstEventMs) {
     return LossCause::kFirstLate;
   }
-  if (NumberOf(aLine, "longest_pause_ms") <= mLimits.mPauseMs) {
+  if (NumberField(aLine, "longest_pause_ms") <= mLimits.mPauseMs) {
     return LossCause::kNone;
   }
-  if (aSeen.mAttemptFailed) {
+  if (aState.mAttemptFailed) {
     return LossCause::kResumed;
   }
-  return aSeen.mMoved ? LossCause::kMoved : LossCause::kSlow;
+  return aState.mMoved ? LossCause::kMoved : LossCause::kSlow;
 }
 
 void LossReport::CountRequest(const Json::Value& aLine) {
-  const std::string request = TextOf(aLine, "request");
-  const std::string cause = NameOf(CauseOf(aLine, mOpen[request]));
-  mOpen.erase(request);
+  const std::string request = TextField(aLine, "request");
+  const std::string cause = NameOf(CauseOf(aLine, mOpenRequests[request]));
+  mOpenRequests.erase(request);
   mRequests++;
   mCauses[cause]++;
   if (cause == NameOf(LossCause::kNone)) {
     return;
   }
-  mZones[mZoneOf[TextOf(aLine, "process")] + " " + cause]++;
-  mRoutes[TextOf(aLine, "route") + " " + cause]++;
-  mTimes[NumberOf(aLine, "wall_ms") / kMillisPerSecond][cause]++;
+  mZones[mZoneOf[TextField(aLine, "process")] + " " + cause]++;
+  mRoutes[TextField(aLine, "route") + " " + cause]++;
+  mTimes[NumberField(aLine, "wall_ms") / kMillisPerSecond][cause]++;
 }
 
 LossSummary LossReport::Summary() const {
   LossSummary summary;
   summary.mRequests = mRequests;
-  summary.mCauses = MostFirst(mCauses);
-  summary.mZones = MostFirst(mZones);
-  summary.mRoutes = MostFirst(mRoutes);
-  summary.mAvoidReasons = MostFirst(mAvoidReasons);
+  summary.mCauses = SortedByCount(mCauses);
+  summary.mZones = SortedByCount(mZones);
+  summary.mRoutes = SortedByCount(mRoutes);
+  summary.mAvoidReasons = SortedByCount(mAvoidReasons);
   const std::int64_t first = mTimes.empty() ? 0 : mTimes.begin()->first;
   for (const auto& [second, causes] : mTimes) {
     for (const auto& [cause, count] : causes) {
--- a/tests/servers/explain_test.cpp
+++ b/tests/servers/explain_test.cpp
@@ -1,6 +1,7 @@
-/// The lines are those of real runs; docs/OPERATIONS.md follows the same steps.
+/// The lines are log lines of real runs; docs/OPERATIONS.md follows the same
+/// steps.
 #include "spindleweir/servers/explain/loss_report.h"
-#include "spindleweir/servers/explain/request_report.h"
+#include "spindleweir/servers/explain/request_story.h"
 #include "tests/test_tools.h"
 
 using namespace spindleweir;
@@ -24,47 +25,48 @@
     R"({"event":"request","events":193,"first_ms":65,"instance":"i-cd4f130149","level":"info","longest_pause_ms":1102,"outcome":"served","path":[],"process":"front-hall-a-2","request":"2b8ed79a1c54f354","route":"r-2r62rdt","sent":2,"service":"dezi1a","status":200,"took_ms":8953,"version":19,"wall_ms":1792773193021,"workspace":"zipu567"})"};
 
 template <std::size_t N>
-RequestReport Tell(const char* const (&aLines)[N], const char* aRequest) {
-  ReportBuilder teller;
+RequestReport BuildReport(const char* const (&aLines)[N],
+                          const char* aRequest) {
+  ReportBuilder builder;
   for (const char* line : aLines) {
-    CHECK(teller.AddLine(line));
+    CHECK(builder.AddLine(line));
   }
-  return teller.Build(aRequest);
+  return builder.Build(aRequest);
 }
 
-bool Says(const std::string& aText, const char* aPart) {
+bool Contains(const std::string& aText, const char* aPart) {
   return aText.find(aPart) != std::string::npos;
 }
 
 }  // namespace
 
-Test(explain, a_refused_request) {
-  const RequestReport story = Tell(kRefused, "b88980f7ac21a7db");
-  CHECK(Says(story.mCause, "2008 LeaseExpired"));
-  CHECK(Says(story.mCause, "version 9 for 4142 ms"));
-  CHECK(Says(story.mLines.front(), "configuration_in_force"));
+Test(explain, names_the_cause_of_a_refusal) {
+  const RequestReport report = BuildReport(kRefused, "b88980f7ac21a7db");
+  CHECK(Contains(report.mCause, "2008 LeaseExpired"));
+  CHECK(Contains(report.mCause, "version 9 for 4142 ms"));
+  CHECK(Contains(report.mLines.front(), "configuration_in_force"));
 }
 
-Test(explain, a_stream_that_was_cut) {
-  const RequestReport story = Tell(kCut, "53684fb34ba286a7");
-  CHECK(Says(story.mCause, "broken off after 4 events"));
-  CHECK(Says(story.mCause, "3001 OutcomeUnknown"));
-  CHECK(Says(story.mLines.front(), "2009"));
+Test(explain, names_the_cause_of_an_interrupted_stream) {
+  const RequestReport report = BuildReport(kCut, "53684fb34ba286a7");
+  CHECK(Contains(report.mCause, "broken off after 4 events"));
+  CHECK(Contains(report.mCause, "3001 OutcomeUnknown"));
+  CHECK(Contains(report.mLines.front(), "2009"));
 }
 
-Test(explain, an_answer_that_came_late) {
-  const RequestReport story = Tell(kLate, "2b8ed79a1c54f354");
-  CHECK(Says(story.mCause, "served late"));
-  CHECK(Says(story.mCause, "longest pause 1102 ms"));
-  CHECK(Says(story.mCause, "i-d89d52b3ae failed"));
+Test(explain, names_the_cause_of_a_late_answer) {
+  const RequestReport report = BuildReport(kLate, "2b8ed79a1c54f354");
+  CHECK(Contains(report.mCause, "served late"));
+  CHECK(Contains(report.mCause, "longest pause 1102 ms"));
+  CHECK(Contains(report.mCause, "i-d89d52b3ae failed"));
 }
 
-Test(explain, lines_that_are_none_are_passed_over) {
-  ReportBuilder teller;
-  CHECK(!teller.AddLine("no line"));
-  CHECK(!teller.AddLine("{\"event\":"));
-  CHECK(!teller.AddLine("[1]"));
-  CHECK(!teller.Build("x").mFound);
+Test(explain, lines_that_are_not_log_lines_are_skipped) {
+  ReportBuilder builder;
+  CHECK(!builder.AddLine("no line"));
+  CHECK(!builder.AddLine("{\"event\":"));
+  CHECK(!builder.AddLine("[1]"));
+  CHECK(!builder.Build("x").mFound);
 }
 
 namespace {
@@ -81,7 +83,7 @@
 
 }  // namespace
 
-Test(explain, losses_are_counted_by_their_cause) {
+Test(explain, counts_losses_by_cause_zone_and_route) {
   LossReport report;
   report.AddLine(
       R"({"event":"started","process":"front-hall-c-1","zone":"hall-c"})");
@@ -104,11 +106,11 @@
   CHECK(CountOf(summary.mZones, "hall-c no lease") == 1);
   CHECK(CountOf(summary.mRoutes, "r-imhjta8 no lease") == 1);
   CHECK(CountOf(summary.mAvoidReasons, "upstream_unreachable") == 1);
-  SECTION("what counts as late is the operators' choice") {
-    LossReport patient({.mFirstEventMs = 500, .mPauseMs = 2000});
+  SECTION("operators can set the limits of lateness") {
+    LossReport lenient({.mFirstEventMs = 500, .mPauseMs = 2000});
     for (const char* line : kLate) {
-      patient.AddLine(line);
+      lenient.AddLine(line);
     }
-    CHECK(CountOf(patient.Summary().mCauses, "served in time") == 1);
+    CHECK(CountOf(lenient.Summary().mCauses, "served in time") == 1);
   }
 }
