--- a/bench/capacity_slopes.cpp
+++ b/bench/capacity_slopes.cpp
@@ -17,7 +17,7 @@
 #include "spindleweir/servers/configuration/configuration_machine.h"
 #include "spindleweir/servers/consensus/raft_node.h"
 #include "spindleweir/servers/membership/member_table.h"
-#include "spindleweir/servers/receipts/receipt_book.h"
+#include "spindleweir/servers/receipts/receipt_store.h"
 #include "spindleweir/servers/routing/upstream_view.h"
 
 namespace spindleweir {
@@ -103,7 +103,7 @@
                                         .mLast = report.mLast});
   }
   configuration.mHash = std::string(64, 'a');
-  Sort(configuration);
+  SortLists(configuration);
   return configuration;
 }
 
@@ -124,11 +124,12 @@
   Print(aOptions, "the same in memory", HeapBytes() - heap, "bytes");
   double cpu = CpuMicros();
   ConfigurationHistory whole;
-  const ConfigurationNews news{
-      .mIsWhole = true,
-      .mWhole = *kept,
-      .mWholeDigest = Sha256Hex(DumpJson(ToJson(*kept)))};
-  whole.Take(FromJson<ConfigurationNews>(ParseJson(DumpJson(ToJson(news)))));
+  const ConfigurationUpdate news{
+      .mIsFull = true,
+      .mFull = *kept,
+      .mFullDigest = Sha256Hex(DumpJson(ToJson(*kept)))};
+  whole.ApplyUpdate(
+      FromJson<ConfigurationUpdate>(ParseJson(DumpJson(ToJson(news)))));
   Print(aOptions, "the same written, read and checked", CpuMicros() - cpu,
         "us");
   Configuration next = *kept;
@@ -138,12 +139,13 @@
   cpu = CpuMicros();
   const ConfigurationChange change = ChangeBetween(*kept, next);
   Print(aOptions, "a change of four stages found", CpuMicros() - cpu, "us");
-  const std::string text = DumpJson(ToJson(ConfigurationNews{{change}}));
+  const std::string text = DumpJson(ToJson(ConfigurationUpdate{{change}}));
   Print(aOptions, "a change of four stages", static_cast<double>(text.size()),
         "bytes");
   cpu = CpuMicros();
-  const bool taken = whole.Take(FromJson<ConfigurationNews>(ParseJson(text))) ==
-                     NewsVerdict::kTaken;
+  const bool taken =
+      whole.ApplyUpdate(FromJson<ConfigurationUpdate>(ParseJson(text))) ==
+      ConfigurationUpdateResult::kApplied;
   Print(aOptions, taken ? "a change of four stages read and applied" : "failed",
         CpuMicros() - cpu, "us");
 }
@@ -259,7 +261,7 @@
     message.mRecord.mDigest = std::string(64, 'a');
     message.mRecord.mOwner = "router-1-1796213499447-" + std::to_string(i);
     keeper.Handle(message, i);
-    message.mAsk = ClaimAsk::kFinish;
+    message.mOperation = ClaimOperation::kFinish;
     message.mRecord.mState = ClaimState::kDone;
     message.mRecord.mAnswer = {200, "application/json", std::string(200, 'x')};
     keeper.Handle(message, i);
@@ -287,7 +289,7 @@
   Print(aOptions, "receipt of four stages",
         static_cast<double>(DumpJson(ToJson(receipt)).size()), "bytes");
   const double heap = HeapBytes();
-  ReceiptBook book(100000);
+  ReceiptStore book(100000);
   for (int i = 0; i < 10000; i++) {
     receipt.mRequest = "router-100-1796213499447-" + std::to_string(i);
     book.Add(receipt);
--- a/bench/choice_play.cpp
+++ b/bench/choice_play.cpp
@@ -348,9 +348,9 @@
     const std::size_t chosen = std::uniform_int_distribution<std::size_t>(
         0, mRouters.size() - 1)(mRandom);
     PlayedRouter& router = *mRouters[chosen];
-    const double prompt = mOptions.mProfile.mUsualPrompt;
+    const double prompt = mOptions.mProfile.mTypicalPromptTokens;
     const double answer =
-        mOptions.mProfile.mUsualAnswer *
+        mOptions.mProfile.mTypicalAnswerTokens *
         std::uniform_real_distribution<double>(0.3, 1.7)(mRandom);
     mResult.mRequests++;
     auto request = std::make_shared<PlayedRequest>();
@@ -552,17 +552,17 @@
   profile.mSlots = 192;
   profile.mTokenBytes = 754000;
   profile.mActivationBytes = 37700;
-  profile.mLinkMbps = 400000;
-  profile.mPipeMbps = 18000;
+  profile.mIntraZoneMbps = 400000;
+  profile.mInterZoneMbps = 18000;
   profile.mStepMillis = 1.02;
   profile.mRequestMillis = 0.00586;
   profile.mContextMillis = 0.00785;
-  profile.mReadPerSecond = 128000;
+  profile.mPromptTokensPerSecond = 128000;
   profile.mPairMillis = 0.254;
   profile.mLoadSeconds = 14;
-  profile.mZoneDelay = 0.75;
-  profile.mUsualPrompt = 774;
-  profile.mUsualAnswer = 214;
+  profile.mZoneDelayMillis = 0.75;
+  profile.mTypicalPromptTokens = 774;
+  profile.mTypicalAnswerTokens = 214;
   profile.mKinds = {{"fast", 72000, 2.4, 3.2},
                     {"middle", 43200, 5.6, 2.7},
                     {"slow", 21600, 16, 8.2}};
--- a/bench/control_costs.cpp
+++ b/bench/control_costs.cpp
@@ -35,10 +35,10 @@
   profile.mSlots = 192;
   profile.mTokenBytes = 918000;
   profile.mCapacityTokens = 100000;
-  profile.mLinkMbps = 400000;
-  profile.mPipeMbps = 4300;
+  profile.mIntraZoneMbps = 400000;
+  profile.mInterZoneMbps = 4300;
   profile.mStepMillis = 0.85;
-  profile.mReadPerSecond = 353000;
+  profile.mPromptTokensPerSecond = 353000;
   profile.mKinds = {{"fast", 36000, 3.1, 3.2},
                     {"middle", 22000, 16, 8.2},
                     {"small", 14000, 15, 15}};
--- a/bench/memory_measures.cpp
+++ b/bench/memory_measures.cpp
@@ -352,7 +352,7 @@
                                .mPrefix = std::string("/") + aName + "/",
                                .mKind = aKind,
                                .mTimeout = kGiveUp,
-                               .mAttempts = 2,
+                               .mMaxAttempts = 2,
                                .mTargets = {{"counter", 1}}});
   };
   add("pay", RouteKind::kUnsafe);
--- a/daemons/control/claim_service.cpp
+++ b/daemons/control/claim_service.cpp
@@ -40,7 +40,7 @@
   });
   mContext.mDispatcher.On(
       rpc_method::kClaimPage, [this](const Json::Value& aMessage) {
-        return ToJson(mKeeper.Page(FromJson<ClaimPageQuestion>(aMessage)));
+        return ToJson(mKeeper.Page(FromJson<ClaimPageRequest>(aMessage)));
       });
   // A marker, since a keeper that is whole may well have no claim yet.
   const bool first = !mContext.mOptions.mInitialVoters.empty();
@@ -95,7 +95,7 @@
     return;
   }
   mContext.mRpc.Call(keeper->mAddress, rpc_method::kClaimPage,
-                     ToJson(ClaimPageQuestion{aAfter}), kPageTimeout,
+                     ToJson(ClaimPageRequest{aAfter}), kPageTimeout,
                      [this, aKeeper](const RpcResult& aResult) {
                        // Of a keeper that lacks records itself, or went away,
                        // all is asked again.
@@ -104,13 +104,13 @@
                          return;
                        }
                        const auto page = FromJson<ClaimPage>(aResult.mAnswer);
-                       if (!page.mWhole) {
+                       if (!page.mIsComplete) {
                          return;
                        }
                        for (const ClaimRecord& record : page.mRecords) {
-                         mKeeper.Adopt(record);
+                         mKeeper.MergeRecord(record);
                        }
-                       if (page.mLast) {
+                       if (page.mIsLast) {
                          mTakenOver.insert(aKeeper);
                          return;
                        }
--- a/daemons/control/joined_control.cpp
+++ b/daemons/control/joined_control.cpp
@@ -202,7 +202,7 @@
   TrafficConfiguration configuration;
   try {
     configuration = mContext.mOptions.mDocuments.mRead(aDocument);
-    CheckTraffic(configuration);
+    CheckTrafficConfiguration(configuration);
   } catch (const Error& error) {
     LogLine(LogLevel::kWarning, "configuration_refused")
         .Add("code", static_cast<int>(error.Code()))
--- a/daemons/control/operator_api.cpp
+++ b/daemons/control/operator_api.cpp
@@ -198,13 +198,13 @@
   command.mId = body.mCommandId;
   command.mDigest = Sha256Hex("intent\n" + aExchange->Body());
   command.mKind = CommandKind::kPlan;
-  command.mWall = WallNow();
+  command.mLeaderWallTime = WallNow();
   if (mLog.Machine().FindResult(command.mId) != nullptr) {
     // A resend: the log gives its first answer.
     SubmitCommand(aExchange, command);
     return;
   }
-  CheckAndSealIntent(body.mIntent);
+  CheckIntentAndHashKeys(body.mIntent);
   const Configuration& current = mLog.Machine().Current();
   if (body.mBaseVersion >= 0 && body.mBaseVersion != current.mVersion) {
     throw Error(ResultCode::kVersionConflict,
@@ -225,15 +225,17 @@
                             .mUnusable = unusable});
   command.mPlan.mId = "plan-" + command.mId;
   command.mPlan.mBaseVersion = current.mVersion;
-  command.mPlan.mExpiresWall = command.mWall + mContext.mOptions.mPlanLifetime;
+  command.mPlan.mExpiresWall =
+      command.mLeaderWallTime + mContext.mOptions.mPlanLifetime;
   LogLine(LogLevel::kInfo, "placement")
       .Add("plan", command.mPlan.mId)
       .Add("engines", static_cast<int>(engines.size()))
       .Add("unusable", static_cast<int>(unusable.size()))
       .Add("stages", static_cast<int>(command.mPlan.mPlacement.size()))
       .Add("changes", static_cast<int>(command.mPlan.mChanges.size()))
-      .Add("short", static_cast<int>(command.mPlan.mShort.size()))
-      .Add("forbidden", static_cast<int>(command.mPlan.mForbidden.size()));
+      .Add("short", static_cast<int>(command.mPlan.mWarnings.size()))
+      .Add("forbidden",
+           static_cast<int>(command.mPlan.mRejectionReasons.size()));
   SubmitCommand(aExchange, command);
 }
 
@@ -246,7 +248,7 @@
   command.mId = body.mCommandId;
   command.mDigest = Sha256Hex("confirm\n" + aPlanId);
   command.mKind = CommandKind::kConfirm;
-  command.mWall = WallNow();
+  command.mLeaderWallTime = WallNow();
   command.mPlanId = aPlanId;
   SubmitCommand(aExchange, command);
 }
@@ -262,7 +264,7 @@
   command.mId = body.mCommandId;
   command.mDigest = Sha256Hex((body.mDrain ? "drain\n" : "undrain\n") + aVm);
   command.mKind = CommandKind::kDrain;
-  command.mWall = WallNow();
+  command.mLeaderWallTime = WallNow();
   command.mVm = aVm;
   command.mDrain = body.mDrain;
   SubmitCommand(aExchange, command);
--- a/daemons/control/receipt_service.h
+++ b/daemons/control/receipt_service.h
@@ -7,7 +7,7 @@
 
 #include "daemons/control/control_context.h"
 #include "spindleweir/drivers/disk_log.h"
-#include "spindleweir/servers/receipts/receipt_book.h"
+#include "spindleweir/servers/receipts/receipt_store.h"
 
 namespace spindleweir {
 
@@ -26,7 +26,7 @@
   void CompactIfLarge();
 
   ControlContext& mContext;
-  ReceiptBook mBook;
+  ReceiptStore mBook;
   std::unique_ptr<DiskLog> mLog;
   std::size_t mRecords = 0;  ///< In the file, dead ones too.
 };
--- a/daemons/control/replicated_configuration.cpp
+++ b/daemons/control/replicated_configuration.cpp
@@ -31,8 +31,8 @@
       });
   mContext.mDispatcher.On(rpc_method::kGetConfiguration,
                           [this](const Json::Value& aMessage) {
-                            return ToJson(mMachine.History().Answer(
-                                FromJson<ConfigurationQuestion>(aMessage)));
+                            return ToJson(mMachine.History().UpdateFor(
+                                FromJson<ConfigurationRequest>(aMessage)));
                           });
   mMachine.SignalAccepted().connect([this](const Configuration&) {
     // A restart applies many at once; only the newest is worth telling.
@@ -224,8 +224,8 @@
   const EntryVms& vms = mContext.mEntryVms.Current();
   const bool leads = mRaft != nullptr && mRaft->Role() == RaftRole::kLeader;
   // What is new since the last time; a router that lacks more asks for it.
-  const Json::Value message = ToJson(mMachine.History().Answer(mSpread));
-  mSpread = mMachine.History().Question();
+  const Json::Value message = ToJson(mMachine.History().UpdateFor(mSpread));
+  mSpread = mMachine.History().MakeRequest();
   for (const EntryVm& router : vms.OfRole(EntryRole::kRouter)) {
     // Each zone is served by its own control; the leader, which knows first,
     // tells all.
--- a/daemons/control/replicated_configuration.h
+++ b/daemons/control/replicated_configuration.h
@@ -65,7 +65,7 @@
   ConfigurationMachine mMachine;
   std::unique_ptr<RaftNode> mRaft;
   std::map<std::string, Waiting> mWaiting;  ///< By command id.
-  ConfigurationQuestion mSpread;  ///< What the routers were last told.
+  ConfigurationRequest mSpread;  ///< What the routers were last told.
   std::string mLoggedLeader;
   std::int64_t mSettledTerm = 0;  ///< Whose leader was told of.
   sigc::signal<void> mSignalSettled;
--- a/daemons/control/sync_service.cpp
+++ b/daemons/control/sync_service.cpp
@@ -90,7 +90,7 @@
     // A log that is opened again goes through what was known before.
     return mTraffic.Current();
   }
-  mTraffic.Take(mContext.mOptions.mDocuments.mRead(
+  mTraffic.Add(mContext.mOptions.mDocuments.mRead(
       Unpack(newest.mDocument, kMostUnpacked)));
   const TrafficConfiguration& traffic = mTraffic.Current();
   mContext.mCounters.Set("traffic_version", traffic.mVersion);
@@ -130,7 +130,7 @@
   answer.mConfirmedVersion = mConfirmation.Version();
   answer.mConfirmedAgo = mConfirmation.Age(now);
   if (!fromControl) {
-    answer.mNews = mTraffic.NewsSince(aQuestion.mConfiguration);
+    answer.mNews = mTraffic.UpdatesSince(aQuestion.mConfiguration);
   }
   answer.mRouters = Routers(now);
   answer.mOwnRouters = mLoads.LocalRouters(now);
@@ -232,7 +232,7 @@
 void SyncService::ConfirmOwn(Millis aNow) {
   const Millis confirmed = mLog.Raft().ConfirmedAt();
   if (confirmed >= 0) {
-    mConfirmation.Take(Traffic().mVersion, aNow, aNow - confirmed);
+    mConfirmation.Update(Traffic().mVersion, aNow, aNow - confirmed);
   }
 }
 
@@ -344,8 +344,8 @@
     mToldTerm = aAnswer.mTerm;
     mToldLeaderAt = now;
   }
-  mConfirmation.Take(aAnswer.mConfirmedVersion, aAskedAt,
-                     aAnswer.mConfirmedAgo);
+  mConfirmation.Update(aAnswer.mConfirmedVersion, aAskedAt,
+                       aAnswer.mConfirmedAgo);
   if (aAnswer.mLoadsNumber == source.mLoadsNumber && sameLife) {
     mLoads.OnControlUnchanged(aAddress.Text(), aAnswer.mOwnRouters, now);
   } else {
--- a/daemons/relay/relay_attempt.cpp
+++ b/daemons/relay/relay_attempt.cpp
@@ -128,7 +128,7 @@
   });
   const PlainQuestion plain{.mUpstreams = known,
                             .mBodyBytes = mExchange->Body().size(),
-                            .mTarget = mRoute->mTarget,
+                            .mTarget = mRoute->mTargetLatency,
                             .mArrivedAt = mAskedAt};
   std::erase_if(question.mUpstreams, [this, &plain](const auto* aRecord) {
     const UpstreamOccupancy occupancy = mContext.OccupancyOf(*aRecord, plain);
@@ -300,7 +300,7 @@
   const int refusals = mExchange->Started() || IsLikelyRetry()
                            ? kMostRefusedMidway
                            : kMostRefused;
-  return allowed && sent < mRoute->mAttempts && mRefused < refusals &&
+  return allowed && sent < mRoute->mMaxAttempts && mRefused < refusals &&
          mNotSent < kMostNotSent && Remaining() > kLeastForAttempt &&
          !mExchange->Closed() && !IsBarred();
 }
--- a/daemons/relay/relay_context.cpp
+++ b/daemons/relay/relay_context.cpp
@@ -123,15 +123,15 @@
   return SteadyNow() - mStartedAt < kStartWaits * mOptions.mStartWait;
 }
 
-void RelayContext::Accept(const TrafficNews& aNews) {
+void RelayContext::Accept(const TrafficUpdate& aNews) {
   const std::int64_t held = mTable == nullptr ? 0 : mTable->Version();
-  const bool follows = aNews.mBase == 0 || aNews.mBase == held;
+  const bool follows = aNews.mBaseVersion == 0 || aNews.mBaseVersion == held;
   if (aNews.mVersion <= held || !follows) {
     return;
   }
   const TrafficConfiguration* base =
       mTable == nullptr ? nullptr : &mTable->Configuration();
-  mTable = std::make_shared<const RouteTable>(ReadNews(base, aNews));
+  mTable = std::make_shared<const RouteTable>(ApplyTrafficUpdate(base, aNews));
   mCounters.Set("traffic_version", mTable->Version());
   LogLine(LogLevel::kInfo, "configuration_in_force")
       .Add("version", static_cast<Json::Int64>(mTable->Version()))
--- a/daemons/relay/relay_context.h
+++ b/daemons/relay/relay_context.h
@@ -77,10 +77,10 @@
   const std::shared_ptr<const RouteTable>& Table() const { return mTable; }
   /// Takes news of the configuration where it is newer than what is held and
   /// follows on it.
-  void Accept(const TrafficNews& aNews);
+  void Accept(const TrafficUpdate& aNews);
   /// Whether the configuration in force has a service, or there is none yet.
   bool KnowsService(const std::string& aService) const;
-  bool LeaseHolds() const { return mLease.Holds(SteadyNow()); }
+  bool LeaseHolds() const { return mLease.IsValid(SteadyNow()); }
   /// Whether this process started so lately that what it lacks may still come
   /// by itself: the configuration, its confirmation, heartbeats of upstreams.
   bool Starting() const;
--- a/daemons/relay/relay_moves.cpp
+++ b/daemons/relay/relay_moves.cpp
@@ -68,8 +68,8 @@
   PathQuery question;
   question.mProfile = &engine;
   question.mZone = mContext.mOptions.mZone;
-  const double guess =
-      mFacts.mExpectedTokens > 0 ? mFacts.mExpectedTokens : engine.mUsualAnswer;
+  const double guess = mFacts.mExpectedTokens > 0 ? mFacts.mExpectedTokens
+                                                  : engine.mTypicalAnswerTokens;
   question.mAnswerTokens =
       mFacts.mMostTokens > 0 ? std::min(guess, mFacts.mMostTokens) : guess;
   question.mPrefillTokens = mFacts.mPromptTokens;
@@ -154,7 +154,8 @@
 }
 
 StreamTargets RelayRequest::Aim() const {
-  return {.mFirstEvent = mRoute->mTarget, .mPause = mRoute->mPause};
+  return {.mFirstEvent = mRoute->mTargetLatency,
+          .mPause = mRoute->mStallTimeout};
 }
 
 std::set<std::string> RelayRequest::SlowParts() const {
--- a/daemons/relay/relay_request.cpp
+++ b/daemons/relay/relay_request.cpp
@@ -108,7 +108,7 @@
     return;
   }
   mRoute = mTable->FindRoute(mFacts.mHost, mExchange->Head().mTarget);
-  mNeedsLease = mTable->NeedsKeys() && (mRoute == nullptr || !mRoute->mOpen);
+  mNeedsLease = mTable->NeedsKeys() && (mRoute == nullptr || !mRoute->mPublic);
   if (mNeedsLease && !mContext.LeaseHolds()) {
     // Neither a key nor its absence can be trusted any more.
     Refuse(ResultCode::kLeaseExpired, ReturnCause::kNoLease);
@@ -164,7 +164,7 @@
   const WarmUpDecision decision =
       mContext.mAdmission->Ask(this, *mService,
                                {.mReceivedAt = mExchange->ReceivedAt(),
-                                .mTarget = mRoute->mTarget,
+                                .mTarget = mRoute->mTargetLatency,
                                 .mWaitLimit = patience,
                                 .mPriority = mRoute->mPriority,
                                 .mPromptTokens = mFacts.mPromptTokens});
--- a/daemons/relay/sync_link.cpp
+++ b/daemons/relay/sync_link.cpp
@@ -264,7 +264,7 @@
     TakeLoads(source, aAnswer, aAskedAt);
   }
   mContext.TakeRouters(aAnswer.mRouters, aAnswer.mSelf.mId);
-  for (const TrafficNews& news : aAnswer.mNews) {
+  for (const TrafficUpdate& news : aAnswer.mNews) {
     mContext.Accept(news);
   }
   const std::int64_t held =
--- a/daemons/router/caller_work.cpp
+++ b/daemons/router/caller_work.cpp
@@ -66,7 +66,7 @@
 void CallerWork::Close(ResultCode aCode, Ran aRan, int aTokens, int aAttempts) {
   mContext.WithdrawTicket(mTicket);
   const ResultCodeInfo& info = InfoOf(aCode);
-  mReceipt.mTookMillis = SteadyNow() - mRequest.mStarted;
+  mReceipt.mDurationMillis = SteadyNow() - mRequest.mStarted;
   mReceipt.mTokens = aTokens;
   mReceipt.mCode = static_cast<int>(aCode);
   mReceipt.mRan = NameOf(aRan);
@@ -81,7 +81,7 @@
       .Add("ran", mReceipt.mRan)
       .Add("tokens", aTokens)
       .Add("attempts", aAttempts)
-      .Add("took_ms", static_cast<Json::Int64>(mReceipt.mTookMillis));
+      .Add("took_ms", static_cast<Json::Int64>(mReceipt.mDurationMillis));
   if (mPlaced) {
     mPlaced = false;
     mContext.ReleasePlace(mRequest.mWorkspace.mName);
--- a/daemons/router/claim_gate.cpp
+++ b/daemons/router/claim_gate.cpp
@@ -30,12 +30,12 @@
 };
 
 void Settle(const std::shared_ptr<OpenRound>& aOpen) {
-  if (aOpen->mRound.Verdict() == ClaimVerdict::kOpen || !aOpen->mDone) {
+  if (aOpen->mRound.Verdict() == ClaimVerdict::kPending || !aOpen->mDone) {
     return;
   }
   const auto done = std::move(aOpen->mDone);
   aOpen->mDone = nullptr;
-  done({aOpen->mRound.Verdict(), aOpen->mRound.Asked(),
+  done({aOpen->mRound.Verdict(), aOpen->mRound.Request(),
         aOpen->mRound.Earlier()});
 }
 
@@ -76,11 +76,11 @@
       return ResultCode::kInProgress;
     case ClaimVerdict::kUnknown:
       return ResultCode::kOutcomeUnknown;
-    case ClaimVerdict::kReused:
+    case ClaimVerdict::kKeyReused:
       return ResultCode::kKeyReused;
     case ClaimVerdict::kDone:
       return ResultCode::kAnswerNotKept;
-    case ClaimVerdict::kOpen:
+    case ClaimVerdict::kPending:
     case ClaimVerdict::kGranted:
     case ClaimVerdict::kNoQuorum:
       break;
@@ -104,15 +104,15 @@
   const auto open = std::make_shared<OpenRound>(
       OpenRound{ClaimRound(asked, keepers.size(), WallNow() - kStaleClaim),
                 std::move(aDone)});
-  const ClaimMessage message{ClaimAsk::kAcquire, asked};
+  const ClaimMessage message{ClaimOperation::kAcquire, asked};
   for (const EntryVm& keeper : keepers) {
     mContext.mRpc.Call(
         keeper.mAddress, kClaimMethod, ToJson(message), kAskTimeout,
         [open, id = keeper.mId](const RpcResult& aResult) {
           if (aResult.mOk) {
-            open->mRound.Replied(id, FromJson<ClaimReply>(aResult.mAnswer));
+            open->mRound.OnReply(id, FromJson<ClaimReply>(aResult.mAnswer));
           } else {
-            open->mRound.Silent(id);
+            open->mRound.OnNoReply(id);
           }
           Settle(open);
         });
@@ -120,7 +120,7 @@
 }
 
 void ClaimGate::Release(const ClaimRecord& aRecord) {
-  const ClaimMessage message{ClaimAsk::kRelease, aRecord};
+  const ClaimMessage message{ClaimOperation::kRelease, aRecord};
   for (const EntryVm& keeper :
        mContext.mEntryVms.Current().OfRole(EntryRole::kControl)) {
     Tell(keeper, message, kTellTries, nullptr);
@@ -134,9 +134,9 @@
   aRecord.mAnswer = aAnswer;
   if (aRecord.mAnswer.mBody.size() > kMaximumAnswerBytes) {
     aRecord.mAnswer.mBody.clear();
-    aRecord.mAnswer.mKept = false;
+    aRecord.mAnswer.mBodyStored = false;
   }
-  const ClaimMessage message{ClaimAsk::kFinish, aRecord};
+  const ClaimMessage message{ClaimOperation::kFinish, aRecord};
   const std::vector<EntryVm> keepers =
       mContext.mEntryVms.Current().OfRole(EntryRole::kControl);
   const auto count =
--- a/daemons/router/completion.cpp
+++ b/daemons/router/completion.cpp
@@ -86,7 +86,7 @@
 void Completion::Claimed(const ClaimOutcome& aOutcome) {
   mClaim = aOutcome.mAsked;
   if (aOutcome.mVerdict != ClaimVerdict::kGranted) {
-    const bool kept = aOutcome.mEarlier.mAnswer.mKept;
+    const bool kept = aOutcome.mEarlier.mAnswer.mBodyStored;
     // Grants of a minority must not block a later resend.
     mClaims.Release(mClaim);
     if (aOutcome.mVerdict == ClaimVerdict::kDone && kept &&
--- a/daemons/router/peer_link.cpp
+++ b/daemons/router/peer_link.cpp
@@ -74,12 +74,12 @@
   });
   aDispatcher.On(rpc_method::kGetConfiguration,
                  [this](const Json::Value& aMessage) {
-                   return ToJson(mContext.mHistory.Answer(
-                       FromJson<ConfigurationQuestion>(aMessage)));
+                   return ToJson(mContext.mHistory.UpdateFor(
+                       FromJson<ConfigurationRequest>(aMessage)));
                  });
   aDispatcher.On(rpc_method::kPushConfiguration,
                  [this](const Json::Value& aMessage) {
-                   TakeNews(FromJson<ConfigurationNews>(aMessage));
+                   TakeNews(FromJson<ConfigurationUpdate>(aMessage));
                    return Json::Value(Json::objectValue);
                  });
   aDispatcher.On(rpc_method::kRouterState,
@@ -178,13 +178,13 @@
       });
 }
 
-void PeerLink::TakeNews(const ConfigurationNews& aNews) {
-  std::int64_t newest = aNews.mIsWhole ? aNews.mWhole.mVersion : 0;
+void PeerLink::TakeNews(const ConfigurationUpdate& aNews) {
+  std::int64_t newest = aNews.mIsFull ? aNews.mFull.mVersion : 0;
   for (const ConfigurationChange& change : aNews.mChanges) {
     newest = std::max(newest, change.mVersion);
   }
   mGreatestVersion = std::max(mGreatestVersion, newest);
-  if (mContext.Accept(aNews) == NewsVerdict::kGap) {
+  if (mContext.Accept(aNews) == ConfigurationUpdateResult::kGap) {
     mContext.mCounters.Add("configuration_gaps");
     mAskAgain = true;
   }
@@ -196,15 +196,16 @@
     return;
   }
   mPulling = true;
-  mContext.mRpc.Call(peer->mAddress, rpc_method::kGetConfiguration,
-                     ToJson(mContext.mHistory.Question()), kPullTimeout,
-                     [this](const RpcResult& aResult) {
-                       mPulling = false;
-                       if (aResult.mOk) {
-                         mContext.mCounters.Add("configuration_pulls");
-                         TakeNews(FromJson<ConfigurationNews>(aResult.mAnswer));
-                       }
-                     });
+  mContext.mRpc.Call(
+      peer->mAddress, rpc_method::kGetConfiguration,
+      ToJson(mContext.mHistory.MakeRequest()), kPullTimeout,
+      [this](const RpcResult& aResult) {
+        mPulling = false;
+        if (aResult.mOk) {
+          mContext.mCounters.Add("configuration_pulls");
+          TakeNews(FromJson<ConfigurationUpdate>(aResult.mAnswer));
+        }
+      });
 }
 
 void PeerLink::PullFromControl() {
@@ -263,14 +264,14 @@
     return;
   }
   ReceiptBatch batch;
-  batch.mReceipts = mContext.mOutbox.Take(kReceiptsPerBatch);
+  batch.mReceipts = mContext.mOutbox.TakeBatch(kReceiptsPerBatch);
   if (batch.mReceipts.empty()) {
     return;
   }
   mContext.mRpc.Call(controls.front().mAddress, rpc_method::kStoreReceipts,
                      ToJson(batch), kReceiptTimeout,
                      [this](const RpcResult& aResult) {
-                       mContext.mOutbox.Acknowledge(aResult.mOk);
+                       mContext.mOutbox.OnBatchResult(aResult.mOk);
                      });
 }
 
--- a/daemons/router/peer_link.h
+++ b/daemons/router/peer_link.h
@@ -26,7 +26,7 @@
   void Learn(const PeerState& aState);
   void Probe(const std::string& aTarget, const std::string& aVia);
   void ProbeFor(const IndirectProbe& aAsked);
-  void TakeNews(const ConfigurationNews& aNews);
+  void TakeNews(const ConfigurationUpdate& aNews);
   void Pull(const std::string& aFrom);
   void PullFromControl();
   void UpdateReadiness();
--- a/daemons/router/router_context.cpp
+++ b/daemons/router/router_context.cpp
@@ -36,16 +36,18 @@
       mLimiterTimer(aLoop.Every(
           kLimiterPeriod, [this] { Announce(mLimiter.Tick(SteadyNow())); })) {}
 
-NewsVerdict RouterContext::Accept(const ConfigurationNews& aNews) {
-  const NewsVerdict verdict = mHistory.Take(aNews);
-  if (verdict == NewsVerdict::kFork || verdict == NewsVerdict::kDamaged) {
-    const bool fork = verdict == NewsVerdict::kFork;
+ConfigurationUpdateResult RouterContext::Accept(
+    const ConfigurationUpdate& aNews) {
+  const ConfigurationUpdateResult verdict = mHistory.ApplyUpdate(aNews);
+  if (verdict == ConfigurationUpdateResult::kFork ||
+      verdict == ConfigurationUpdateResult::kHashMismatch) {
+    const bool fork = verdict == ConfigurationUpdateResult::kFork;
     mCounters.Add(fork ? "configuration_forks" : "configuration_bad_hashes");
     LogLine(LogLevel::kError,
             fork ? "configuration_fork" : "configuration_bad_hash")
         .Add("version", static_cast<Json::Int64>(Accepted().mVersion));
   }
-  if (verdict != NewsVerdict::kTaken) {
+  if (verdict != ConfigurationUpdateResult::kApplied) {
     return verdict;
   }
   const Configuration& accepted = Accepted();
@@ -55,7 +57,7 @@
   mCounters.Set("configuration_version", accepted.mVersion);
   LogLine(LogLevel::kInfo, "configuration_in_force")
       .Add("version", static_cast<Json::Int64>(accepted.mVersion))
-      .Add("whole", aNews.mIsWhole)
+      .Add("whole", aNews.mIsFull)
       .Add("hash", accepted.mHash);
   if (mOptions.mOnConfiguration) {
     mOptions.mOnConfiguration(accepted.mVersion);
--- a/daemons/router/router_context.h
+++ b/daemons/router/router_context.h
@@ -16,7 +16,7 @@
 #include "spindleweir/servers/configuration/configuration_history.h"
 #include "spindleweir/servers/limits/workspace_limiter.h"
 #include "spindleweir/servers/membership/leaving_set.h"
-#include "spindleweir/servers/receipts/receipt_book.h"
+#include "spindleweir/servers/receipts/receipt_store.h"
 #include "spindleweir/servers/routing/retry_budget.h"
 #include "spindleweir/servers/routing/upstream_view.h"
 
@@ -28,7 +28,7 @@
   RouterContext(EventLoop& aLoop, RouterOptions aOptions);
 
   /// Takes what is newer of the accepted configuration.
-  NewsVerdict Accept(const ConfigurationNews& aNews);
+  ConfigurationUpdateResult Accept(const ConfigurationUpdate& aNews);
   const Configuration& Accepted() const { return mHistory.Current(); }
   /// Gives the limiter this router's part of each workspace's limits, with
   /// aRouters sharing them.
--- a/daemons/router/service_call.cpp
+++ b/daemons/router/service_call.cpp
@@ -94,7 +94,7 @@
     return;
   }
   const StoredAnswer& answer = aOutcome.mEarlier.mAnswer;
-  if (aOutcome.mVerdict == ClaimVerdict::kDone && answer.mKept) {
+  if (aOutcome.mVerdict == ClaimVerdict::kDone && answer.mBodyStored) {
     mContext.mCounters.Add("answers_replayed");
     mRequest.mExchange->AddHeader("Idempotent-Replayed", "true");
     mRequest.mExchange->AddHeader("X-Request-Id", mRequest.mId);
--- a/daemons/router/stewardship.cpp
+++ b/daemons/router/stewardship.cpp
@@ -171,7 +171,7 @@
       .Add("engines", static_cast<int>(aUsable.size()))
       .Add("moves", moves)
       .Add("configuration", static_cast<Json::Int64>(mWantedVersion));
-  for (const std::string& lack : plan.mShort) {
+  for (const std::string& lack : plan.mWarnings) {
     line.Add("short", lack);
   }
   mContext.mCounters.Add("repairs");
--- a/include/spindleweir/daemons/peer_messages.h
+++ b/include/spindleweir/daemons/peer_messages.h
@@ -9,7 +9,7 @@
 #include "spindleweir/servers/limits/share_divider.h"
 #include "spindleweir/servers/membership/leaving_set.h"
 #include "spindleweir/servers/membership/member_table.h"
-#include "spindleweir/servers/receipts/receipt_book.h"
+#include "spindleweir/servers/receipts/receipt_store.h"
 
 namespace spindleweir {
 
--- a/include/spindleweir/daemons/sync_messages.h
+++ b/include/spindleweir/daemons/sync_messages.h
@@ -126,9 +126,9 @@
   /// No newer version than this was accepted so long ago; -1: not known.
   std::int64_t mConfirmedVersion = 0;
   Millis mConfirmedAgo = -1;
-  std::vector<TrafficNews> mNews;  ///< From the version held, in order.
-  int mRouters = 1;                ///< That tell their loads to any control.
-  int mOwnRouters = 0;             ///< That tell them to this one.
+  std::vector<TrafficUpdate> mNews;  ///< From the version held, in order.
+  int mRouters = 1;                  ///< That tell their loads to any control.
+  int mOwnRouters = 0;               ///< That tell them to this one.
   Millis mAskEvery = 0;  ///< So often a router of its zone should ask.
   /// Of all routers, to a router; of its own routers, to another control. Left
   /// out where who asks has them by their number.
--- a/include/spindleweir/servers/claims/claim_keeper.h
+++ b/include/spindleweir/servers/claims/claim_keeper.h
@@ -14,7 +14,7 @@
 /// How a keeper is set up.
 struct ClaimKeeperOptions {
   Millis mLifetime = 24 * 60 * 60 * 1000;  ///< How long a claim is kept.
-  std::size_t mMaximumClaims = 200000;
+  std::size_t mMaxClaims = 200000;
   std::size_t mMaximumAnswerBytes = 64 * 1024;
   /// Makes a record last; throws kStorageFailed where it cannot.
   std::function<void(const ClaimRecord&)> mPersist;
@@ -35,9 +35,9 @@
   void Abstain() { mAbstains = true; }
   bool Abstains() const { return mAbstains; }
   /// Takes over a record of another keeper: the one that tells more stays.
-  void Adopt(const ClaimRecord& aRecord);
+  void MergeRecord(const ClaimRecord& aRecord);
   void EndAbstention() { mAbstains = false; }
-  ClaimPage Page(const ClaimPageQuestion& aQuestion) const;
+  ClaimPage Page(const ClaimPageRequest& aRequest) const;
   /// Forgets what has expired.
   void Expire(Millis aWallNow);
 
@@ -45,9 +45,9 @@
   const std::map<std::string, ClaimRecord>& Records() const { return mRecords; }
 
  private:
-  ClaimReply Acquire(const ClaimRecord& aAsked, Millis aWallNow);
-  ClaimReply Release(const ClaimRecord& aAsked, Millis aWallNow);
-  ClaimReply Finish(const ClaimRecord& aAsked, Millis aWallNow);
+  ClaimReply Acquire(const ClaimRecord& aRequested, Millis aWallNow);
+  ClaimReply Release(const ClaimRecord& aRequested, Millis aWallNow);
+  ClaimReply Finish(const ClaimRecord& aRequested, Millis aWallNow);
   void Store(const ClaimRecord& aRecord);
 
   ClaimKeeperOptions mOptions;
@@ -56,8 +56,8 @@
   std::multimap<Millis, std::string> mByExpiry;
   /// Owners that released, for a while: a late kAcquire of theirs must not
   /// take the key again.
-  std::map<std::string, Millis> mReleased;
-  Millis mSweepAt = 0;
+  std::map<std::string, Millis> mReleasedOwners;
+  Millis mNextSweepAt = 0;
 };
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/claims/claim_messages.h
+++ b/include/spindleweir/servers/claims/claim_messages.h
@@ -22,14 +22,14 @@
   int mStatus = 0;  ///< HTTP status.
   std::string mType;
   std::string mBody;
-  bool mKept = true;  ///< False: it was too large; mBody is empty.
+  bool mBodyStored = true;  ///< False: it was too large; mBody is empty.
 
   template <class Codec>
   void Fields(Codec& aCodec) {
     aCodec.Field("status", mStatus);
     aCodec.Field("type", mType);
     aCodec.Field("body", mBody);
-    aCodec.Field("kept", mKept);
+    aCodec.Field("kept", mBodyStored);
   }
 };
 
@@ -58,7 +58,7 @@
 };
 
 /// What a router asks of a keeper.
-enum class ClaimAsk {
+enum class ClaimOperation {
   kAcquire,  ///< Grant the key to the owner, if it is free.
   kRelease,  ///< The owner did not dispatch and will not.
   kFinish,   ///< The owner's call ended: record state and answer.
@@ -66,20 +66,20 @@
 
 /// A router's message.
 struct ClaimMessage {
-  ClaimAsk mAsk = ClaimAsk::kAcquire;
+  ClaimOperation mOperation = ClaimOperation::kAcquire;
   ClaimRecord mRecord;
 
   template <class Codec>
   void Fields(Codec& aCodec) {
-    int ask = static_cast<int>(mAsk);
+    int ask = static_cast<int>(mOperation);
     aCodec.Required("ask", ask);
-    mAsk = static_cast<ClaimAsk>(ask);
+    mOperation = static_cast<ClaimOperation>(ask);
     aCodec.Required("record", mRecord);
   }
 };
 
 /// Asks a keeper for its records, in the order of their keys.
-struct ClaimPageQuestion {
+struct ClaimPageRequest {
   std::string mAfter;  ///< The last key of the page before; empty: the first.
 
   template <class Codec>
@@ -91,14 +91,14 @@
 /// A part of a keeper's records.
 struct ClaimPage {
   std::vector<ClaimRecord> mRecords;
-  bool mLast = false;
-  bool mWhole = false;  ///< Whether the keeper lacks nothing itself.
+  bool mIsLast = false;
+  bool mIsComplete = false;  ///< Whether the keeper lacks nothing itself.
 
   template <class Codec>
   void Fields(Codec& aCodec) {
     aCodec.Required("records", mRecords);
-    aCodec.Required("last", mLast);
-    aCodec.Required("whole", mWhole);
+    aCodec.Required("last", mIsLast);
+    aCodec.Required("whole", mIsComplete);
   }
 };
 
--- a/include/spindleweir/servers/configuration/configuration.h
+++ b/include/spindleweir/servers/configuration/configuration.h
@@ -166,8 +166,8 @@
   std::vector<StagePlacement> mPlacement;
   std::vector<PlanChange> mChanges;
   std::vector<PlanCapacity> mCapacity;
-  std::vector<std::string> mShort;      ///< Warnings; it can be confirmed.
-  std::vector<std::string> mForbidden;  ///< Why it cannot be confirmed.
+  std::vector<std::string> mWarnings;  ///< Warnings; it can be confirmed.
+  std::vector<std::string> mRejectionReasons;  ///< Why it cannot be confirmed.
 
   template <class Codec>
   void Fields(Codec& aCodec) {
@@ -178,8 +178,8 @@
     aCodec.Field("placement", mPlacement);
     aCodec.Field("changes", mChanges);
     aCodec.Field("capacity", mCapacity);
-    aCodec.Field("short", mShort);
-    aCodec.Field("forbidden", mForbidden);
+    aCodec.Field("short", mWarnings);
+    aCodec.Field("forbidden", mRejectionReasons);
   }
 };
 
--- a/include/spindleweir/servers/configuration/configuration_change.h
+++ b/include/spindleweir/servers/configuration/configuration_change.h
@@ -14,7 +14,7 @@
 struct ConfigurationChange {
   std::int64_t mVersion = 0;  ///< That it leads to; from the one before.
   std::string mPreviousHash;
-  std::string mHash;  ///< HashOf(change): chained by mPreviousHash.
+  std::string mHash;  ///< ChangeHash(change): chained by mPreviousHash.
   std::vector<WorkspaceSpec> mWorkspaces;  ///< New or changed.
   std::vector<std::string> mWorkspacesGone;
   std::vector<ModelSpec> mModels;
@@ -45,7 +45,7 @@
 };
 
 /// The change that leads from aOld to the content of aNew, with its version
-/// and hash. Both must be in order (see Sort).
+/// and hash. Both must be in order (see SortLists).
 ConfigurationChange ChangeBetween(const Configuration& aOld,
                                   const Configuration& aNew);
 
@@ -55,9 +55,9 @@
                  const ConfigurationChange& aChange);
 
 /// The hash that a change must carry.
-std::string HashOf(const ConfigurationChange& aChange);
+std::string ChangeHash(const ConfigurationChange& aChange);
 
 /// Brings the lists of a configuration into the order that all processes keep.
-void Sort(Configuration& aConfiguration);
+void SortLists(Configuration& aConfiguration);
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/configuration/configuration_history.h
+++ b/include/spindleweir/servers/configuration/configuration_history.h
@@ -10,7 +10,7 @@
 namespace spindleweir {
 
 /// Asks for what is newer than the asker's configuration.
-struct ConfigurationQuestion {
+struct ConfigurationRequest {
   std::int64_t mVersion = 0;
   std::string mHash;
 
@@ -23,45 +23,45 @@
 
 /// The changes since, oldest first, or the whole where they are not known. A
 /// whole carries the SHA-256 of its content against damage on the way.
-struct ConfigurationNews {
+struct ConfigurationUpdate {
   std::vector<ConfigurationChange> mChanges;
-  bool mIsWhole = false;
-  Configuration mWhole;
-  std::string mWholeDigest;
+  bool mIsFull = false;
+  Configuration mFull;
+  std::string mFullDigest;
 
   template <class Codec>
   void Fields(Codec& aCodec) {
     aCodec.Field("changes", mChanges);
-    aCodec.Required("is_whole", mIsWhole);
-    if (mIsWhole) {
-      aCodec.Required("whole", mWhole);
-      aCodec.Required("whole_digest", mWholeDigest);
+    aCodec.Required("is_whole", mIsFull);
+    if (mIsFull) {
+      aCodec.Required("whole", mFull);
+      aCodec.Required("whole_digest", mFullDigest);
     }
   }
 };
 
 /// What became of news.
-enum class NewsVerdict {
-  kTaken,    ///< A greater version is in force now.
-  kOld,      ///< Nothing newer in it.
-  kGap,      ///< Versions are missing before it: ask for them.
-  kFork,     ///< Another content of a version that is in force: an alarm.
-  kDamaged,  ///< A hash is not right.
+enum class ConfigurationUpdateResult {
+  kApplied,       ///< A greater version is in force now.
+  kStale,         ///< Nothing newer in it.
+  kGap,           ///< Versions are missing before it: ask for them.
+  kFork,          ///< Another content of a version that is in force: an alarm.
+  kHashMismatch,  ///< A hash is not right.
 };
 
 /// Takes greater versions only.
 class ConfigurationHistory {
  public:
-  NewsVerdict Take(const ConfigurationNews& aNews);
-  ConfigurationNews Answer(const ConfigurationQuestion& aQuestion) const;
-  ConfigurationQuestion Question() const {
+  ConfigurationUpdateResult ApplyUpdate(const ConfigurationUpdate& aUpdate);
+  ConfigurationUpdate UpdateFor(const ConfigurationRequest& aRequest) const;
+  ConfigurationRequest MakeRequest() const {
     return {mCurrent.mVersion, mCurrent.mHash};
   }
   const Configuration& Current() const { return mCurrent; }
 
  private:
-  NewsVerdict TakeWhole(const ConfigurationNews& aNews);
-  NewsVerdict TakeChanges(const ConfigurationNews& aNews);
+  ConfigurationUpdateResult ApplyFull(const ConfigurationUpdate& aUpdate);
+  ConfigurationUpdateResult ApplyChanges(const ConfigurationUpdate& aUpdate);
 
   Configuration mCurrent;
   std::deque<ConfigurationChange> mChanges;  ///< The last ones, bounded.
--- a/include/spindleweir/servers/configuration/configuration_machine.h
+++ b/include/spindleweir/servers/configuration/configuration_machine.h
@@ -22,7 +22,7 @@
   std::string mId;      ///< The operator's; a resend carries the same.
   std::string mDigest;  ///< SHA-256 of what was asked.
   CommandKind mKind = CommandKind::kPlan;
-  Millis mWall = 0;                  ///< The leader's time, for expiry.
+  Millis mLeaderWallTime = 0;        ///< The leader's time, for expiry.
   Plan mPlan;                        ///< For kPlan.
   std::string mPlanId;               ///< For kConfirm.
   std::string mVm;                   ///< For kDrain.
@@ -37,7 +37,7 @@
     aCodec.Required("digest", mDigest);
     aCodec.Required("kind", kind);
     mKind = static_cast<CommandKind>(kind);
-    aCodec.Required("wall_ms", mWall);
+    aCodec.Required("wall_ms", mLeaderWallTime);
     if (mKind == CommandKind::kPlan) {
       aCodec.Field("plan", mPlan);
     }
@@ -119,8 +119,8 @@
   CommandResult ApplyConfirm(const Command& aCommand);
   CommandResult ApplyDrain(const Command& aCommand);
   CommandResult ApplyPublish(const Command& aCommand);
-  void Accept(Configuration aNext);
-  void Remember(const CommandResult& aResult);
+  void AcceptConfiguration(Configuration aNext);
+  void StoreResult(const CommandResult& aResult);
   void DropExpiredPlans(Millis aWall);
 
   ConfigurationHistory mHistory;
--- a/include/spindleweir/servers/configuration/intent_check.h
+++ b/include/spindleweir/servers/configuration/intent_check.h
@@ -7,6 +7,6 @@
 
 /// Throws kBadField naming the first thing that cannot be; replaces each
 /// workspace's key by its SHA-256, so that keys are never kept.
-void CheckAndSealIntent(Intent& aIntent);
+void CheckIntentAndHashKeys(Intent& aIntent);
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/receipts/receipt_book.h
+++ b/include/spindleweir/servers/receipts/receipt_store.h
@@ -38,7 +38,7 @@
   std::string mZone;  ///< Of the router.
   std::int64_t mConfigurationVersion = 0;
   Millis mStartedWall = 0;
-  Millis mTookMillis = 0;
+  Millis mDurationMillis = 0;
   int mTokens = 0;
   int mCode = 0;  ///< A ResultCode.
   std::string mRan;
@@ -53,7 +53,7 @@
     aCodec.Field("zone", mZone);
     aCodec.Field("configuration_version", mConfigurationVersion);
     aCodec.Field("started_wall_ms", mStartedWall);
-    aCodec.Field("took_ms", mTookMillis);
+    aCodec.Field("took_ms", mDurationMillis);
     aCodec.Field("tokens", mTokens);
     aCodec.Field("code", mCode);
     aCodec.Field("ran", mRan);
@@ -62,9 +62,9 @@
 };
 
 /// Receipts by request, the newest up to a bound.
-class ReceiptBook {
+class ReceiptStore {
  public:
-  explicit ReceiptBook(std::size_t aMaximum) : mMaximum(aMaximum) {}
+  explicit ReceiptStore(std::size_t aMaximum) : mMaximum(aMaximum) {}
 
   /// Adds or replaces a receipt.
   void Add(const Receipt& aReceipt);
@@ -87,17 +87,17 @@
 
   void Add(const Receipt& aReceipt);
   /// The next batch; empty where there is none, or one is under way.
-  std::vector<Receipt> Take(std::size_t aMost);
+  std::vector<Receipt> TakeBatch(std::size_t aMaxCount);
   /// The batch under way was handed over, or was not and comes again.
-  void Acknowledge(bool aHandedOver);
+  void OnBatchResult(bool aDelivered);
 
-  std::size_t Size() const { return mWaiting.size() + mUnderWay.size(); }
+  std::size_t Size() const { return mPending.size() + mInFlight.size(); }
   std::int64_t Lost() const { return mLost; }
 
  private:
   std::size_t mMaximum;
-  std::deque<Receipt> mWaiting;
-  std::vector<Receipt> mUnderWay;
+  std::deque<Receipt> mPending;
+  std::vector<Receipt> mInFlight;
   std::int64_t mLost = 0;
 };
 
--- a/include/spindleweir/servers/routes/configuration_lease.h
+++ b/include/spindleweir/servers/routes/configuration_lease.h
@@ -12,22 +12,22 @@
 /// Counted on the router's steady clock from when it asked.
 class ConfigurationLease {
  public:
-  explicit ConfigurationLease(Millis aLength) : mLength(aLength) {}
+  explicit ConfigurationLease(Millis aDuration) : mDuration(aDuration) {}
 
-  /// The leader said that aNewest was the newest version aAge before it
-  /// answered a question asked at aAskedAt; aHeld is the version held here. A
-  /// router that lacks the newest goes on with the lease it had.
-  void Confirm(std::int64_t aNewest, std::int64_t aHeld, Millis aAskedAt,
-               Millis aAge);
+  /// The leader said that aNewestVersion was the newest version aAge before it
+  /// answered a question asked at aPolledAt; aLocalVersion is the version held
+  /// here. A router that lacks the newest goes on with the lease it had.
+  void Confirm(std::int64_t aNewestVersion, std::int64_t aLocalVersion,
+               Millis aPolledAt, Millis aAge);
   /// Whether acting on the version held is allowed.
-  bool Holds(Millis aNow) const;
+  bool IsValid(Millis aNow) const;
   /// Milliseconds since the newest confirmation; -1: there was none.
   Millis Age(Millis aNow) const;
-  void SetLength(Millis aLength) { mLength = aLength; }
+  void SetDuration(Millis aDuration) { mDuration = aDuration; }
 
  private:
-  Millis mLength;
-  Millis mAsOf = -1;
+  Millis mDuration;
+  Millis mConfirmedAt = -1;
 };
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/routes/newest_confirmation.h
+++ b/include/spindleweir/servers/routes/newest_confirmation.h
@@ -13,20 +13,23 @@
 class NewestConfirmation {
  public:
   /// Takes a confirmation that aAge had passed since when a question that was
-  /// asked at aAskedAt was answered. An older one than is held changes nothing.
-  void Take(std::int64_t aVersion, Millis aAskedAt, Millis aAge) {
-    if (aAge >= 0 && aAskedAt - aAge > mAsOf) {
+  /// asked at aPolledAt was answered. An older one than is held changes
+  /// nothing.
+  void Update(std::int64_t aVersion, Millis aPolledAt, Millis aAge) {
+    if (aAge >= 0 && aPolledAt - aAge > mConfirmedAt) {
       mVersion = aVersion;
-      mAsOf = aAskedAt - aAge;
+      mConfirmedAt = aPolledAt - aAge;
     }
   }
   std::int64_t Version() const { return mVersion; }
   /// Milliseconds since that moment; -1: nothing was confirmed yet.
-  Millis Age(Millis aNow) const { return mAsOf < 0 ? -1 : aNow - mAsOf; }
+  Millis Age(Millis aNow) const {
+    return mConfirmedAt < 0 ? -1 : aNow - mConfirmedAt;
+  }
 
  private:
   std::int64_t mVersion = 0;
-  Millis mAsOf = -1;
+  Millis mConfirmedAt = -1;
 };
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/routes/traffic_configuration.h
+++ b/include/spindleweir/servers/routes/traffic_configuration.h
@@ -32,12 +32,12 @@
 };
 
 /// Which requests a route takes: no two routes have the same place.
-struct RoutePlace {
+struct RoutePattern {
   std::string mHost;
   std::string mPrefix;
 
-  bool operator==(const RoutePlace&) const = default;
-  bool operator<(const RoutePlace& aOther) const {
+  bool operator==(const RoutePattern&) const = default;
+  bool operator<(const RoutePattern& aOther) const {
     return std::tie(mHost, mPrefix) < std::tie(aOther.mHost, aOther.mPrefix);
   }
   template <class Codec>
@@ -53,16 +53,16 @@
   std::string mHost;
   std::string mPrefix;  ///< Begins and ends with a slash.
   RouteKind mKind = RouteKind::kUnsafe;
-  Millis mTimeout = 0;  ///< The longest that a request is held.
-  Millis mTarget = 0;   ///< To an answer, or to a stream's first event.
-  Millis mPause = 0;    ///< Between events of a stream; 0: any.
-  int mPriority = 0;    ///< 0 is the most urgent.
-  int mAttempts = 1;    ///< Upstreams that one request may be sent to.
-  bool mOpen = false;   ///< Needs no key.
+  Millis mTimeout = 0;        ///< The longest that a request is held.
+  Millis mTargetLatency = 0;  ///< To an answer, or to a stream's first event.
+  Millis mStallTimeout = 0;   ///< Between events of a stream; 0: any.
+  int mPriority = 0;          ///< 0 is the most urgent.
+  int mMaxAttempts = 1;       ///< Upstreams that one request may be sent to.
+  bool mPublic = false;       ///< Needs no key.
   bool mResumable = false;
   std::vector<RouteTarget> mTargets;
 
-  RoutePlace Place() const { return {mHost, mPrefix}; }
+  RoutePattern Pattern() const { return {mHost, mPrefix}; }
   bool operator==(const TrafficRoute&) const = default;
   /// Whether a request may run more than once.
   bool Repeatable() const {
@@ -79,11 +79,11 @@
     aCodec.Required("kind", kind);
     mKind = static_cast<RouteKind>(kind);
     aCodec.Field("timeout_ms", mTimeout);
-    aCodec.Field("target_ms", mTarget);
-    aCodec.Field("pause_ms", mPause);
+    aCodec.Field("target_ms", mTargetLatency);
+    aCodec.Field("pause_ms", mStallTimeout);
     aCodec.Field("priority", mPriority);
-    aCodec.Field("attempts", mAttempts);
-    aCodec.Field("open", mOpen);
+    aCodec.Field("attempts", mMaxAttempts);
+    aCodec.Field("open", mPublic);
     aCodec.Field("resumable", mResumable);
     aCodec.Field("targets", mTargets);
   }
@@ -93,8 +93,8 @@
 struct AcceleratorKind {
   std::string mName;
   double mMemoryMb = 0;
-  double mStepFactor = 1;  ///< On steps and context.
-  double mReadFactor = 1;  ///< On reading prompts.
+  double mStepFactor = 1;    ///< On steps and context.
+  double mPromptFactor = 1;  ///< On reading prompts.
 
   bool operator==(const AcceleratorKind&) const = default;
 
@@ -103,7 +103,7 @@
     aCodec.Required("name", mName);
     aCodec.Required("memory_mb", mMemoryMb);
     aCodec.Field("step_factor", mStepFactor);
-    aCodec.Field("read_factor", mReadFactor);
+    aCodec.Field("read_factor", mPromptFactor);
   }
 };
 
@@ -115,20 +115,20 @@
   double mTokenBytes = 0;       ///< Memory of a token over all layers.
   double mCapacityTokens = 0;   ///< Tokens at once that an engine is built for.
   double mActivationBytes = 0;  ///< Handed on for each token.
-  double mLinkMbps = 0;         ///< Within a zone.
-  double mPipeMbps = 0;         ///< Between zones, shared.
+  double mIntraZoneMbps = 0;    ///< Within a zone.
+  double mInterZoneMbps = 0;    ///< Between zones, shared.
   int mStride = 1;              ///< Steps in a pass with writers.
   double mStepMillis = 0;
-  double mRequestMillis = 0;  ///< For each writing request and step.
-  double mContextMillis = 0;  ///< For 1,000 tokens of context and step.
-  double mReadPerSecond = 0;  ///< Prompt tokens.
-  double mPairMillis = 0;     ///< For a million pairs of tokens.
-  int mChunk = 512;           ///< Prompt tokens read in a step at most.
-  double mLoadSeconds = 0;    ///< All layers, from the weights store.
+  double mRequestMillis = 0;          ///< For each writing request and step.
+  double mContextMillis = 0;          ///< For 1,000 tokens of context and step.
+  double mPromptTokensPerSecond = 0;  ///< Prompt tokens.
+  double mPairMillis = 0;             ///< For a million pairs of tokens.
+  int mPromptChunkTokens = 512;       ///< Prompt tokens read in a step at most.
+  double mLoadSeconds = 0;            ///< All layers, from the weights store.
   int mLoadsAtOnce = 1;
-  double mUsualPrompt = 0;  ///< Tokens.
-  double mUsualAnswer = 0;  ///< Tokens.
-  double mZoneDelay = 0;    ///< Milliseconds between zones, one way.
+  double mTypicalPromptTokens = 0;  ///< Tokens.
+  double mTypicalAnswerTokens = 0;  ///< Tokens.
+  double mZoneDelayMillis = 0;      ///< Milliseconds between zones, one way.
   std::vector<AcceleratorKind> mKinds;
 
   const AcceleratorKind* FindKind(const std::string& aName) const;
@@ -142,20 +142,20 @@
     aCodec.Field("token_bytes", mTokenBytes);
     aCodec.Field("capacity_tokens", mCapacityTokens);
     aCodec.Field("activation_bytes", mActivationBytes);
-    aCodec.Field("link_mbps", mLinkMbps);
-    aCodec.Field("pipe_mbps", mPipeMbps);
+    aCodec.Field("link_mbps", mIntraZoneMbps);
+    aCodec.Field("pipe_mbps", mInterZoneMbps);
     aCodec.Field("stride", mStride);
     aCodec.Field("step_ms", mStepMillis);
     aCodec.Field("request_ms", mRequestMillis);
     aCodec.Field("context_ms", mContextMillis);
-    aCodec.Field("read_per_s", mReadPerSecond);
+    aCodec.Field("read_per_s", mPromptTokensPerSecond);
     aCodec.Field("pair_ms", mPairMillis);
-    aCodec.Field("chunk", mChunk);
+    aCodec.Field("chunk", mPromptChunkTokens);
     aCodec.Field("load_s", mLoadSeconds);
     aCodec.Field("loads_at_once", mLoadsAtOnce);
-    aCodec.Field("usual_prompt", mUsualPrompt);
-    aCodec.Field("usual_answer", mUsualAnswer);
-    aCodec.Field("zone_delay_ms", mZoneDelay);
+    aCodec.Field("usual_prompt", mTypicalPromptTokens);
+    aCodec.Field("usual_answer", mTypicalAnswerTokens);
+    aCodec.Field("zone_delay_ms", mZoneDelayMillis);
     aCodec.Field("kinds", mKinds);
   }
 };
@@ -234,6 +234,6 @@
 /// Throws kBadConfiguration naming what cannot be used: a route to an unknown
 /// service, two routes with one host and prefix, weights that add up to 0, a
 /// time-out of 0, a key that two workspaces share.
-void CheckTraffic(const TrafficConfiguration& aConfiguration);
+void CheckTrafficConfiguration(const TrafficConfiguration& aConfiguration);
 
 }  // namespace spindleweir
--- a/servers/claims/claim_keeper.cpp
+++ b/servers/claims/claim_keeper.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 /// How long a message may be on its way.
-constexpr Millis kReleasedKept = 60 * 1000;
-constexpr Millis kSweepPeriod = 1000;
-constexpr std::size_t kPageRecords = 500;
+constexpr Millis kReleasedOwnerRetention = 60 * 1000;
+constexpr Millis kSweepInterval = 1000;
+constexpr std::size_t kMaxPageRecords = 500;
 
 }  // namespace
 
@@ -27,21 +27,22 @@
 
 ClaimReply ClaimKeeper::Handle(const ClaimMessage& aMessage, Millis aWallNow) {
   Expire(aWallNow);
-  switch (aMessage.mAsk) {
-    case ClaimAsk::kAcquire:
+  switch (aMessage.mOperation) {
+    case ClaimOperation::kAcquire:
       return Acquire(aMessage.mRecord, aWallNow);
-    case ClaimAsk::kRelease:
+    case ClaimOperation::kRelease:
       return Release(aMessage.mRecord, aWallNow);
-    case ClaimAsk::kFinish:
+    case ClaimOperation::kFinish:
       return Finish(aMessage.mRecord, aWallNow);
   }
   throw Error(ResultCode::kBadField, "unknown claim message");
 }
 
-ClaimReply ClaimKeeper::Acquire(const ClaimRecord& aAsked, Millis aWallNow) {
-  const auto it = mRecords.find(aAsked.mKey);
+ClaimReply ClaimKeeper::Acquire(const ClaimRecord& aRequested,
+                                Millis aWallNow) {
+  const auto it = mRecords.find(aRequested.mKey);
   if (it != mRecords.end()) {
-    const bool own = it->second.mOwner == aAsked.mOwner &&
+    const bool own = it->second.mOwner == aRequested.mOwner &&
                      it->second.mState == ClaimState::kHeld;
     return {own, it->second};
   }
@@ -49,13 +50,13 @@
     throw Error(ResultCode::kNotReady,
                 "this keeper has not taken over the others' claims yet");
   }
-  if (mReleased.contains(aAsked.mOwner)) {
+  if (mReleasedOwners.contains(aRequested.mOwner)) {
     return {};
   }
-  if (mRecords.size() >= mOptions.mMaximumClaims) {
+  if (mRecords.size() >= mOptions.mMaxClaims) {
     throw Error(ResultCode::kOverLimit, "the claim keeper is full");
   }
-  ClaimRecord record = aAsked;
+  ClaimRecord record = aRequested;
   record.mState = ClaimState::kHeld;
   record.mGrantedWall = aWallNow;
   record.mExpiresWall = aWallNow + mOptions.mLifetime;
@@ -64,10 +65,12 @@
   return {true, record};
 }
 
-ClaimReply ClaimKeeper::Release(const ClaimRecord& aAsked, Millis aWallNow) {
-  mReleased[aAsked.mOwner] = aWallNow + kReleasedKept;
-  const auto it = mRecords.find(aAsked.mKey);
-  const bool own = it != mRecords.end() && it->second.mOwner == aAsked.mOwner &&
+ClaimReply ClaimKeeper::Release(const ClaimRecord& aRequested,
+                                Millis aWallNow) {
+  mReleasedOwners[aRequested.mOwner] = aWallNow + kReleasedOwnerRetention;
+  const auto it = mRecords.find(aRequested.mKey);
+  const bool own = it != mRecords.end() &&
+                   it->second.mOwner == aRequested.mOwner &&
                    it->second.mState == ClaimState::kHeld;
   if (!own) {
     return {};
@@ -79,19 +82,20 @@
   return {true, record};
 }
 
-ClaimReply ClaimKeeper::Finish(const ClaimRecord& aAsked, Millis aWallNow) {
-  const auto it = mRecords.find(aAsked.mKey);
-  const bool other = it != mRecords.end() && it->second.mOwner != aAsked.mOwner;
+ClaimReply ClaimKeeper::Finish(const ClaimRecord& aRequested, Millis aWallNow) {
+  const auto it = mRecords.find(aRequested.mKey);
+  const bool other =
+      it != mRecords.end() && it->second.mOwner != aRequested.mOwner;
   if (other && it->second.mState != ClaimState::kHeld) {
     return {false, it->second};
   }
   // The owner was granted the key by a majority; a keeper that missed that, or
   // granted a loser, takes the owner's word.
-  ClaimRecord record = aAsked;
+  ClaimRecord record = aRequested;
   record.mExpiresWall = aWallNow + mOptions.mLifetime;
   if (record.mAnswer.mBody.size() > mOptions.mMaximumAnswerBytes) {
     record.mAnswer.mBody.clear();
-    record.mAnswer.mKept = false;
+    record.mAnswer.mBodyStored = false;
   }
   Store(record);
   return {true, record};
@@ -103,7 +107,7 @@
   mByExpiry.emplace(aRecord.mExpiresWall, aRecord.mKey);
 }
 
-void ClaimKeeper::Adopt(const ClaimRecord& aRecord) {
+void ClaimKeeper::MergeRecord(const ClaimRecord& aRecord) {
   const auto it = mRecords.find(aRecord.mKey);
   const bool known =
       it != mRecords.end() &&
@@ -113,22 +117,22 @@
   }
 }
 
-ClaimPage ClaimKeeper::Page(const ClaimPageQuestion& aQuestion) const {
+ClaimPage ClaimKeeper::Page(const ClaimPageRequest& aRequest) const {
   ClaimPage page;
-  page.mWhole = !mAbstains;
-  auto it = aQuestion.mAfter.empty() ? mRecords.begin()
-                                     : mRecords.upper_bound(aQuestion.mAfter);
-  for (; it != mRecords.end() && page.mRecords.size() < kPageRecords; ++it) {
+  page.mIsComplete = !mAbstains;
+  auto it = aRequest.mAfter.empty() ? mRecords.begin()
+                                    : mRecords.upper_bound(aRequest.mAfter);
+  for (; it != mRecords.end() && page.mRecords.size() < kMaxPageRecords; ++it) {
     page.mRecords.push_back(it->second);
   }
-  page.mLast = it == mRecords.end();
+  page.mIsLast = it == mRecords.end();
   return page;
 }
 
 void ClaimKeeper::Expire(Millis aWallNow) {
-  if (aWallNow >= mSweepAt) {
-    mSweepAt = aWallNow + kSweepPeriod;
-    std::erase_if(mReleased, [aWallNow](const auto& aItem) {
+  if (aWallNow >= mNextSweepAt) {
+    mNextSweepAt = aWallNow + kSweepInterval;
+    std::erase_if(mReleasedOwners, [aWallNow](const auto& aItem) {
       return aItem.second < aWallNow;
     });
   }
--- a/servers/claims/claim_round.cpp
+++ b/servers/claims/claim_round.cpp
@@ -21,33 +21,33 @@
 
 }  // namespace
 
-void ClaimRound::Replied(const std::string& aKeeper, const ClaimReply& aReply) {
-  if (!mAnswered.insert(aKeeper).second) {
+void ClaimRound::OnReply(const std::string& aKeeper, const ClaimReply& aReply) {
+  if (!mRespondedKeepers.insert(aKeeper).second) {
     return;
   }
   if (aReply.mGranted) {
-    mGrants++;
+    mGrantCount++;
   } else if (aReply.mRecord.mState == ClaimState::kFree) {
-    mSilent++;
+    mNoReplies++;
   } else {
-    mHeld++;
+    mHeldByOther++;
     if (Rank(aReply.mRecord.mState) > Rank(mEarlier.mState)) {
       mEarlier = aReply.mRecord;
     }
   }
-  Judge();
+  UpdateVerdict();
 }
 
-void ClaimRound::Silent(const std::string& aKeeper) {
-  if (!mAnswered.insert(aKeeper).second) {
+void ClaimRound::OnNoReply(const std::string& aKeeper) {
+  if (!mRespondedKeepers.insert(aKeeper).second) {
     return;
   }
-  mSilent++;
-  Judge();
+  mNoReplies++;
+  UpdateVerdict();
 }
 
-void ClaimRound::Judge() {
-  if (mVerdict != ClaimVerdict::kOpen) {
+void ClaimRound::UpdateVerdict() {
+  if (mVerdict != ClaimVerdict::kPending) {
     return;
   }
   // A finished call is known from a single keeper: only its owner could have
@@ -55,28 +55,28 @@
   const bool finished = mEarlier.mState == ClaimState::kDone ||
                         mEarlier.mState == ClaimState::kUnknown;
   if (finished) {
-    mVerdict = VerdictOfEarlier();
+    mVerdict = VerdictFromEarlier();
     return;
   }
-  if (Majority(mGrants)) {
+  if (Majority(mGrantCount)) {
     mVerdict = ClaimVerdict::kGranted;
     return;
   }
-  const std::size_t open = mKeepers - mAnswered.size();
-  if (Majority(mGrants + open)) {
+  const std::size_t open = mKeeperCount - mRespondedKeepers.size();
+  if (Majority(mGrantCount + open)) {
     return;
   }
   // An outcome that a majority has is among the answers still to come, unless
   // a majority has said that it has none: silent keepers say nothing of it.
-  if (mHeld > 0 && open > 0 && !Majority(mHeld)) {
+  if (mHeldByOther > 0 && open > 0 && !Majority(mHeldByOther)) {
     return;
   }
-  mVerdict = mHeld > 0 ? VerdictOfEarlier() : ClaimVerdict::kNoQuorum;
+  mVerdict = mHeldByOther > 0 ? VerdictFromEarlier() : ClaimVerdict::kNoQuorum;
 }
 
-ClaimVerdict ClaimRound::VerdictOfEarlier() const {
-  if (mEarlier.mDigest != mAsked.mDigest) {
-    return ClaimVerdict::kReused;
+ClaimVerdict ClaimRound::VerdictFromEarlier() const {
+  if (mEarlier.mDigest != mRequest.mDigest) {
+    return ClaimVerdict::kKeyReused;
   }
   switch (mEarlier.mState) {
     case ClaimState::kDone:
--- a/servers/configuration/configuration_change.cpp
+++ b/servers/configuration/configuration_change.cpp
@@ -94,7 +94,7 @@
 
 }  // namespace
 
-void Sort(Configuration& aConfiguration) {
+void SortLists(Configuration& aConfiguration) {
   SortByKey(aConfiguration.mIntent.mWorkspaces);
   SortByKey(aConfiguration.mIntent.mModels);
   SortByKey(aConfiguration.mIntent.mServices);
@@ -102,7 +102,7 @@
   SortByKey(aConfiguration.mDrained);
 }
 
-std::string HashOf(const ConfigurationChange& aChange) {
+std::string ChangeHash(const ConfigurationChange& aChange) {
   ConfigurationChange copy = aChange;
   copy.mHash.clear();
   return Sha256Hex(DumpJson(ToJson(copy)));
@@ -121,7 +121,7 @@
           change.mServicesGone);
   Compare(aOld.mPlacement, aNew.mPlacement, change.mStages, change.mStagesGone);
   Compare(aOld.mDrained, aNew.mDrained, change.mDrained, change.mUndrained);
-  change.mHash = HashOf(change);
+  change.mHash = ChangeHash(change);
   return change;
 }
 
@@ -134,7 +134,7 @@
                     " does not follow version " +
                     std::to_string(aConfiguration.mVersion));
   }
-  if (HashOf(aChange) != aChange.mHash) {
+  if (ChangeHash(aChange) != aChange.mHash) {
     throw Error(ResultCode::kVersionConflict,
                 "the change to version " + std::to_string(aChange.mVersion) +
                     " is damaged");
--- a/servers/configuration/configuration_history.cpp
+++ b/servers/configuration/configuration_history.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t kKeptChanges = 64;
+constexpr std::size_t kMaxStoredChanges = 64;
 
 std::string DigestOf(const Configuration& aConfiguration) {
   return Sha256Hex(DumpJson(ToJson(aConfiguration)));
@@ -16,73 +16,77 @@
 
 }  // namespace
 
-NewsVerdict ConfigurationHistory::Take(const ConfigurationNews& aNews) {
-  return aNews.mIsWhole ? TakeWhole(aNews) : TakeChanges(aNews);
+ConfigurationUpdateResult ConfigurationHistory::ApplyUpdate(
+    const ConfigurationUpdate& aUpdate) {
+  return aUpdate.mIsFull ? ApplyFull(aUpdate) : ApplyChanges(aUpdate);
 }
 
-NewsVerdict ConfigurationHistory::TakeWhole(const ConfigurationNews& aNews) {
-  const Configuration& whole = aNews.mWhole;
+ConfigurationUpdateResult ConfigurationHistory::ApplyFull(
+    const ConfigurationUpdate& aUpdate) {
+  const Configuration& whole = aUpdate.mFull;
   if (whole.mVersion <= mCurrent.mVersion) {
     const bool fork =
         whole.mVersion == mCurrent.mVersion && whole.mHash != mCurrent.mHash;
-    return fork ? NewsVerdict::kFork : NewsVerdict::kOld;
+    return fork ? ConfigurationUpdateResult::kFork
+                : ConfigurationUpdateResult::kStale;
   }
-  if (DigestOf(whole) != aNews.mWholeDigest) {
-    return NewsVerdict::kDamaged;
+  if (DigestOf(whole) != aUpdate.mFullDigest) {
+    return ConfigurationUpdateResult::kHashMismatch;
   }
   mCurrent = whole;
   mChanges.clear();
-  return NewsVerdict::kTaken;
+  return ConfigurationUpdateResult::kApplied;
 }
 
-NewsVerdict ConfigurationHistory::TakeChanges(const ConfigurationNews& aNews) {
-  NewsVerdict verdict = NewsVerdict::kOld;
-  for (const ConfigurationChange& change : aNews.mChanges) {
+ConfigurationUpdateResult ConfigurationHistory::ApplyChanges(
+    const ConfigurationUpdate& aUpdate) {
+  ConfigurationUpdateResult verdict = ConfigurationUpdateResult::kStale;
+  for (const ConfigurationChange& change : aUpdate.mChanges) {
     if (change.mVersion == mCurrent.mVersion &&
         change.mHash != mCurrent.mHash) {
-      return NewsVerdict::kFork;
+      return ConfigurationUpdateResult::kFork;
     }
     if (change.mVersion <= mCurrent.mVersion) {
       continue;
     }
     if (change.mVersion > mCurrent.mVersion + 1) {
-      return NewsVerdict::kGap;
+      return ConfigurationUpdateResult::kGap;
     }
     if (change.mPreviousHash != mCurrent.mHash) {
-      return NewsVerdict::kFork;
+      return ConfigurationUpdateResult::kFork;
     }
-    if (HashOf(change) != change.mHash) {
-      return NewsVerdict::kDamaged;
+    if (ChangeHash(change) != change.mHash) {
+      return ConfigurationUpdateResult::kHashMismatch;
     }
     ApplyChange(mCurrent, change);
     mChanges.push_back(change);
-    if (mChanges.size() > kKeptChanges) {
+    if (mChanges.size() > kMaxStoredChanges) {
       mChanges.pop_front();
     }
-    verdict = NewsVerdict::kTaken;
+    verdict = ConfigurationUpdateResult::kApplied;
   }
   return verdict;
 }
 
-ConfigurationNews ConfigurationHistory::Answer(
-    const ConfigurationQuestion& aQuestion) const {
-  ConfigurationNews news;
-  if (aQuestion.mVersion >= mCurrent.mVersion) {
+ConfigurationUpdate ConfigurationHistory::UpdateFor(
+    const ConfigurationRequest& aRequest) const {
+  ConfigurationUpdate news;
+  if (aRequest.mVersion >= mCurrent.mVersion) {
     return news;
   }
   for (const ConfigurationChange& change : mChanges) {
     const bool next = news.mChanges.empty()
-                          ? change.mVersion == aQuestion.mVersion + 1 &&
-                                change.mPreviousHash == aQuestion.mHash
+                          ? change.mVersion == aRequest.mVersion + 1 &&
+                                change.mPreviousHash == aRequest.mHash
                           : true;
     if (next) {
       news.mChanges.push_back(change);
     }
   }
   if (news.mChanges.empty()) {
-    news.mIsWhole = true;
-    news.mWhole = mCurrent;
-    news.mWholeDigest = DigestOf(mCurrent);
+    news.mIsFull = true;
+    news.mFull = mCurrent;
+    news.mFullDigest = DigestOf(mCurrent);
   }
   return news;
 }
--- a/servers/configuration/configuration_machine.cpp
+++ b/servers/configuration/configuration_machine.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr std::size_t kRememberedResults = 2048;
+constexpr std::size_t kMaxStoredResults = 2048;
 /// An expired plan is told apart from an unknown one for this long.
-constexpr Millis kExpiredPlanKept = 60 * 60 * 1000;
+constexpr Millis kExpiredPlanRetention = 60 * 60 * 1000;
 
 /// The state as it is written into a snapshot.
 struct SavedState {
@@ -49,7 +49,7 @@
     result.mVersion = Current().mVersion;
     return result;
   }
-  DropExpiredPlans(aCommand.mWall);
+  DropExpiredPlans(aCommand.mLeaderWallTime);
   CommandResult result;
   switch (aCommand.mKind) {
     case CommandKind::kPlan:
@@ -68,7 +68,7 @@
   result.mId = aCommand.mId;
   result.mDigest = aCommand.mDigest;
   result.mVersion = Current().mVersion;
-  Remember(result);
+  StoreResult(result);
   return result;
 }
 
@@ -84,8 +84,8 @@
   if (plan == nullptr) {
     return Refusal(ResultCode::kPlanNotFound, "no plan " + aCommand.mPlanId);
   }
-  if (!plan->mForbidden.empty()) {
-    return Refusal(ResultCode::kPlanShort, plan->mForbidden.front());
+  if (!plan->mRejectionReasons.empty()) {
+    return Refusal(ResultCode::kPlanShort, plan->mRejectionReasons.front());
   }
   if (plan->mBaseVersion != Current().mVersion) {
     return Refusal(
@@ -93,7 +93,7 @@
         "the plan was made on version " + std::to_string(plan->mBaseVersion) +
             "; the current version is " + std::to_string(Current().mVersion));
   }
-  if (aCommand.mWall > plan->mExpiresWall) {
+  if (aCommand.mLeaderWallTime > plan->mExpiresWall) {
     return Refusal(ResultCode::kPlanExpired,
                    "plan " + aCommand.mPlanId + " has expired");
   }
@@ -102,7 +102,7 @@
   next.mPlacement = plan->mPlacement;
   CommandResult result;
   result.mPlanId = plan->mId;
-  Accept(std::move(next));
+  AcceptConfiguration(std::move(next));
   return result;
 }
 
@@ -119,7 +119,7 @@
   } else {
     next.mDrained.erase(it);
   }
-  Accept(std::move(next));
+  AcceptConfiguration(std::move(next));
   return {};
 }
 
@@ -142,16 +142,16 @@
   return {};
 }
 
-void ConfigurationMachine::Accept(Configuration aNext) {
-  Sort(aNext);
-  mHistory.Take({.mChanges = {ChangeBetween(Current(), aNext)}});
+void ConfigurationMachine::AcceptConfiguration(Configuration aNext) {
+  SortLists(aNext);
+  mHistory.ApplyUpdate({.mChanges = {ChangeBetween(Current(), aNext)}});
   mSignalAccepted.emit(Current());
 }
 
-void ConfigurationMachine::Remember(const CommandResult& aResult) {
+void ConfigurationMachine::StoreResult(const CommandResult& aResult) {
   mResults.push_back(aResult);
   mResultsById[aResult.mId] = aResult;
-  if (mResults.size() > kRememberedResults) {
+  if (mResults.size() > kMaxStoredResults) {
     mResultsById.erase(mResults.front().mId);
     mResults.pop_front();
   }
@@ -159,7 +159,7 @@
 
 void ConfigurationMachine::DropExpiredPlans(Millis aWall) {
   std::erase_if(mPlans, [aWall](const auto& aItem) {
-    return aItem.second.mExpiresWall + kExpiredPlanKept < aWall;
+    return aItem.second.mExpiresWall + kExpiredPlanRetention < aWall;
   });
 }
 
@@ -197,9 +197,10 @@
     mResultsById[result.mId] = result;
   }
   mHistory = {};
-  mHistory.Take({.mIsWhole = true,
-                 .mWhole = state.mCurrent,
-                 .mWholeDigest = Sha256Hex(DumpJson(ToJson(state.mCurrent)))});
+  mHistory.ApplyUpdate(
+      {.mIsFull = true,
+       .mFull = state.mCurrent,
+       .mFullDigest = Sha256Hex(DumpJson(ToJson(state.mCurrent)))});
   mSignalAccepted.emit(Current());
   mPublished = state.mPublished;
   if (mPublished.mVersion > 0) {
--- a/servers/configuration/intent_check.cpp
+++ b/servers/configuration/intent_check.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr int kMaximumLayers = 4096;
-constexpr std::size_t kMaximumNameLength = 64;
-constexpr std::size_t kMinimumKeyLength = 8;
+constexpr int kMaxLayers = 4096;
+constexpr std::size_t kMaxNameLength = 64;
+constexpr std::size_t kMinKeyLength = 8;
 constexpr std::size_t kSha256Digits = 64;
 constexpr std::string_view kNameCharacters =
     "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.:";
@@ -25,7 +25,7 @@
                std::set<std::string>& aSeen) {
   const bool plain =
       aName.find_first_not_of(kNameCharacters) == std::string::npos;
-  if (aName.empty() || aName.size() > kMaximumNameLength || !plain) {
+  if (aName.empty() || aName.size() > kMaxNameLength || !plain) {
     Refuse(aWhat + " name \"" + aName +
            "\" must be 1 to 64 letters, digits or -_.:");
   }
@@ -40,9 +40,9 @@
   }
 }
 
-void SealKey(WorkspaceSpec& aWorkspace, std::set<std::string>& aKeys) {
+void HashKey(WorkspaceSpec& aWorkspace, std::set<std::string>& aKeys) {
   if (!aWorkspace.mKey.empty()) {
-    if (aWorkspace.mKey.size() < kMinimumKeyLength) {
+    if (aWorkspace.mKey.size() < kMinKeyLength) {
       Refuse("workspace " + aWorkspace.mName + ": key must have 8 characters");
     }
     aWorkspace.mKeySha256 = Sha256Hex(aWorkspace.mKey);
@@ -63,7 +63,7 @@
   std::set<std::string> names;
   for (const ModelSpec& model : aIntent.mModels) {
     CheckName(model.mName, "model", names);
-    if (model.mLayers < 1 || model.mLayers > kMaximumLayers) {
+    if (model.mLayers < 1 || model.mLayers > kMaxLayers) {
       Refuse("model " + model.mName + ": layers must be 1 to 4096");
     }
     if (model.mVersion.empty()) {
@@ -88,7 +88,7 @@
 
 }  // namespace
 
-void CheckAndSealIntent(Intent& aIntent) {
+void CheckIntentAndHashKeys(Intent& aIntent) {
   CheckModels(aIntent);
   std::set<std::string> services;
   for (const ServiceSpec& service : aIntent.mServices) {
@@ -99,7 +99,7 @@
   for (WorkspaceSpec& workspace : aIntent.mWorkspaces) {
     const std::string what = "workspace " + workspace.mName;
     CheckName(workspace.mName, "workspace", workspaces);
-    SealKey(workspace, keys);
+    HashKey(workspace, keys);
     CheckReferences(aIntent, workspace);
     CheckPositive(workspace.mMaximumConcurrent, what + ": max_concurrent");
     CheckPositive(workspace.mRequestsPerSecond, what + ": requests_per_second");
--- a/servers/engines/engine_model.cpp
+++ b/servers/engines/engine_model.cpp
@@ -56,12 +56,12 @@
 
 double EngineModel::PrefillMillis(int aLayers, double aTokens) const {
   const double linear =
-      mProfile.mReadPerSecond <= 0
+      mProfile.mPromptTokensPerSecond <= 0
           ? 0
-          : aTokens / mProfile.mReadPerSecond * kMillisPerSecond;
+          : aTokens / mProfile.mPromptTokensPerSecond * kMillisPerSecond;
   const double quadratic =
       aTokens * aTokens / 2 / kPairsPerUnit * mProfile.mPairMillis;
-  return LayerShare(aLayers) * mKind.mReadFactor * (linear + quadratic);
+  return LayerShare(aLayers) * mKind.mPromptFactor * (linear + quadratic);
 }
 
 double EngineModel::LoadMillis(int aLayers) const {
@@ -69,8 +69,9 @@
 }
 
 double HopMillis(const EngineProfile& aProfile, bool aOtherZone) {
-  const double mbps = aOtherZone ? aProfile.mPipeMbps : aProfile.mLinkMbps;
-  const double delay = aOtherZone ? aProfile.mZoneDelay : kSameZoneDelay;
+  const double mbps =
+      aOtherZone ? aProfile.mInterZoneMbps : aProfile.mIntraZoneMbps;
+  const double delay = aOtherZone ? aProfile.mZoneDelayMillis : kSameZoneDelay;
   const double bits = aProfile.mActivationBytes * kBitsPerByte;
   return delay +
          (mbps <= 0 ? 0 : bits / (mbps * kBitsPerMbit) * kMillisPerSecond);
--- a/servers/placement/placement_planner.cpp
+++ b/servers/placement/placement_planner.cpp
@@ -191,8 +191,8 @@
     KeepHeldStages(aCurrent, aModel, aEngines, split);
   }
   if (split.mTokensPerSecond <= 0) {
-    aPlan.mShort.push_back("model " + aModel.mName + " does not fit in zone " +
-                           aZone);
+    aPlan.mWarnings.push_back("model " + aModel.mName +
+                              " does not fit in zone " + aZone);
     return;
   }
   for (std::size_t i = 0; i < aEngines.size(); i++) {
@@ -214,9 +214,9 @@
        .mTokensPerSecond = split.mTokensPerSecond,
        .mSurvivesOneLoss = split.mMinEnginesPerStage >= 2});
   if (split.mMinEnginesPerStage < 2) {
-    aPlan.mShort.push_back("model " + aModel.mName + " in zone " + aZone +
-                           " has a stage on one engine only; its loss stops "
-                           "the model there");
+    aPlan.mWarnings.push_back("model " + aModel.mName + " in zone " + aZone +
+                              " has a stage on one engine only; its loss stops "
+                              "the model there");
   }
 }
 
@@ -239,8 +239,8 @@
     }
   }
   for (const std::string& zone : silent) {
-    aPlan.mShort.push_back("zone " + zone +
-                           " does not answer; its stages are kept as accepted");
+    aPlan.mWarnings.push_back(
+        "zone " + zone + " does not answer; its stages are kept as accepted");
   }
 }
 
@@ -270,8 +270,8 @@
                       return aStage.mModel == model.mName;
                     });
     if (!placed) {
-      aPlan.mForbidden.push_back("model " + model.mName +
-                                 " fits in no zone that it may run in");
+      aPlan.mRejectionReasons.push_back("model " + model.mName +
+                                        " fits in no zone that it may run in");
     }
   }
 }
--- a/servers/receipts/receipt_book.cpp
+++ b/servers/receipts/receipt_store.cpp
@@ -1,10 +1,10 @@
-#include "spindleweir/servers/receipts/receipt_book.h"
+#include "spindleweir/servers/receipts/receipt_store.h"
 
 #include <algorithm>
 
 namespace spindleweir {
 
-void ReceiptBook::Add(const Receipt& aReceipt) {
+void ReceiptStore::Add(const Receipt& aReceipt) {
   const bool known = mReceipts.contains(aReceipt.mRequest);
   mReceipts[aReceipt.mRequest] = aReceipt;
   if (known) {
@@ -17,12 +17,12 @@
   }
 }
 
-const Receipt* ReceiptBook::Find(const std::string& aRequest) const {
+const Receipt* ReceiptStore::Find(const std::string& aRequest) const {
   const auto it = mReceipts.find(aRequest);
   return it == mReceipts.end() ? nullptr : &it->second;
 }
 
-std::vector<Receipt> ReceiptBook::All() const {
+std::vector<Receipt> ReceiptStore::All() const {
   std::vector<Receipt> all;
   all.reserve(mOrder.size());
   for (const std::string& request : mOrder) {
@@ -36,25 +36,25 @@
     mLost++;
     return;
   }
-  mWaiting.push_back(aReceipt);
+  mPending.push_back(aReceipt);
 }
 
-std::vector<Receipt> ReceiptOutbox::Take(std::size_t aMost) {
-  if (!mUnderWay.empty()) {
+std::vector<Receipt> ReceiptOutbox::TakeBatch(std::size_t aMaxCount) {
+  if (!mInFlight.empty()) {
     return {};
   }
-  const std::size_t n = std::min(aMost, mWaiting.size());
-  const auto end = mWaiting.begin() + static_cast<std::ptrdiff_t>(n);
-  mUnderWay.assign(mWaiting.begin(), end);
-  mWaiting.erase(mWaiting.begin(), end);
-  return mUnderWay;
+  const std::size_t n = std::min(aMaxCount, mPending.size());
+  const auto end = mPending.begin() + static_cast<std::ptrdiff_t>(n);
+  mInFlight.assign(mPending.begin(), end);
+  mPending.erase(mPending.begin(), end);
+  return mInFlight;
 }
 
-void ReceiptOutbox::Acknowledge(bool aHandedOver) {
-  if (!aHandedOver) {
-    mWaiting.insert(mWaiting.begin(), mUnderWay.begin(), mUnderWay.end());
+void ReceiptOutbox::OnBatchResult(bool aDelivered) {
+  if (!aDelivered) {
+    mPending.insert(mPending.begin(), mInFlight.begin(), mInFlight.end());
   }
-  mUnderWay.clear();
+  mInFlight.clear();
 }
 
 }  // namespace spindleweir
--- a/servers/routes/configuration_lease.cpp
+++ b/servers/routes/configuration_lease.cpp
@@ -4,19 +4,20 @@
 
 namespace spindleweir {
 
-void ConfigurationLease::Confirm(std::int64_t aNewest, std::int64_t aHeld,
-                                 Millis aAskedAt, Millis aAge) {
-  if (aNewest <= aHeld) {
-    mAsOf = std::max(mAsOf, aAskedAt - aAge);
+void ConfigurationLease::Confirm(std::int64_t aNewestVersion,
+                                 std::int64_t aLocalVersion, Millis aPolledAt,
+                                 Millis aAge) {
+  if (aNewestVersion <= aLocalVersion) {
+    mConfirmedAt = std::max(mConfirmedAt, aPolledAt - aAge);
   }
 }
 
-bool ConfigurationLease::Holds(Millis aNow) const {
-  return mAsOf >= 0 && aNow - mAsOf < mLength;
+bool ConfigurationLease::IsValid(Millis aNow) const {
+  return mConfirmedAt >= 0 && aNow - mConfirmedAt < mDuration;
 }
 
 Millis ConfigurationLease::Age(Millis aNow) const {
-  return mAsOf < 0 ? -1 : aNow - mAsOf;
+  return mConfirmedAt < 0 ? -1 : aNow - mConfirmedAt;
 }
 
 }  // namespace spindleweir
--- a/servers/routes/traffic_change.cpp
+++ b/servers/routes/traffic_change.cpp
@@ -12,13 +12,13 @@
 namespace {
 
 /// Changes kept; a router that lacks more of them takes the whole.
-constexpr std::size_t kChangesKept = 32;
+constexpr std::size_t kMaxStoredChanges = 32;
 
 /// Routes of one piece of news: 100 are about 0.3 MB as a tree of JSON.
-constexpr std::size_t kRoutesInPiece = 100;
+constexpr std::size_t kRoutesPerChunk = 100;
 
 /// One piece.
-struct RoutePiece {
+struct RouteChunk {
   std::vector<TrafficRoute> mRoutes;
 
   template <class Codec>
@@ -28,12 +28,12 @@
 };
 
 /// Routes by where they stand, which differs for all of a configuration.
-using RoutesByPlace = std::map<RoutePlace, const TrafficRoute*>;
+using RoutesByPattern = std::map<RoutePattern, const TrafficRoute*>;
 
-RoutesByPlace ByPlace(const std::vector<TrafficRoute>& aRoutes) {
-  RoutesByPlace places;
+RoutesByPattern ByPattern(const std::vector<TrafficRoute>& aRoutes) {
+  RoutesByPattern places;
   for (const TrafficRoute& route : aRoutes) {
-    places[route.Place()] = &route;
+    places[route.Pattern()] = &route;
   }
   return places;
 }
@@ -45,12 +45,12 @@
 
 /// News of a configuration or of a change.
 template <class T>
-TrafficNews NewsOf(std::int64_t aBase, T aMessage) {
-  TrafficNews news{.mBase = aBase, .mVersion = aMessage.mVersion};
-  RoutePiece piece;
+TrafficUpdate MakeUpdate(std::int64_t aBase, T aMessage) {
+  TrafficUpdate news{.mBaseVersion = aBase, .mVersion = aMessage.mVersion};
+  RouteChunk piece;
   for (TrafficRoute& route : aMessage.mRoutes) {
     piece.mRoutes.push_back(std::move(route));
-    if (piece.mRoutes.size() == kRoutesInPiece) {
+    if (piece.mRoutes.size() == kRoutesPerChunk) {
       news.mRoutes.push_back(Packed(piece));
       piece.mRoutes.clear();
     }
@@ -64,9 +64,10 @@
 }
 
 /// The routes of a piece, at the end of those before.
-void AddRoutes(const std::string& aPacked, std::vector<TrafficRoute>& aRoutes) {
+void AppendRoutes(const std::string& aPacked,
+                  std::vector<TrafficRoute>& aRoutes) {
   const std::string text = Unpack(aPacked, kMostUnpacked);
-  auto piece = FromJson<RoutePiece>(ParseJson(text));
+  auto piece = FromJson<RouteChunk>(ParseJson(text));
   for (TrafficRoute& route : piece.mRoutes) {
     aRoutes.push_back(std::move(route));
   }
@@ -74,10 +75,10 @@
 
 /// A message with the routes of its pieces.
 template <class T>
-T ReadMessage(const TrafficNews& aNews) {
-  T message = FromJson<T>(ParseJson(Unpack(aNews.mPacked, kMostUnpacked)));
-  for (const std::string& piece : aNews.mRoutes) {
-    AddRoutes(piece, message.mRoutes);
+T ReadMessage(const TrafficUpdate& aUpdate) {
+  T message = FromJson<T>(ParseJson(Unpack(aUpdate.mPacked, kMostUnpacked)));
+  for (const std::string& piece : aUpdate.mRoutes) {
+    AppendRoutes(piece, message.mRoutes);
   }
   return message;
 }
@@ -87,11 +88,11 @@
 TrafficChange ChangeBetween(const TrafficConfiguration& aBase,
                             const TrafficConfiguration& aNext) {
   TrafficChange change;
-  change.mBase = aBase.mVersion;
+  change.mBaseVersion = aBase.mVersion;
   change.mVersion = aNext.mVersion;
   change.mLimits = aNext.mLimits;
-  const RoutesByPlace before = ByPlace(aBase.mRoutes);
-  const RoutesByPlace after = ByPlace(aNext.mRoutes);
+  const RoutesByPattern before = ByPattern(aBase.mRoutes);
+  const RoutesByPattern after = ByPattern(aNext.mRoutes);
   for (const auto& [place, route] : before) {
     if (!after.contains(place)) {
       change.mRemoved.push_back(place);
@@ -108,16 +109,16 @@
   }
   if (aBase.mWorkspaces != aNext.mWorkspaces) {
     change.mWorkspaces = aNext.mWorkspaces;
-    change.mOpens = aNext.mWorkspaces.empty();
+    change.mRemovesWorkspaces = aNext.mWorkspaces.empty();
   }
   return change;
 }
 
-TrafficConfiguration Changed(const TrafficConfiguration& aBase,
-                             const TrafficChange& aChange) {
-  if (aBase.mVersion != aChange.mBase) {
+TrafficConfiguration ApplyTrafficChange(const TrafficConfiguration& aBase,
+                                        const TrafficChange& aChange) {
+  if (aBase.mVersion != aChange.mBaseVersion) {
     throw Error(ResultCode::kBadConfiguration,
-                "a change of version " + std::to_string(aChange.mBase) +
+                "a change of version " + std::to_string(aChange.mBaseVersion) +
                     " for version " + std::to_string(aBase.mVersion));
   }
   TrafficConfiguration next;
@@ -125,14 +126,15 @@
   next.mLimits = aChange.mLimits;
   next.mServices =
       aChange.mServices.empty() ? aBase.mServices : aChange.mServices;
-  const bool sameKeys = aChange.mWorkspaces.empty() && !aChange.mOpens;
+  const bool sameKeys =
+      aChange.mWorkspaces.empty() && !aChange.mRemovesWorkspaces;
   next.mWorkspaces = sameKeys ? aBase.mWorkspaces : aChange.mWorkspaces;
-  RoutesByPlace routes = ByPlace(aBase.mRoutes);
-  for (const RoutePlace& place : aChange.mRemoved) {
+  RoutesByPattern routes = ByPattern(aBase.mRoutes);
+  for (const RoutePattern& place : aChange.mRemoved) {
     routes.erase(place);
   }
   for (const TrafficRoute& route : aChange.mRoutes) {
-    routes[route.Place()] = &route;
+    routes[route.Pattern()] = &route;
   }
   next.mRoutes.reserve(routes.size());
   for (const auto& [place, route] : routes) {
@@ -141,44 +143,46 @@
   return next;
 }
 
-TrafficConfiguration ReadNews(const TrafficConfiguration* aHeld,
-                              const TrafficNews& aNews) {
-  if (aNews.mBase == 0) {
-    return ReadMessage<TrafficConfiguration>(aNews);
+TrafficConfiguration ApplyTrafficUpdate(const TrafficConfiguration* aCurrent,
+                                        const TrafficUpdate& aUpdate) {
+  if (aUpdate.mBaseVersion == 0) {
+    return ReadMessage<TrafficConfiguration>(aUpdate);
   }
-  const auto change = ReadMessage<TrafficChange>(aNews);
-  return Changed(aHeld == nullptr ? TrafficConfiguration{} : *aHeld, change);
+  const auto change = ReadMessage<TrafficChange>(aUpdate);
+  return ApplyTrafficChange(
+      aCurrent == nullptr ? TrafficConfiguration{} : *aCurrent, change);
 }
 
-void TrafficHistory::Take(TrafficConfiguration aNext) {
+void TrafficHistory::Add(TrafficConfiguration aNext) {
   if (aNext.mVersion <= mCurrent.mVersion) {
     return;
   }
   if (mCurrent.mVersion > 0) {
     mChanges.push_back(
-        NewsOf(mCurrent.mVersion, ChangeBetween(mCurrent, aNext)));
+        MakeUpdate(mCurrent.mVersion, ChangeBetween(mCurrent, aNext)));
   }
-  if (mChanges.size() > kChangesKept) {
+  if (mChanges.size() > kMaxStoredChanges) {
     mChanges.pop_front();
   }
   mCurrent = std::move(aNext);
-  mWhole = {};
+  mFullUpdate = {};
 }
 
-std::vector<TrafficNews> TrafficHistory::NewsSince(std::int64_t aVersion) {
+std::vector<TrafficUpdate> TrafficHistory::UpdatesSince(std::int64_t aVersion) {
   if (aVersion >= mCurrent.mVersion) {
     return {};
   }
-  const auto it = std::find_if(
-      mChanges.begin(), mChanges.end(),
-      [aVersion](const TrafficNews& aNews) { return aNews.mBase == aVersion; });
+  const auto it = std::find_if(mChanges.begin(), mChanges.end(),
+                               [aVersion](const TrafficUpdate& aUpdate) {
+                                 return aUpdate.mBaseVersion == aVersion;
+                               });
   if (it != mChanges.end()) {
     return {it, mChanges.end()};
   }
-  if (mWhole.mVersion != mCurrent.mVersion) {
-    mWhole = NewsOf(0, mCurrent);
+  if (mFullUpdate.mVersion != mCurrent.mVersion) {
+    mFullUpdate = MakeUpdate(0, mCurrent);
   }
-  return {mWhole};
+  return {mFullUpdate};
 }
 
 }  // namespace spindleweir
--- a/servers/routes/traffic_configuration.cpp
+++ b/servers/routes/traffic_configuration.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-[[noreturn]] void Refuse(const std::string& aWhy) {
+[[noreturn]] void Reject(const std::string& aWhy) {
   throw Error(ResultCode::kBadConfiguration, aWhy);
 }
 
@@ -18,31 +18,31 @@
                 const TrafficRoute& aRoute) {
   const std::string name = "route " + aRoute.mName;
   if (aRoute.mHost.empty()) {
-    Refuse(name + " has no host");
+    Reject(name + " has no host");
   }
   const bool slashes =
       aRoute.mPrefix.starts_with('/') && aRoute.mPrefix.ends_with('/');
   if (!slashes) {
-    Refuse(name + " has a prefix that does not begin and end with a slash");
+    Reject(name + " has a prefix that does not begin and end with a slash");
   }
   if (aRoute.mTimeout <= 0) {
-    Refuse(name + " has a time-out of 0");
+    Reject(name + " has a time-out of 0");
   }
   if (aRoute.mTargets.empty()) {
-    Refuse(name + " goes to no service");
+    Reject(name + " goes to no service");
   }
   double weights = 0;
   for (const RouteTarget& target : aRoute.mTargets) {
     if (aConfiguration.FindService(target.mService) == nullptr) {
-      Refuse(name + " goes to the unknown service " + target.mService);
+      Reject(name + " goes to the unknown service " + target.mService);
     }
     if (target.mWeight < 0) {
-      Refuse(name + " has a weight below 0");
+      Reject(name + " has a weight below 0");
     }
     weights += target.mWeight;
   }
   if (weights <= 0) {
-    Refuse(name + " has weights that add up to 0");
+    Reject(name + " has weights that add up to 0");
   }
 }
 
@@ -67,21 +67,21 @@
   return nullptr;
 }
 
-void CheckTraffic(const TrafficConfiguration& aConfiguration) {
+void CheckTrafficConfiguration(const TrafficConfiguration& aConfiguration) {
   if (aConfiguration.mVersion <= 0) {
-    Refuse("the version must be above 0");
+    Reject("the version must be above 0");
   }
   std::set<std::string> services;
   for (const TrafficService& service : aConfiguration.mServices) {
     if (service.mName.empty() || !services.insert(service.mName).second) {
-      Refuse("service \"" + service.mName + "\" is named twice or not at all");
+      Reject("service \"" + service.mName + "\" is named twice or not at all");
     }
   }
   std::set<std::string> places;
   for (const TrafficRoute& route : aConfiguration.mRoutes) {
     CheckRoute(aConfiguration, route);
     if (!places.insert(route.mHost + route.mPrefix).second) {
-      Refuse("two routes have the host " + route.mHost + " and the prefix " +
+      Reject("two routes have the host " + route.mHost + " and the prefix " +
              route.mPrefix);
     }
   }
@@ -90,7 +90,7 @@
     for (const std::string& key : workspace.mKeys) {
       const auto [it, fresh] = owners.emplace(key, workspace.mName);
       if (!fresh && it->second != workspace.mName) {
-        Refuse("workspaces " + it->second + " and " + workspace.mName +
+        Reject("workspaces " + it->second + " and " + workspace.mName +
                " share a key");
       }
     }
--- a/servers/routing/inter_zone_budget.cpp
+++ b/servers/routing/inter_zone_budget.cpp
@@ -14,7 +14,7 @@
 
 bool InterZoneBudget::Allows(const EngineProfile& aProfile, int aRouters,
                              Millis aNow) {
-  const double rate = aProfile.mPipeMbps * kBitsPerMilliPerMbps *
+  const double rate = aProfile.mInterZoneMbps * kBitsPerMilliPerMbps *
                       mOptions.mShare / std::max(1, aRouters);
   const double max = rate * static_cast<double>(mOptions.mBurst);
   const double gained =
--- a/servers/routing/path_shares.cpp
+++ b/servers/routing/path_shares.cpp
@@ -42,10 +42,12 @@
                const std::vector<const UpstreamRecord*>& aEngines,
                const std::function<double(const std::string&)>& aSlowdownOf)
       : mProfile(aProfile),
-        mPromptTokens(aProfile.mUsualPrompt > 0 ? aProfile.mUsualPrompt
-                                                : kDefaultPromptTokens),
-        mAnswerTokens(aProfile.mUsualAnswer > 0 ? aProfile.mUsualAnswer
-                                                : kDefaultAnswerTokens) {
+        mPromptTokens(aProfile.mTypicalPromptTokens > 0
+                          ? aProfile.mTypicalPromptTokens
+                          : kDefaultPromptTokens),
+        mAnswerTokens(aProfile.mTypicalAnswerTokens > 0
+                          ? aProfile.mTypicalAnswerTokens
+                          : kDefaultAnswerTokens) {
     for (const UpstreamRecord* engine : aEngines) {
       const AcceleratorKind* kind = mProfile.FindKind(engine->mKind);
       if (kind == nullptr || engine->mLayers.Count() <= 0) {
--- a/tests/daemons/relay_story.cpp
+++ b/tests/daemons/relay_story.cpp
@@ -58,7 +58,7 @@
                                .mPrefix = std::string("/") + aName + "/",
                                .mKind = aKind,
                                .mTimeout = 5000,
-                               .mAttempts = 2,
+                               .mMaxAttempts = 2,
                                .mResumable = aKind == RouteKind::kStream,
                                .mTargets = {{"counter", 1}}});
   };
@@ -210,10 +210,10 @@
   TrafficConfiguration traffic = Traffic(8);
   TrafficService model{.mName = "model"};
   model.mEngine.mLayers = 8;
-  model.mEngine.mUsualAnswer = 10;
+  model.mEngine.mTypicalAnswerTokens = 10;
   model.mEngine.mTokenBytes = 1;
-  model.mEngine.mLinkMbps = 1000;
-  model.mEngine.mReadPerSecond = 1000;
+  model.mEngine.mIntraZoneMbps = 1000;
+  model.mEngine.mPromptTokensPerSecond = 1000;
   model.mEngine.mKinds = {{.mName = "k", .mMemoryMb = 100}};
   traffic.mServices.push_back(model);
   traffic.mRoutes.back().mTargets = {{"model", 1}};
--- a/tests/fuzz/claims_fuzz.cpp
+++ b/tests/fuzz/claims_fuzz.cpp
@@ -77,7 +77,7 @@
           const Letter lost = *it;
           mLetters.erase(it);
           if (lost.mIsReply) {
-            Silent(lost);
+            OnNoReply(lost);
           }
         }
         break;
@@ -104,7 +104,7 @@
     record.mOwner = attempt.mOwner;
     attempt.mRound = std::make_unique<ClaimRound>(record, kKeepers, 0);
     mAttempts.push_back(std::move(attempt));
-    Send(mAttempts.size() - 1, {ClaimAsk::kAcquire, record});
+    Send(mAttempts.size() - 1, {ClaimOperation::kAcquire, record});
   }
 
   void Send(std::size_t aAttempt, const ClaimMessage& aMessage) {
@@ -126,18 +126,19 @@
           mKeepers[static_cast<std::size_t>(letter.mKeeper)]->Handle(
               letter.mMessage, mNow++);
       letter.mIsReply = true;
-      if (letter.mMessage.mAsk == ClaimAsk::kAcquire) {
+      if (letter.mMessage.mOperation == ClaimOperation::kAcquire) {
         mLetters.push_back(letter);
       }
       return;
     }
     Attempt& attempt = mAttempts[letter.mAttempt];
-    attempt.mRound->Replied(std::to_string(letter.mKeeper), letter.mReply);
+    attempt.mRound->OnReply(std::to_string(letter.mKeeper), letter.mReply);
     Act(letter.mAttempt);
   }
 
-  void Silent(const Letter& aLetter) {
-    mAttempts[aLetter.mAttempt].mRound->Silent(std::to_string(aLetter.mKeeper));
+  void OnNoReply(const Letter& aLetter) {
+    mAttempts[aLetter.mAttempt].mRound->OnNoReply(
+        std::to_string(aLetter.mKeeper));
     Act(aLetter.mAttempt);
   }
 
@@ -145,20 +146,20 @@
   void Act(std::size_t aAttempt) {
     Attempt& attempt = mAttempts[aAttempt];
     const ClaimVerdict verdict = attempt.mRound->Verdict();
-    if (attempt.mEnded || verdict == ClaimVerdict::kOpen) {
+    if (attempt.mEnded || verdict == ClaimVerdict::kPending) {
       return;
     }
     attempt.mEnded = true;
     if (verdict != ClaimVerdict::kGranted) {
-      Send(aAttempt, {ClaimAsk::kRelease, attempt.mRound->Asked()});
+      Send(aAttempt, {ClaimOperation::kRelease, attempt.mRound->Request()});
       return;
     }
     attempt.mDispatched = true;
     mRuns++;
-    ClaimRecord record = attempt.mRound->Asked();
+    ClaimRecord record = attempt.mRound->Request();
     record.mState = ClaimState::kDone;
     record.mAnswer.mBody = attempt.mOwner;
-    Send(aAttempt, {ClaimAsk::kFinish, record});
+    Send(aAttempt, {ClaimOperation::kFinish, record});
   }
 
   /// A router that gives up waiting, as at its deadline.
@@ -168,7 +169,7 @@
     }
     const std::size_t n = aWhich % mAttempts.size();
     for (int keeper = 0; keeper < kKeepers; keeper++) {
-      mAttempts[n].mRound->Silent(std::to_string(keeper));
+      mAttempts[n].mRound->OnNoReply(std::to_string(keeper));
     }
     Act(n);
   }
--- a/tests/fuzz/parsers_fuzzer.cpp
+++ b/tests/fuzz/parsers_fuzzer.cpp
@@ -65,7 +65,7 @@
 
 void ReadIntent(std::string_view aBytes) {
   auto intent = FromJson<Intent>(ParseJson(aBytes), true);
-  CheckAndSealIntent(intent);
+  CheckIntentAndHashKeys(intent);
   FromJson<Intent>(ParseJson(DumpJson(ToJson(intent))), true);
 }
 
@@ -104,7 +104,7 @@
 
 void ReadDocument(std::string_view aBytes) {
   const TrafficConfiguration read = platform::ReadConfigurationDocument(aBytes);
-  CheckTraffic(read);
+  CheckTrafficConfiguration(read);
   FromJson<TrafficConfiguration>(ToJson(read));
 }
 
@@ -114,7 +114,9 @@
     abort();
   }
   const TrafficConfiguration none;
-  ReadNews(&none, {.mBase = 1, .mVersion = 2, .mPacked = std::string(aBytes)});
+  ApplyTrafficUpdate(
+      &none,
+      {.mBaseVersion = 1, .mVersion = 2, .mPacked = std::string(aBytes)});
 }
 
 /// What was read can be used, or is left out and told.
@@ -193,7 +195,7 @@
         ReadPacked(bytes);
         break;
       case 13:
-        FromJson<ConfigurationNews>(ParseJson(bytes));
+        FromJson<ConfigurationUpdate>(ParseJson(bytes));
         break;
       case 14:
         platform::ReadLeave(bytes);
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -54,7 +54,7 @@
 
 Test(platform, a_document_becomes_a_configuration) {
   const TrafficConfiguration read = ReadConfigurationDocument(kDocument);
-  CheckTraffic(read);
+  CheckTrafficConfiguration(read);
   CHECK(read.mVersion == 7);
   CHECK(read.mRoutes[0].mKind == RouteKind::kStream);
   CHECK(read.mRoutes[0].mTargets.size() == 2);
--- a/tests/servers/choice_test.cpp
+++ b/tests/servers/choice_test.cpp
@@ -27,9 +27,10 @@
   PathQuery query;
   query.mProfile = &aFleet.mProfile;
   query.mZone = "zone-1";
-  query.mTokens = aFleet.mProfile.mUsualPrompt + aFleet.mProfile.mUsualAnswer;
-  query.mPrefillTokens = aFleet.mProfile.mUsualPrompt;
-  query.mAnswerTokens = aFleet.mProfile.mUsualAnswer;
+  query.mTokens = aFleet.mProfile.mTypicalPromptTokens +
+                  aFleet.mProfile.mTypicalAnswerTokens;
+  query.mPrefillTokens = aFleet.mProfile.mTypicalPromptTokens;
+  query.mAnswerTokens = aFleet.mProfile.mTypicalAnswerTokens;
   query.mEngines = Views(aRecords, "zone-1");
   query.mLoadOf = [](const std::string&) { return EngineLoad(); };
   query.mRandom = [] { return 0.5; };
@@ -113,7 +114,7 @@
   const std::vector<const UpstreamRecord*> engines = Views(records, "zone-1");
   const std::vector<PathShare> paths = DividePaths(fleet.mProfile, engines);
   const double tokens =
-      fleet.mProfile.mUsualPrompt + fleet.mProfile.mUsualAnswer;
+      fleet.mProfile.mTypicalPromptTokens + fleet.mProfile.mTypicalAnswerTokens;
   std::map<std::string, double> reserved;
   double rate = 0;
   for (const PathShare& path : paths) {
--- a/tests/servers/claims_test.cpp
+++ b/tests/servers/claims_test.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-ClaimMessage Ask(ClaimAsk aAsk, const std::string& aOwner,
+ClaimMessage Ask(ClaimOperation aAsk, const std::string& aOwner,
                  const std::string& aDigest = "d") {
   ClaimMessage message;
-  message.mAsk = aAsk;
+  message.mOperation = aAsk;
   message.mRecord.mKey = "k";
   message.mRecord.mOwner = aOwner;
   message.mRecord.mDigest = aDigest;
@@ -17,7 +17,7 @@
 }
 
 ClaimMessage Done(const std::string& aOwner, const std::string& aBody) {
-  ClaimMessage message = Ask(ClaimAsk::kFinish, aOwner);
+  ClaimMessage message = Ask(ClaimOperation::kFinish, aOwner);
   message.mRecord.mState = ClaimState::kDone;
   message.mRecord.mAnswer.mBody = aBody;
   return message;
@@ -33,28 +33,29 @@
 
 Test(claims, a_keeper_grants_a_key_once) {
   ClaimKeeper keeper = MakeKeeper();
-  CHECK(keeper.Handle(Ask(ClaimAsk::kAcquire, "a"), 0).mGranted);
-  CHECK(!keeper.Handle(Ask(ClaimAsk::kAcquire, "b"), 1).mGranted);
+  CHECK(keeper.Handle(Ask(ClaimOperation::kAcquire, "a"), 0).mGranted);
+  CHECK(!keeper.Handle(Ask(ClaimOperation::kAcquire, "b"), 1).mGranted);
   SECTION("a resent message of the owner is granted again") {
-    CHECK(keeper.Handle(Ask(ClaimAsk::kAcquire, "a"), 1).mGranted);
+    CHECK(keeper.Handle(Ask(ClaimOperation::kAcquire, "a"), 1).mGranted);
   }
   SECTION("nobody else can release it") {
-    keeper.Handle(Ask(ClaimAsk::kRelease, "b"), 1);
-    CHECK(!keeper.Handle(Ask(ClaimAsk::kAcquire, "c"), 1).mGranted);
+    keeper.Handle(Ask(ClaimOperation::kRelease, "b"), 1);
+    CHECK(!keeper.Handle(Ask(ClaimOperation::kAcquire, "c"), 1).mGranted);
   }
   SECTION("released it is free, but not for a late message of its owner") {
-    keeper.Handle(Ask(ClaimAsk::kRelease, "a"), 1);
-    CHECK(!keeper.Handle(Ask(ClaimAsk::kAcquire, "a"), 2).mGranted);
-    CHECK(keeper.Handle(Ask(ClaimAsk::kAcquire, "c"), 2).mGranted);
+    keeper.Handle(Ask(ClaimOperation::kRelease, "a"), 1);
+    CHECK(!keeper.Handle(Ask(ClaimOperation::kAcquire, "a"), 2).mGranted);
+    CHECK(keeper.Handle(Ask(ClaimOperation::kAcquire, "c"), 2).mGranted);
   }
 }
 
 Test(claims, a_finished_call_stays_finished) {
   ClaimKeeper keeper = MakeKeeper();
-  keeper.Handle(Ask(ClaimAsk::kAcquire, "a"), 0);
+  keeper.Handle(Ask(ClaimOperation::kAcquire, "a"), 0);
   keeper.Handle(Done("a", "answer"), 1);
   SECTION("for its resends") {
-    const ClaimReply reply = keeper.Handle(Ask(ClaimAsk::kAcquire, "b"), 2);
+    const ClaimReply reply =
+        keeper.Handle(Ask(ClaimOperation::kAcquire, "b"), 2);
     CHECK(!reply.mGranted && reply.mRecord.mState == ClaimState::kDone);
     CHECK(reply.mRecord.mAnswer.mBody == "answer");
   }
@@ -62,12 +63,13 @@
     CHECK(!keeper.Handle(Done("b", "other"), 2).mGranted);
   }
   SECTION("until it expires") {
-    CHECK(keeper.Handle(Ask(ClaimAsk::kAcquire, "b"), 1002).mGranted);
+    CHECK(keeper.Handle(Ask(ClaimOperation::kAcquire, "b"), 1002).mGranted);
   }
   SECTION("a large answer is told, not kept") {
     ClaimKeeper other = MakeKeeper();
     const ClaimReply reply = other.Handle(Done("a", "more than ten bytes"), 0);
-    CHECK(!reply.mRecord.mAnswer.mKept && reply.mRecord.mAnswer.mBody.empty());
+    CHECK(!reply.mRecord.mAnswer.mBodyStored &&
+          reply.mRecord.mAnswer.mBody.empty());
   }
 }
 
@@ -78,14 +80,15 @@
       throw Error(ResultCode::kStorageFailed, "disk full");
     }
   }});
-  CHECK(CodeThrownBy([&] { keeper.Handle(Ask(ClaimAsk::kAcquire, "a"), 0); }) ==
-        ResultCode::kStorageFailed);
+  CHECK(CodeThrownBy([&] {
+          keeper.Handle(Ask(ClaimOperation::kAcquire, "a"), 0);
+        }) == ResultCode::kStorageFailed);
   broken = false;
-  CHECK(keeper.Handle(Ask(ClaimAsk::kAcquire, "b"), 0).mGranted);
+  CHECK(keeper.Handle(Ask(ClaimOperation::kAcquire, "b"), 0).mGranted);
 }
 
 Test(claims, a_round_needs_a_majority) {
-  const ClaimRecord asked = Ask(ClaimAsk::kAcquire, "a").mRecord;
+  const ClaimRecord asked = Ask(ClaimOperation::kAcquire, "a").mRecord;
   const auto held = [&](ClaimState aState, const std::string& aDigest) {
     ClaimReply reply;
     reply.mRecord = asked;
@@ -97,55 +100,55 @@
   };
   SECTION("two of three grant") {
     ClaimRound round(asked, 3, 0);
-    round.Replied("1", {true, asked});
-    CHECK(round.Verdict() == ClaimVerdict::kOpen);
-    round.Replied("1", {true, asked});
-    CHECK(round.Verdict() == ClaimVerdict::kOpen);
-    round.Replied("2", {true, asked});
+    round.OnReply("1", {true, asked});
+    CHECK(round.Verdict() == ClaimVerdict::kPending);
+    round.OnReply("1", {true, asked});
+    CHECK(round.Verdict() == ClaimVerdict::kPending);
+    round.OnReply("2", {true, asked});
     CHECK(round.Verdict() == ClaimVerdict::kGranted);
   }
   SECTION("two of three are silent: not run") {
     ClaimRound round(asked, 3, 0);
-    round.Silent("1");
-    round.Silent("2");
+    round.OnNoReply("1");
+    round.OnNoReply("2");
     CHECK(round.Verdict() == ClaimVerdict::kNoQuorum);
   }
   SECTION("another holds it") {
     ClaimRound round(asked, 3, 0);
-    round.Replied("1", held(ClaimState::kHeld, "d"));
-    round.Replied("2", held(ClaimState::kHeld, "d"));
+    round.OnReply("1", held(ClaimState::kHeld, "d"));
+    round.OnReply("2", held(ClaimState::kHeld, "d"));
     CHECK(round.Verdict() == ClaimVerdict::kInProgress);
   }
   SECTION("another held it so long that its router must be gone") {
     ClaimRound round(asked, 3, 100);
-    round.Replied("1", held(ClaimState::kHeld, "d"));
-    round.Replied("2", held(ClaimState::kHeld, "d"));
+    round.OnReply("1", held(ClaimState::kHeld, "d"));
+    round.OnReply("2", held(ClaimState::kHeld, "d"));
     CHECK(round.Verdict() == ClaimVerdict::kUnknown);
   }
   SECTION("one keeper knows the end") {
     ClaimRound round(asked, 3, 0);
-    round.Replied("1", {true, asked});
-    round.Replied("2", held(ClaimState::kDone, "d"));
+    round.OnReply("1", {true, asked});
+    round.OnReply("2", held(ClaimState::kDone, "d"));
     CHECK(round.Verdict() == ClaimVerdict::kDone);
   }
   SECTION("a majority knows the end, and one keeper is silent") {
     ClaimRound round(asked, 3, 0);
-    round.Replied("1", held(ClaimState::kHeld, "d"));
-    round.Silent("2");
-    CHECK(round.Verdict() == ClaimVerdict::kOpen);
-    round.Replied("3", held(ClaimState::kDone, "d"));
+    round.OnReply("1", held(ClaimState::kHeld, "d"));
+    round.OnNoReply("2");
+    CHECK(round.Verdict() == ClaimVerdict::kPending);
+    round.OnReply("3", held(ClaimState::kDone, "d"));
     CHECK(round.Verdict() == ClaimVerdict::kDone);
   }
   SECTION("one keeper holds it for another, and the others are silent") {
     ClaimRound round(asked, 3, 0);
-    round.Replied("1", held(ClaimState::kHeld, "d"));
-    round.Silent("2");
-    round.Silent("3");
+    round.OnReply("1", held(ClaimState::kHeld, "d"));
+    round.OnNoReply("2");
+    round.OnNoReply("3");
     CHECK(round.Verdict() == ClaimVerdict::kInProgress);
   }
   SECTION("the key with another body") {
     ClaimRound round(asked, 3, 0);
-    round.Replied("1", held(ClaimState::kDone, "other"));
-    CHECK(round.Verdict() == ClaimVerdict::kReused);
+    round.OnReply("1", held(ClaimState::kDone, "other"));
+    CHECK(round.Verdict() == ClaimVerdict::kKeyReused);
   }
 }
--- a/tests/servers/configuration_test.cpp
+++ b/tests/servers/configuration_test.cpp
@@ -27,7 +27,7 @@
   command.mDigest = "confirm " + aPlan;
   command.mKind = CommandKind::kConfirm;
   command.mPlanId = aPlan;
-  command.mWall = aWall;
+  command.mLeaderWallTime = aWall;
   return command;
 }
 
@@ -99,7 +99,7 @@
   CHECK(machine.Apply(ConfirmCommand("late", "plan-a", 1001)).mCode ==
         CodeOf(ResultCode::kPlanExpired));
   Command forbidden = PlanCommand("f", 0);
-  forbidden.mPlan.mForbidden.push_back("does not fit");
+  forbidden.mPlan.mRejectionReasons.push_back("does not fit");
   machine.Apply(forbidden);
   CHECK(machine.Apply(ConfirmCommand("x", "plan-f")).mCode ==
         CodeOf(ResultCode::kPlanShort));
@@ -127,44 +127,50 @@
   ConfigurationHistory router;
   machine.Apply(PlanCommand("a", 0));
   machine.Apply(ConfirmCommand("ca", "plan-a"));
-  const ConfigurationNews first = machine.History().Answer(router.Question());
-  CHECK(router.Take(first) == NewsVerdict::kTaken);
-  CHECK(router.Take(first) == NewsVerdict::kOld);
+  const ConfigurationUpdate first =
+      machine.History().UpdateFor(router.MakeRequest());
+  CHECK(router.ApplyUpdate(first) == ConfigurationUpdateResult::kApplied);
+  CHECK(router.ApplyUpdate(first) == ConfigurationUpdateResult::kStale);
   machine.Apply(PlanCommand("b", 1));
   machine.Apply(ConfirmCommand("cb", "plan-b"));
   machine.Apply(PlanCommand("c", 2));
   machine.Apply(ConfirmCommand("cc", "plan-c"));
-  const ConfigurationNews both = machine.History().Answer(router.Question());
-  CHECK(!both.mIsWhole && both.mChanges.size() == 2);
+  const ConfigurationUpdate both =
+      machine.History().UpdateFor(router.MakeRequest());
+  CHECK(!both.mIsFull && both.mChanges.size() == 2);
   SECTION("a change that does not follow is a gap") {
-    ConfigurationNews last = both;
+    ConfigurationUpdate last = both;
     last.mChanges.erase(last.mChanges.begin());
-    CHECK(router.Take(last) == NewsVerdict::kGap);
+    CHECK(router.ApplyUpdate(last) == ConfigurationUpdateResult::kGap);
     CHECK(router.Current().mVersion == 1);
   }
   SECTION("a damaged one is refused") {
-    ConfigurationNews damaged = both;
+    ConfigurationUpdate damaged = both;
     damaged.mChanges[0].mDrained.push_back("vm");
-    CHECK(router.Take(damaged) == NewsVerdict::kDamaged);
+    CHECK(router.ApplyUpdate(damaged) ==
+          ConfigurationUpdateResult::kHashMismatch);
     CHECK(router.Current().mVersion == 1);
   }
   SECTION("another content of a known version is a fork") {
-    ConfigurationNews fork = first;
+    ConfigurationUpdate fork = first;
     REQUIRE(fork.mChanges.size() == 1);
     fork.mChanges[0].mDrained.push_back("vm");
-    fork.mChanges[0].mHash = HashOf(fork.mChanges[0]);
-    CHECK(router.Take(fork) == NewsVerdict::kFork);
+    fork.mChanges[0].mHash = ChangeHash(fork.mChanges[0]);
+    CHECK(router.ApplyUpdate(fork) == ConfigurationUpdateResult::kFork);
   }
   SECTION("the changes, or the whole, lead to the same") {
     ConfigurationHistory empty;
-    const ConfigurationNews none = machine.History().Answer({7, "elsewhere"});
-    CHECK(none.mChanges.empty() && !none.mIsWhole);
-    const ConfigurationNews whole = machine.History().Answer({2, "elsewhere"});
-    CHECK(whole.mIsWhole && empty.Take(whole) == NewsVerdict::kTaken);
-    CHECK(router.Take(both) == NewsVerdict::kTaken);
+    const ConfigurationUpdate none =
+        machine.History().UpdateFor({7, "elsewhere"});
+    CHECK(none.mChanges.empty() && !none.mIsFull);
+    const ConfigurationUpdate whole =
+        machine.History().UpdateFor({2, "elsewhere"});
+    CHECK(whole.mIsFull &&
+          empty.ApplyUpdate(whole) == ConfigurationUpdateResult::kApplied);
+    CHECK(router.ApplyUpdate(both) == ConfigurationUpdateResult::kApplied);
     CHECK(ToJson(router.Current()) == ToJson(machine.Current()));
     CHECK(ToJson(empty.Current()) == ToJson(machine.Current()));
-    CHECK(router.Take(whole) == NewsVerdict::kOld);
+    CHECK(router.ApplyUpdate(whole) == ConfigurationUpdateResult::kStale);
   }
 }
 
@@ -176,13 +182,13 @@
     return intent;
   };
   Intent sealed = good();
-  CheckAndSealIntent(sealed);
+  CheckIntentAndHashKeys(sealed);
   CHECK(sealed.mWorkspaces[0].mKey.empty());
   CHECK(sealed.mWorkspaces[0].mKeySha256.size() == 64);
   const auto refused = [&](const std::function<void(Intent&)>& aSpoil) {
     Intent intent = good();
     aSpoil(intent);
-    return CodeThrownBy([&] { CheckAndSealIntent(intent); }) ==
+    return CodeThrownBy([&] { CheckIntentAndHashKeys(intent); }) ==
            ResultCode::kBadField;
   };
   CHECK(refused([](Intent& aIntent) { aIntent.mModels[0].mLayers = -1; }));
--- a/tests/servers/layers_test.cpp
+++ b/tests/servers/layers_test.cpp
@@ -15,15 +15,15 @@
   profile.mLayerMb = 1750;
   profile.mTokenBytes = 918000;
   profile.mActivationBytes = 45900;
-  profile.mLinkMbps = 400000;
-  profile.mPipeMbps = 26000;
+  profile.mIntraZoneMbps = 400000;
+  profile.mInterZoneMbps = 26000;
   profile.mStepMillis = 1.02;
   profile.mRequestMillis = 0.00714;
   profile.mContextMillis = 0.00956;
-  profile.mReadPerSecond = 105000;
+  profile.mPromptTokensPerSecond = 105000;
   profile.mPairMillis = 0.309;
   profile.mLoadSeconds = 14;
-  profile.mZoneDelay = 0.75;
+  profile.mZoneDelayMillis = 0.75;
   profile.mKinds = {{"fast", 72000, 2.4, 3.2},
                     {"middle", 43200, 5.6, 2.7},
                     {"slow", 21600, 16, 8.2}};
@@ -413,7 +413,7 @@
   // Guards against an overloaded link between zones: streams that crossed it
   // paused for 0.5 s and more, all others for 0.1 s.
   EngineProfile profile = Profile();
-  profile.mPipeMbps = 10;
+  profile.mInterZoneMbps = 10;
   profile.mActivationBytes = 1000;
   InterZoneBudget pipe({.mShare = 0.5, .mBurst = 1000});
   SECTION("each router has a share and waits until a debt is paid") {
--- a/tests/servers/placement_test.cpp
+++ b/tests/servers/placement_test.cpp
@@ -123,8 +123,8 @@
                               .mCurrent = none,
                               .mEngines = engines,
                               .mUnusable = unusable});
-  REQUIRE(plan.mCapacity.size() == 1 && plan.mForbidden.empty());
-  CHECK(plan.mCapacity[0].mSurvivesOneLoss && plan.mShort.empty());
+  REQUIRE(plan.mCapacity.size() == 1 && plan.mRejectionReasons.empty());
+  CHECK(plan.mCapacity[0].mSurvivesOneLoss && plan.mWarnings.empty());
   SECTION("two engines hold each layer, within their memory") {
     std::vector<int> held(12, 0);
     for (const StagePlacement& stage : plan.mPlacement) {
@@ -151,7 +151,7 @@
                                    .mCurrent = none,
                                    .mEngines = engines,
                                    .mUnusable = unusable});
-    CHECK(!refused.mForbidden.empty());
+    CHECK(!refused.mRejectionReasons.empty());
   }
 }
 
@@ -173,7 +173,7 @@
                      .mUnusable = gone});
     REQUIRE(plan.mCapacity.size() == 1);
     CHECK(plan.mCapacity[0].mTokensPerSecond > 0);
-    CHECK(plan.mCapacity[0].mSurvivesOneLoss || !plan.mShort.empty());
+    CHECK(plan.mCapacity[0].mSurvivesOneLoss || !plan.mWarnings.empty());
     for (const StagePlacement& stage : plan.mPlacement) {
       CHECK(!gone.contains(stage.mEngine));
     }
@@ -201,7 +201,7 @@
   const auto inY = std::count_if(
       cut.mPlacement.begin(), cut.mPlacement.end(),
       [](const StagePlacement& aStage) { return aStage.mZone == "y"; });
-  CHECK(inY == 6 && !cut.mShort.empty());
+  CHECK(inY == 6 && !cut.mWarnings.empty());
 }
 
 Test(placement, zone_and_hardware_limits_are_respected) {
@@ -223,7 +223,7 @@
   }
   intent.mModels[0].mZones = {"elsewhere"};
   CHECK(MakePlan(input).mPlacement.empty());
-  CHECK(!MakePlan(input).mForbidden.empty());
+  CHECK(!MakePlan(input).mRejectionReasons.empty());
 }
 
 Test(orders, loads_go_to_the_slowest_stage_first) {
--- a/tests/servers/routes_test.cpp
+++ b/tests/servers/routes_test.cpp
@@ -26,7 +26,7 @@
 ResultCode Check(const std::function<void(TrafficConfiguration&)>& aChange) {
   TrafficConfiguration configuration = Configuration();
   aChange(configuration);
-  return CodeThrownBy([&] { CheckTraffic(configuration); });
+  return CodeThrownBy([&] { CheckTrafficConfiguration(configuration); });
 }
 
 }  // namespace
@@ -70,19 +70,19 @@
 
 Test(routes, a_lease_lasts_from_when_it_was_asked_for) {
   ConfigurationLease lease(4000);
-  CHECK(!lease.Holds(0));
+  CHECK(!lease.IsValid(0));
   SECTION("the age that the leader tells is taken off") {
     lease.Confirm(5, 5, 1000, 200);
-    CHECK(lease.Holds(4799));
-    CHECK(!lease.Holds(4800));
+    CHECK(lease.IsValid(4799));
+    CHECK(!lease.IsValid(4800));
   }
   SECTION("a newer version that is not held here confirms nothing") {
     lease.Confirm(6, 5, 3000, 0);
-    CHECK(!lease.Holds(4800));
+    CHECK(!lease.IsValid(4800));
   }
   SECTION("an answer that was overtaken does not shorten it") {
     lease.Confirm(5, 5, 2000, 0);
     lease.Confirm(5, 5, 1500, 0);
-    CHECK(lease.Holds(5999));
+    CHECK(lease.IsValid(5999));
   }
 }
--- a/tests/servers/sample_test.cpp
+++ b/tests/servers/sample_test.cpp
@@ -21,10 +21,10 @@
     mProfile.mTokenBytes = 918000;
     mProfile.mCapacityTokens = 100000;
     mProfile.mActivationBytes = 45900;
-    mProfile.mLinkMbps = 400000;
-    mProfile.mPipeMbps = 4300;
+    mProfile.mIntraZoneMbps = 400000;
+    mProfile.mInterZoneMbps = 4300;
     mProfile.mStepMillis = 0.85;
-    mProfile.mReadPerSecond = 353000;
+    mProfile.mPromptTokensPerSecond = 353000;
     mProfile.mKinds = {{"fast", 36000, 3.1, 3.2},
                        {"middle", 22000, 16, 8.2},
                        {"small", 14000, 15, 15}};
--- a/tests/servers/slowdown_test.cpp
+++ b/tests/servers/slowdown_test.cpp
@@ -314,9 +314,10 @@
   PathQuery query;
   query.mProfile = &fleet.mProfile;
   query.mZone = "zone-1";
-  query.mTokens = fleet.mProfile.mUsualPrompt + fleet.mProfile.mUsualAnswer;
-  query.mPrefillTokens = fleet.mProfile.mUsualPrompt;
-  query.mAnswerTokens = fleet.mProfile.mUsualAnswer;
+  query.mTokens =
+      fleet.mProfile.mTypicalPromptTokens + fleet.mProfile.mTypicalAnswerTokens;
+  query.mPrefillTokens = fleet.mProfile.mTypicalPromptTokens;
+  query.mAnswerTokens = fleet.mProfile.mTypicalAnswerTokens;
   for (const UpstreamRecord& record : records) {
     query.mEngines.push_back(&record);
   }
--- a/tests/servers/sources_test.cpp
+++ b/tests/servers/sources_test.cpp
@@ -148,26 +148,26 @@
   NewestConfirmation held;
   SECTION("nothing is forwarded before the first confirmation") {
     CHECK(held.Age(50) == -1);
-    held.Take(7, 100, -1);
+    held.Update(7, 100, -1);
     CHECK(held.Age(150) == -1);
   }
-  held.Take(7, 1000, 20);
+  held.Update(7, 1000, 20);
   SECTION("its age counts from the poll of the other control") {
     CHECK(held.Version() == 7);
     CHECK(held.Age(1100) == 120);
   }
   SECTION("an older confirmation by another way changes nothing") {
-    held.Take(6, 1050, 400);
+    held.Update(6, 1050, 400);
     CHECK(held.Version() == 7);
     CHECK(held.Age(1100) == 120);
   }
   SECTION("a router without the confirmed version gets no lease") {
     ConfigurationLease lease(4000);
     lease.Confirm(held.Version(), 6, 1100, held.Age(1100));
-    CHECK(!lease.Holds(1110));
+    CHECK(!lease.IsValid(1110));
     lease.Confirm(held.Version(), 7, 1100, held.Age(1100));
-    CHECK(lease.Holds(1110));
-    CHECK(!lease.Holds(980 + 4000));
+    CHECK(lease.IsValid(1110));
+    CHECK(!lease.IsValid(980 + 4000));
   }
 }
 
--- a/tests/servers/starts_test.cpp
+++ b/tests/servers/starts_test.cpp
@@ -231,9 +231,9 @@
 struct ThreeEngineZone {
   ThreeEngineZone() {
     mProfile.mLayers = 4;
-    mProfile.mReadPerSecond = 100000;
-    mProfile.mKinds = {{.mName = "fast", .mReadFactor = 1},
-                       {.mName = "slow", .mReadFactor = 4}};
+    mProfile.mPromptTokensPerSecond = 100000;
+    mProfile.mKinds = {{.mName = "fast", .mPromptFactor = 1},
+                       {.mName = "slow", .mPromptFactor = 4}};
     Add("fast", {0, 2});
     Add("slow", {0, 2});
     Add("fast", {2, 4});
--- a/tests/servers/traffic_change_test.cpp
+++ b/tests/servers/traffic_change_test.cpp
@@ -68,40 +68,40 @@
   TrafficHistory history;
   const TrafficConfiguration one =
       Version(1, {Route("/a/", 10), Route("/b/", 10)});
-  history.Take(one);
+  history.Add(one);
   SECTION("one that has nothing takes the whole") {
-    const auto news = history.NewsSince(0);
+    const auto news = history.UpdatesSince(0);
     REQUIRE(news.size() == 1);
-    CHECK(Text(ReadNews(nullptr, news[0])) == Text(one));
+    CHECK(Text(ApplyTrafficUpdate(nullptr, news[0])) == Text(one));
   }
   TrafficConfiguration three = Version(3, {Route("/b/", 20), Route("/c/", 5)});
   three.mWorkspaces.clear();
-  history.Take(three);
-  history.Take(Version(7, {Route("/b/", 20), Route("/c/", 6)}));
+  history.Add(three);
+  history.Add(Version(7, {Route("/b/", 20), Route("/c/", 6)}));
   SECTION("one that has the first takes both ways in order") {
-    const auto news = history.NewsSince(1);
+    const auto news = history.UpdatesSince(1);
     REQUIRE(news.size() == 2);
-    TrafficConfiguration held = ReadNews(&one, news[0]);
+    TrafficConfiguration held = ApplyTrafficUpdate(&one, news[0]);
     CHECK(Text(held) == Text(three));
-    held = ReadNews(&held, news[1]);
+    held = ApplyTrafficUpdate(&held, news[1]);
     CHECK(Text(held) == Text(history.Current()));
   }
   SECTION("a way from another version is not taken") {
-    const auto news = history.NewsSince(3);
+    const auto news = history.UpdatesSince(3);
     REQUIRE(news.size() == 1);
-    CHECK(CodeThrownBy([&] { ReadNews(&one, news[0]); }) ==
+    CHECK(CodeThrownBy([&] { ApplyTrafficUpdate(&one, news[0]); }) ==
           ResultCode::kBadConfiguration);
   }
   SECTION("a version that control never had is answered with the whole") {
-    const auto news = history.NewsSince(2);
+    const auto news = history.UpdatesSince(2);
     REQUIRE(news.size() == 1);
-    CHECK(news[0].mBase == 0);
+    CHECK(news[0].mBaseVersion == 0);
   }
   SECTION("the newest needs nothing, and an older one is not taken back") {
-    history.Take(one);
+    history.Add(one);
     CHECK(history.Current().mVersion == 7);
-    CHECK(history.NewsSince(7).empty());
-    CHECK(history.NewsSince(9).empty());
+    CHECK(history.UpdatesSince(7).empty());
+    CHECK(history.UpdatesSince(9).empty());
   }
 }
 
@@ -113,15 +113,15 @@
     routes.push_back(Route("/" + std::to_string(i) + "/", 10));
   }
   TrafficHistory history;
-  history.Take(Version(1, routes));
+  history.Add(Version(1, routes));
   routes[700].mTimeout = 11;
-  history.Take(Version(2, routes));
-  const auto change = history.NewsSince(1);
-  const auto whole = history.NewsSince(0);
+  history.Add(Version(2, routes));
+  const auto change = history.UpdatesSince(1);
+  const auto whole = history.UpdatesSince(0);
   REQUIRE(change.size() == 1 && whole.size() == 1);
-  const auto size = [](const TrafficNews& aNews) {
-    std::size_t n = aNews.mPacked.size();
-    for (const std::string& piece : aNews.mRoutes) {
+  const auto size = [](const TrafficUpdate& aUpdate) {
+    std::size_t n = aUpdate.mPacked.size();
+    for (const std::string& piece : aUpdate.mRoutes) {
       n += piece.size();
     }
     return n;
@@ -133,19 +133,20 @@
     for (const std::string& piece : whole[0].mRoutes) {
       CHECK(Unpack(piece, kMost).size() < 30000);
     }
-    CHECK(Text(ReadNews(nullptr, whole[0])) == Text(history.Current()));
+    CHECK(Text(ApplyTrafficUpdate(nullptr, whole[0])) ==
+          Text(history.Current()));
   }
   SECTION("so do those of a change") {
     const TrafficConfiguration held = history.Current();
     for (TrafficRoute& route : routes) {
       route.mTimeout += 5;
     }
-    history.Take(Version(3, routes));
-    const auto large = history.NewsSince(2);
+    history.Add(Version(3, routes));
+    const auto large = history.UpdatesSince(2);
     REQUIRE(large.size() == 1);
     CHECK(large[0].mRoutes.size() == 14);
     // In another order, which says nothing.
-    const TrafficConfiguration read = ReadNews(&held, large[0]);
+    const TrafficConfiguration read = ApplyTrafficUpdate(&held, large[0]);
     const TrafficChange left = ChangeBetween(read, history.Current());
     CHECK(read.mRoutes.size() == 1400);
     CHECK(left.mRoutes.empty() && left.mRemoved.empty());
