--- a/include/spindleweir/servers/claims/claim_keeper.h
+++ b/include/spindleweir/servers/claims/claim_keeper.h
@@ -1,4 +1,5 @@
-/// A claim keeper: remembers who may run a call that must not run twice.
+/// A claim keeper: stores which request attempt may run a call that must not
+/// run twice.
 #pragma once
 
 #include <cstdint>
@@ -11,34 +12,38 @@
 
 namespace spindleweir {
 
-/// How a keeper is set up.
+/// Options of a keeper.
 struct ClaimKeeperOptions {
-  Millis mLifetime = 24 * 60 * 60 * 1000;  ///< How long a claim is kept.
+  Millis mLifetime = 24 * 60 * 60 * 1000;  ///< Retention of a claim.
   std::size_t mMaxClaims = 200000;
   std::size_t mMaximumAnswerBytes = 64 * 1024;
-  /// Makes a record last; throws kStorageFailed where it cannot.
+  /// Writes a record to durable storage; throws kStorageFailed if it cannot.
   std::function<void(const ClaimRecord&)> mPersist;
 };
 
-/// One keeper's records. A key is granted to one owner only, for as long as
-/// the record lives; what was persisted comes back by Restore().
+/// The records of one keeper. A key is granted to one owner only, until its
+/// record expires. Restore() loads a record that was persisted before.
 class ClaimKeeper {
  public:
   explicit ClaimKeeper(ClaimKeeperOptions aOptions);
 
   void Restore(const ClaimRecord& aRecord);
-  /// Answers one message. Throws kStorageFailed where nothing was promised.
+  /// Applies one message. Throws kStorageFailed if the record could not be
+  /// persisted; the stored claims are then unchanged. Throws kNotReady,
+  /// kOverLimit or kBadField if the keeper abstains, is full or does not know
+  /// the operation.
   ClaimReply Handle(const ClaimMessage& aMessage, Millis aWallNow);
-  /// A keeper that starts empty in the place of a lost one grants nothing
-  /// until it has taken over the others' records: those of the lost keeper's
-  /// majorities are among them.
+  /// Stops granting new keys. A keeper that replaces a lost one starts empty
+  /// and abstains until it has copied the records of the other keepers, which
+  /// include every claim that the lost keeper helped to grant by majority.
   void Abstain() { mAbstains = true; }
   bool Abstains() const { return mAbstains; }
-  /// Takes over a record of another keeper: the one that tells more stays.
+  /// Merges a record of another keeper: of two records of one key, the one
+  /// with the greater ClaimState is stored.
   void MergeRecord(const ClaimRecord& aRecord);
   void EndAbstention() { mAbstains = false; }
   ClaimPage Page(const ClaimPageRequest& aRequest) const;
-  /// Forgets what has expired.
+  /// Removes expired records.
   void Expire(Millis aWallNow);
 
   std::size_t Size() const { return mRecords.size(); }
@@ -54,8 +59,8 @@
   bool mAbstains = false;
   std::map<std::string, ClaimRecord> mRecords;
   std::multimap<Millis, std::string> mByExpiry;
-  /// Owners that released, for a while: a late kAcquire of theirs must not
-  /// take the key again.
+  /// Owners that released a key, with the time when the entry is dropped: a
+  /// kAcquire of theirs that arrives late must not claim the key again.
   std::map<std::string, Millis> mReleasedOwners;
   Millis mNextSweepAt = 0;
 };
--- a/include/spindleweir/servers/claims/claim_messages.h
+++ b/include/spindleweir/servers/claims/claim_messages.h
@@ -1,4 +1,4 @@
-/// What routers and claim keepers say to each other.
+/// Messages between routers and claim keepers.
 #pragma once
 
 #include <cstdint>
@@ -9,20 +9,20 @@
 
 namespace spindleweir {
 
-/// How far the call of a claim has come.
+/// State of the call that a claim stands for.
 enum class ClaimState {
-  kFree,     ///< Nobody holds the key.
-  kHeld,     ///< Somebody may run it now.
-  kDone,     ///< It ran; the answer is kept or was too large.
-  kUnknown,  ///< It was dispatched and its outcome is not known.
+  kFree,     ///< No owner holds the key.
+  kHeld,     ///< The owner may run the call.
+  kDone,     ///< The call ran; its answer is stored or was too large.
+  kUnknown,  ///< The call was dispatched; its outcome is unknown.
 };
 
-/// The answer of a call, as a keeper keeps it.
+/// The answer of a call, as a keeper stores it.
 struct StoredAnswer {
-  int mStatus = 0;  ///< HTTP status.
-  std::string mType;
+  int mStatus = 0;    ///< HTTP status.
+  std::string mType;  ///< Content type.
   std::string mBody;
-  bool mBodyStored = true;  ///< False: it was too large; mBody is empty.
+  bool mBodyStored = true;  ///< False: the body was too large; mBody is empty.
 
   template <class Codec>
   void Fields(Codec& aCodec) {
@@ -33,11 +33,11 @@
   }
 };
 
-/// What a keeper holds of one key.
+/// The record of one key. Times are Unix times in milliseconds.
 struct ClaimRecord {
   std::string mKey;     ///< Workspace, route and idempotency key.
-  std::string mDigest;  ///< SHA-256 of the body.
-  std::string mOwner;   ///< The attempt that was granted.
+  std::string mDigest;  ///< SHA-256 of the request body.
+  std::string mOwner;   ///< Id of the attempt that the key was granted to.
   ClaimState mState = ClaimState::kFree;
   Millis mGrantedWall = 0;  ///< When the keeper granted it.
   Millis mExpiresWall = 0;
@@ -57,14 +57,14 @@
   }
 };
 
-/// What a router asks of a keeper.
+/// Operation that a router requests of a keeper.
 enum class ClaimOperation {
-  kAcquire,  ///< Grant the key to the owner, if it is free.
-  kRelease,  ///< The owner did not dispatch and will not.
-  kFinish,   ///< The owner's call ended: record state and answer.
+  kAcquire,  ///< Grant the key to the owner if it is free.
+  kRelease,  ///< The owner did not dispatch the call and will not.
+  kFinish,   ///< The owner's call ended: store its state and answer.
 };
 
-/// A router's message.
+/// A router's request to a keeper.
 struct ClaimMessage {
   ClaimOperation mOperation = ClaimOperation::kAcquire;
   ClaimRecord mRecord;
@@ -78,9 +78,9 @@
   }
 };
 
-/// Asks a keeper for its records, in the order of their keys.
+/// Requests a page of a keeper's records, in the order of their keys.
 struct ClaimPageRequest {
-  std::string mAfter;  ///< The last key of the page before; empty: the first.
+  std::string mAfter;  ///< Last key of the previous page; empty: first page.
 
   template <class Codec>
   void Fields(Codec& aCodec) {
@@ -88,11 +88,11 @@
   }
 };
 
-/// A part of a keeper's records.
+/// A page of a keeper's records.
 struct ClaimPage {
   std::vector<ClaimRecord> mRecords;
-  bool mIsLast = false;
-  bool mIsComplete = false;  ///< Whether the keeper lacks nothing itself.
+  bool mIsLast = false;      ///< No records follow this page.
+  bool mIsComplete = false;  ///< False while the keeper itself abstains.
 
   template <class Codec>
   void Fields(Codec& aCodec) {
@@ -102,10 +102,10 @@
   }
 };
 
-/// A keeper's answer.
+/// A keeper's reply.
 struct ClaimReply {
-  bool mGranted = false;  ///< The key is the asking owner's.
-  ClaimRecord mRecord;    ///< What the keeper holds now.
+  bool mGranted = false;  ///< Whether the requesting owner holds the key.
+  ClaimRecord mRecord;    ///< The keeper's record of the key.
 
   template <class Codec>
   void Fields(Codec& aCodec) {
--- a/servers/claims/claim_keeper.cpp
+++ b/servers/claims/claim_keeper.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// How long a message may be on its way.
+/// Longest time that a message may be delayed in the network.
 constexpr Millis kReleasedOwnerRetention = 60 * 1000;
 constexpr Millis kSweepInterval = 1000;
 constexpr std::size_t kMaxPageRecords = 500;
@@ -35,20 +35,21 @@
     case ClaimOperation::kFinish:
       return Finish(aMessage.mRecord, aWallNow);
   }
-  throw Error(ResultCode::kBadField, "unknown claim message");
+  throw Error(ResultCode::kBadField, "claim message: unknown operation");
 }
 
 ClaimReply ClaimKeeper::Acquire(const ClaimRecord& aRequested,
                                 Millis aWallNow) {
   const auto it = mRecords.find(aRequested.mKey);
   if (it != mRecords.end()) {
-    const bool own = it->second.mOwner == aRequested.mOwner &&
-                     it->second.mState == ClaimState::kHeld;
-    return {own, it->second};
+    const bool isOwner = it->second.mOwner == aRequested.mOwner &&
+                         it->second.mState == ClaimState::kHeld;
+    return {isOwner, it->second};
   }
   if (mAbstains) {
     throw Error(ResultCode::kNotReady,
-                "this keeper has not taken over the others' claims yet");
+                "the claim keeper has not copied the claims of the other "
+                "keepers yet");
   }
   if (mReleasedOwners.contains(aRequested.mOwner)) {
     return {};
@@ -69,10 +70,10 @@
                                 Millis aWallNow) {
   mReleasedOwners[aRequested.mOwner] = aWallNow + kReleasedOwnerRetention;
   const auto it = mRecords.find(aRequested.mKey);
-  const bool own = it != mRecords.end() &&
-                   it->second.mOwner == aRequested.mOwner &&
-                   it->second.mState == ClaimState::kHeld;
-  if (!own) {
+  const bool isOwner = it != mRecords.end() &&
+                       it->second.mOwner == aRequested.mOwner &&
+                       it->second.mState == ClaimState::kHeld;
+  if (!isOwner) {
     return {};
   }
   ClaimRecord record = it->second;
@@ -84,13 +85,13 @@
 
 ClaimReply ClaimKeeper::Finish(const ClaimRecord& aRequested, Millis aWallNow) {
   const auto it = mRecords.find(aRequested.mKey);
-  const bool other =
+  const bool ownedByOther =
       it != mRecords.end() && it->second.mOwner != aRequested.mOwner;
-  if (other && it->second.mState != ClaimState::kHeld) {
+  if (ownedByOther && it->second.mState != ClaimState::kHeld) {
     return {false, it->second};
   }
-  // The owner was granted the key by a majority; a keeper that missed that, or
-  // granted a loser, takes the owner's word.
+  // A majority granted the key to the owner; a keeper that missed that, or
+  // granted the key to an attempt that lost the round, accepts the outcome.
   ClaimRecord record = aRequested;
   record.mExpiresWall = aWallNow + mOptions.mLifetime;
   if (record.mAnswer.mBody.size() > mOptions.mMaximumAnswerBytes) {
@@ -109,10 +110,10 @@
 
 void ClaimKeeper::MergeRecord(const ClaimRecord& aRecord) {
   const auto it = mRecords.find(aRecord.mKey);
-  const bool known =
+  const bool upToDate =
       it != mRecords.end() &&
       static_cast<int>(it->second.mState) >= static_cast<int>(aRecord.mState);
-  if (!known) {
+  if (!upToDate) {
     Store(aRecord);
   }
 }
--- a/servers/claims/claim_round.cpp
+++ b/servers/claims/claim_round.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// A record that tells more replaces one that tells less.
+/// Order of records: one of a greater rank replaces one of a smaller rank.
 int Rank(ClaimState aState) {
   switch (aState) {
     case ClaimState::kFree:
@@ -28,9 +28,9 @@
   if (aReply.mGranted) {
     mGrantCount++;
   } else if (aReply.mRecord.mState == ClaimState::kFree) {
-    mNoReplies++;
+    mNoReplyCount++;
   } else {
-    mHeldByOther++;
+    mConflictCount++;
     if (Rank(aReply.mRecord.mState) > Rank(mEarlier.mState)) {
       mEarlier = aReply.mRecord;
     }
@@ -42,7 +42,7 @@
   if (!mRespondedKeepers.insert(aKeeper).second) {
     return;
   }
-  mNoReplies++;
+  mNoReplyCount++;
   UpdateVerdict();
 }
 
@@ -50,8 +50,8 @@
   if (mVerdict != ClaimVerdict::kPending) {
     return;
   }
-  // A finished call is known from a single keeper: only its owner could have
-  // written that, after a majority had granted it.
+  // One keeper's record of a finished call is enough: only the owner could
+  // have written it, after a majority had granted the claim.
   const bool finished = mEarlier.mState == ClaimState::kDone ||
                         mEarlier.mState == ClaimState::kUnknown;
   if (finished) {
@@ -62,16 +62,18 @@
     mVerdict = ClaimVerdict::kGranted;
     return;
   }
-  const std::size_t open = mKeeperCount - mRespondedKeepers.size();
-  if (Majority(mGrantCount + open)) {
+  const std::size_t pending = mKeeperCount - mRespondedKeepers.size();
+  if (Majority(mGrantCount + pending)) {
     return;
   }
-  // An outcome that a majority has is among the answers still to come, unless
-  // a majority has said that it has none: silent keepers say nothing of it.
-  if (mHeldByOther > 0 && open > 0 && !Majority(mHeldByOther)) {
+  // An outcome that a majority stores is among the pending replies, unless a
+  // majority replied that the key is only held. Keepers that do not reply rule
+  // nothing out.
+  if (mConflictCount > 0 && pending > 0 && !Majority(mConflictCount)) {
     return;
   }
-  mVerdict = mHeldByOther > 0 ? VerdictFromEarlier() : ClaimVerdict::kNoQuorum;
+  mVerdict =
+      mConflictCount > 0 ? VerdictFromEarlier() : ClaimVerdict::kNoQuorum;
 }
 
 ClaimVerdict ClaimRound::VerdictFromEarlier() const {
--- a/tests/fuzz/claims_fuzz.cpp
+++ b/tests/fuzz/claims_fuzz.cpp
@@ -1,5 +1,5 @@
-/// Fuzzing of claims: over any keepers' crashes, lost and late messages, a key
-/// runs at most once, and a call that was released did not run.
+/// Fuzz test of claims: with keepers that crash and messages that are lost,
+/// repeated or delayed, the call of a key runs at most once.
 #include <rapidcheck.h>
 
 #include <map>
@@ -17,7 +17,7 @@
 
 constexpr int kKeepers = 3;
 
-/// A router's attempt at the one key.
+/// A router's attempt to run the call of the only key.
 struct Attempt {
   std::string mOwner;
   std::unique_ptr<ClaimRound> mRound;
@@ -25,8 +25,8 @@
   bool mEnded = false;
 };
 
-/// A message or a reply on its way.
-struct Letter {
+/// A message or reply that was sent and not yet delivered.
+struct InFlightMessage {
   int mKeeper;
   std::size_t mAttempt;
   bool mIsReply;
@@ -34,9 +34,9 @@
   ClaimReply mReply;
 };
 
-class World {
+class ClaimSimulation {
  public:
-  explicit World(bool aForgetful) : mForgetful(aForgetful) {
+  explicit ClaimSimulation(bool aLosesRecords) : mLosesRecords(aLosesRecords) {
     for (int i = 0; i < kKeepers; i++) {
       mDisks.emplace_back();
       mKeepers.emplace_back();
@@ -50,8 +50,8 @@
         .mLifetime = 1000000, .mPersist = [this, n](const ClaimRecord& aItem) {
           mDisks[n].push_back(aItem);
         }});
-    if (mForgetful) {
-      // The planted defect: what was promised is lost at a restart.
+    if (mLosesRecords) {
+      // The injected fault: a restart loses the persisted records.
       mDisks[n].clear();
     }
     for (const ClaimRecord& record : mDisks[n]) {
@@ -59,38 +59,38 @@
     }
   }
 
-  void Step(int aDice) {
-    const auto which = static_cast<std::size_t>(aDice / 8);
-    switch (aDice % 8) {
+  void Step(int aChoice) {
+    const auto index = static_cast<std::size_t>(aChoice / 8);
+    switch (aChoice % 8) {
       case 0:
         if (mAttempts.size() < 12) {
           NewAttempt();
         }
         break;
       case 1:
-        Restart(static_cast<int>(which % kKeepers));
+        Restart(static_cast<int>(index % kKeepers));
         break;
       case 2:
-        if (!mLetters.empty()) {
-          const auto it = mLetters.begin() +
-                          static_cast<std::ptrdiff_t>(which % mLetters.size());
-          const Letter lost = *it;
-          mLetters.erase(it);
+        if (!mInFlight.empty()) {
+          const auto it = mInFlight.begin() +
+                          static_cast<std::ptrdiff_t>(index % mInFlight.size());
+          const InFlightMessage lost = *it;
+          mInFlight.erase(it);
           if (lost.mIsReply) {
             OnNoReply(lost);
           }
         }
         break;
       case 3:
-        if (!mLetters.empty() && mLetters.size() < 100) {
-          mLetters.push_back(mLetters[which % mLetters.size()]);
+        if (!mInFlight.empty() && mInFlight.size() < 100) {
+          mInFlight.push_back(mInFlight[index % mInFlight.size()]);
         }
         break;
       case 4:
-        GiveUp(which);
+        StopWaiting(index);
         break;
       default:
-        Deliver(which);
+        Deliver(index);
         break;
     }
   }
@@ -109,41 +109,41 @@
 
   void Send(std::size_t aAttempt, const ClaimMessage& aMessage) {
     for (int keeper = 0; keeper < kKeepers; keeper++) {
-      mLetters.push_back({keeper, aAttempt, false, aMessage, {}});
+      mInFlight.push_back({keeper, aAttempt, false, aMessage, {}});
     }
   }
 
-  void Deliver(std::size_t aWhich) {
-    if (mLetters.empty()) {
+  void Deliver(std::size_t aIndex) {
+    if (mInFlight.empty()) {
       return;
     }
-    const auto it = mLetters.begin() +
-                    static_cast<std::ptrdiff_t>(aWhich % mLetters.size());
-    Letter letter = *it;
-    mLetters.erase(it);
-    if (!letter.mIsReply) {
-      letter.mReply =
-          mKeepers[static_cast<std::size_t>(letter.mKeeper)]->Handle(
-              letter.mMessage, mNow++);
-      letter.mIsReply = true;
-      if (letter.mMessage.mOperation == ClaimOperation::kAcquire) {
-        mLetters.push_back(letter);
+    const auto it = mInFlight.begin() +
+                    static_cast<std::ptrdiff_t>(aIndex % mInFlight.size());
+    InFlightMessage message = *it;
+    mInFlight.erase(it);
+    if (!message.mIsReply) {
+      message.mReply =
+          mKeepers[static_cast<std::size_t>(message.mKeeper)]->Handle(
+              message.mMessage, mNow++);
+      message.mIsReply = true;
+      if (message.mMessage.mOperation == ClaimOperation::kAcquire) {
+        mInFlight.push_back(message);
       }
       return;
     }
-    Attempt& attempt = mAttempts[letter.mAttempt];
-    attempt.mRound->OnReply(std::to_string(letter.mKeeper), letter.mReply);
-    Act(letter.mAttempt);
+    Attempt& attempt = mAttempts[message.mAttempt];
+    attempt.mRound->OnReply(std::to_string(message.mKeeper), message.mReply);
+    ActOnVerdict(message.mAttempt);
   }
 
-  void OnNoReply(const Letter& aLetter) {
-    mAttempts[aLetter.mAttempt].mRound->OnNoReply(
-        std::to_string(aLetter.mKeeper));
-    Act(aLetter.mAttempt);
+  void OnNoReply(const InFlightMessage& aMessage) {
+    mAttempts[aMessage.mAttempt].mRound->OnNoReply(
+        std::to_string(aMessage.mKeeper));
+    ActOnVerdict(aMessage.mAttempt);
   }
 
-  /// What a router does on a verdict.
-  void Act(std::size_t aAttempt) {
+  /// Acts on the verdict of an attempt's round as a router does.
+  void ActOnVerdict(std::size_t aAttempt) {
     Attempt& attempt = mAttempts[aAttempt];
     const ClaimVerdict verdict = attempt.mRound->Verdict();
     if (attempt.mEnded || verdict == ClaimVerdict::kPending) {
@@ -162,57 +162,57 @@
     Send(aAttempt, {ClaimOperation::kFinish, record});
   }
 
-  /// A router that gives up waiting, as at its deadline.
-  void GiveUp(std::size_t aWhich) {
+  /// Ends an attempt's wait for replies, as a router does at its deadline.
+  void StopWaiting(std::size_t aIndex) {
     if (mAttempts.empty()) {
       return;
     }
-    const std::size_t n = aWhich % mAttempts.size();
+    const std::size_t n = aIndex % mAttempts.size();
     for (int keeper = 0; keeper < kKeepers; keeper++) {
       mAttempts[n].mRound->OnNoReply(std::to_string(keeper));
     }
-    Act(n);
+    ActOnVerdict(n);
   }
 
   int Runs() const { return mRuns; }
 
  private:
-  bool mForgetful;
+  bool mLosesRecords;
   std::vector<std::vector<ClaimRecord>> mDisks;
   std::vector<std::unique_ptr<ClaimKeeper>> mKeepers;
   std::vector<Attempt> mAttempts;
-  std::vector<Letter> mLetters;
+  std::vector<InFlightMessage> mInFlight;
   Millis mNow = 0;
   int mRuns = 0;
 };
 
-int RunsOf(const std::vector<int>& aDice, bool aForgetful) {
-  World world(aForgetful);
-  for (int dice : aDice) {
-    world.Step(dice);
+int RunsOf(const std::vector<int>& aChoices, bool aLosesRecords) {
+  ClaimSimulation simulation(aLosesRecords);
+  for (int choice : aChoices) {
+    simulation.Step(choice);
   }
-  return world.Runs();
+  return simulation.Runs();
 }
 
 }  // namespace
 
 Test(claims_fuzz, a_key_runs_at_most_once) {
   cr_assert(rc::check("claims", [] {
-    const auto dice = *rc::gen::container<std::vector<int>>(
+    const auto choices = *rc::gen::container<std::vector<int>>(
         400, rc::gen::inRange(0, 8 * 128));
-    RC_ASSERT(RunsOf(dice, false) <= 1);
+    RC_ASSERT(RunsOf(choices, false) <= 1);
   }));
 }
 
-Test(claims_fuzz, keepers_that_forget_are_caught) {
+Test(claims_fuzz, keepers_that_lose_their_records_are_detected) {
   std::mt19937 random(11);
-  bool caught = false;
-  for (int round = 0; round < 500 && !caught; round++) {
-    std::vector<int> dice;
+  bool detected = false;
+  for (int round = 0; round < 500 && !detected; round++) {
+    std::vector<int> choices;
     for (int i = 0; i < 400; i++) {
-      dice.push_back(std::uniform_int_distribution<int>(0, 1023)(random));
+      choices.push_back(std::uniform_int_distribution<int>(0, 1023)(random));
     }
-    caught = RunsOf(dice, true) > 1;
+    detected = RunsOf(choices, true) > 1;
   }
-  CHECK(caught);
+  CHECK(detected);
 }
