--- a/daemons/relay/relay_moves.cpp
+++ b/daemons/relay/relay_moves.cpp
@@ -154,8 +154,7 @@
 }
 
 StreamTargets RelayRequest::Aim() const {
-  return {.mFirstEvent = mRoute->mTargetLatency,
-          .mPause = mRoute->mStallTimeout};
+  return {.mFirstEvent = mRoute->mTargetLatency, .mPause = mRoute->mTargetGap};
 }
 
 std::set<std::string> RelayRequest::SlowParts() const {
--- a/include/spindleweir/servers/routes/configuration_lease.h
+++ b/include/spindleweir/servers/routes/configuration_lease.h
@@ -1,6 +1,6 @@
-/// The right to act on an accepted configuration: renewed by the leader of
-/// control, it runs out on a router that is cut off or was frozen, so that a
-/// key that was taken away is soon of no use anywhere.
+/// A router's lease on its accepted configuration. The leader of control renews
+/// it; it expires on a router that is partitioned or was suspended, so that a
+/// revoked key stops working on all routers within the lease's duration.
 #pragma once
 
 #include <cstdint>
@@ -9,19 +9,20 @@
 
 namespace spindleweir {
 
-/// Counted on the router's steady clock from when it asked.
+/// Times are of the router's steady clock, in milliseconds; the lease runs from
+/// the time of the poll, not of its answer.
 class ConfigurationLease {
  public:
   explicit ConfigurationLease(Millis aDuration) : mDuration(aDuration) {}
 
-  /// The leader said that aNewestVersion was the newest version aAge before it
-  /// answered a question asked at aPolledAt; aLocalVersion is the version held
-  /// here. A router that lacks the newest goes on with the lease it had.
+  /// Renews the lease after a poll sent at aPolledAt, whose answer says that
+  /// aNewestVersion was the newest version aAge earlier. aLocalVersion is the
+  /// router's version; if it is older, the lease is not renewed.
   void Confirm(std::int64_t aNewestVersion, std::int64_t aLocalVersion,
                Millis aPolledAt, Millis aAge);
-  /// Whether acting on the version held is allowed.
+  /// Whether the router may act on its configuration.
   bool IsValid(Millis aNow) const;
-  /// Milliseconds since the newest confirmation; -1: there was none.
+  /// Milliseconds since the newest confirmation; -1 if there was none.
   Millis Age(Millis aNow) const;
   void SetDuration(Millis aDuration) { mDuration = aDuration; }
 
--- a/include/spindleweir/servers/routes/newest_confirmation.h
+++ b/include/spindleweir/servers/routes/newest_confirmation.h
@@ -1,5 +1,5 @@
-/// What the leader of control confirmed last, as another control knows it and
-/// passes it on: routers need not reach the leader themselves.
+/// The last confirmation by the leader of control. Other controls forward it,
+/// so that routers need not reach the leader.
 #pragma once
 
 #include <cstdint>
@@ -8,13 +8,14 @@
 
 namespace spindleweir {
 
-/// "At a moment no version was accepted that is newer than this one." The
-/// moment is on the steady clock of who holds it, and never later than true.
+/// States that at some time no version newer than Version() was accepted. The
+/// time is of this process's steady clock and is never later than the actual
+/// one.
 class NewestConfirmation {
  public:
-  /// Takes a confirmation that aAge had passed since when a question that was
-  /// asked at aPolledAt was answered. An older one than is held changes
-  /// nothing.
+  /// Stores a confirmation from the answer to a poll sent at aPolledAt; aAge is
+  /// its age in milliseconds in that answer, negative if there is none. One
+  /// that is older than the stored one is ignored.
   void Update(std::int64_t aVersion, Millis aPolledAt, Millis aAge) {
     if (aAge >= 0 && aPolledAt - aAge > mConfirmedAt) {
       mVersion = aVersion;
@@ -22,7 +23,7 @@
     }
   }
   std::int64_t Version() const { return mVersion; }
-  /// Milliseconds since that moment; -1: nothing was confirmed yet.
+  /// Milliseconds since that time; -1 if nothing was confirmed yet.
   Millis Age(Millis aNow) const {
     return mConfirmedAt < 0 ? -1 : aNow - mConfirmedAt;
   }
--- a/include/spindleweir/servers/routes/route_table.h
+++ b/include/spindleweir/servers/routes/route_table.h
@@ -1,4 +1,5 @@
-/// A snapshot of an accepted configuration, indexed for requests.
+/// An accepted configuration, indexed to look up the route, service and
+/// workspace of a request.
 #pragma once
 
 #include <memory>
@@ -11,7 +12,7 @@
 
 namespace spindleweir {
 
-/// Immutable: a request keeps the snapshot it began with.
+/// Immutable: a request uses one table from its start to its end.
 class RouteTable {
  public:
   explicit RouteTable(TrafficConfiguration aConfiguration);
@@ -19,19 +20,19 @@
   const TrafficConfiguration& Configuration() const { return mConfiguration; }
   std::int64_t Version() const { return mConfiguration.mVersion; }
 
-  /// The route of the host (a port after it is dropped) whose prefix is the
-  /// longest that begins the target's path; nullptr: none.
+  /// The route of the host (without its port) with the longest prefix of the
+  /// target's path; nullptr if there is none.
   const TrafficRoute* FindRoute(std::string_view aHost,
                                 std::string_view aTarget) const;
-  /// The workspace that holds a key; nullptr: none.
+  /// The workspace of a key; nullptr if there is none.
   const TrafficWorkspace* FindWorkspace(const std::string& aKey) const;
   const TrafficService* FindService(const std::string& aName) const;
-  /// Whether callers must show a key where a route is not open.
+  /// Whether callers need a key on routes that are not public.
   bool NeedsKeys() const { return !mConfiguration.mWorkspaces.empty(); }
 
  private:
   TrafficConfiguration mConfiguration;
-  /// Routes of a host, the longest prefix first.
+  /// Routes by host, the longest prefix first.
   std::unordered_map<std::string, std::vector<const TrafficRoute*>> mByHost;
   std::unordered_map<std::string, const TrafficWorkspace*> mByKey;
   std::unordered_map<std::string, const TrafficService*> mServices;
--- a/include/spindleweir/servers/routes/traffic_change.h
+++ b/include/spindleweir/servers/routes/traffic_change.h
@@ -1,5 +1,6 @@
-/// What differs between two accepted versions, so that a router that holds
-/// the one comes to the other by little.
+/// Differences between accepted versions of the traffic configuration. A router
+/// with a recent version receives the changes since then instead of the full
+/// configuration.
 #pragma once
 
 #include <cstdint>
@@ -11,16 +12,16 @@
 
 namespace spindleweir {
 
-/// The way from one version to the next that was accepted after it.
+/// The difference between a version and the next accepted one.
 struct TrafficChange {
-  std::int64_t mBaseVersion = 0;  ///< The version that it is applied to.
+  std::int64_t mBaseVersion = 0;  ///< Version that the change applies to.
   std::int64_t mVersion = 0;
   std::vector<RoutePattern> mRemoved;
-  std::vector<TrafficRoute> mRoutes;  ///< New, or with other content.
-  /// Each of these lists is whole, and empty where it stays as it is.
+  std::vector<TrafficRoute> mRoutes;  ///< New or changed.
+  /// Each list is complete, or empty if it did not change.
   std::vector<TrafficService> mServices;
   std::vector<TrafficWorkspace> mWorkspaces;
-  bool mRemovesWorkspaces = false;  ///< No workspaces any more.
+  bool mRemovesWorkspaces = false;  ///< The new version has no workspaces.
   TrafficLimits mLimits;
 
   template <class Codec>
@@ -36,52 +37,56 @@
   }
 };
 
+/// The change that leads from aBase to aNext.
 TrafficChange ChangeBetween(const TrafficConfiguration& aBase,
                             const TrafficConfiguration& aNext);
 
-/// The version after the change. Throws kBadConfiguration where the change is
-/// of another base.
+/// The version after the change. Throws kBadConfiguration if the change has a
+/// different base version.
 TrafficConfiguration ApplyTrafficChange(const TrafficConfiguration& aBase,
                                         const TrafficChange& aChange);
 
-/// One piece of news for a router, packed once for all.
+/// One update for routers: a change or a full configuration. It is packed once
+/// and sent to all routers.
 struct TrafficUpdate {
-  std::int64_t mBaseVersion = 0;  ///< 0: mPacked is a whole configuration.
+  std::int64_t mBaseVersion = 0;  ///< 0: mPacked is a full configuration.
   std::int64_t mVersion = 0;
-  /// A TrafficChange or TrafficConfiguration without its routes, as JSON.
+  /// A TrafficChange or TrafficConfiguration without its routes, as packed
+  /// JSON.
   std::string mPacked;
-  /// Its routes, in pieces that are read one after the other: as one text,
-  /// 1,200 routes took a router 5 MB more while they were read.
-  std::vector<std::string> mRoutes;
+  /// Its routes, in packed chunks that are parsed one after another: a single
+  /// text of 1,200 routes needs 5 MB more of a router's memory while parsed.
+  std::vector<std::string> mRouteChunks;
 
   template <class Codec>
   void Fields(Codec& aCodec) {
     aCodec.Required("base", mBaseVersion);
     aCodec.Required("version", mVersion);
     aCodec.Required("packed", mPacked);
-    aCodec.Field("routes", mRoutes);
+    aCodec.Field("routes", mRouteChunks);
   }
 };
 
-/// The configuration after a piece of news; aCurrent may be nullptr. Throws
-/// kBadConfiguration where it does not follow on what is held.
+/// The configuration after an update; aCurrent may be nullptr if there is none
+/// yet. Throws kBadConfiguration if the update does not apply to aCurrent.
 TrafficConfiguration ApplyTrafficUpdate(const TrafficConfiguration* aCurrent,
                                         const TrafficUpdate& aUpdate);
 
-/// The newest version of a control process, and the last ways to it.
+/// The newest version that a control has, and the last changes that led to it.
 class TrafficHistory {
  public:
   const TrafficConfiguration& Current() const { return mCurrent; }
-  /// Takes a newer version.
+  /// Adds a version; one that is not newer is ignored.
   void Add(TrafficConfiguration aNext);
-  /// What brings a router from a version to the newest, in order; empty where
-  /// it is as new.
+  /// The updates that lead from a version to the newest, in order; empty if the
+  /// version is the newest or newer. One full update if the changes since that
+  /// version are not stored.
   std::vector<TrafficUpdate> UpdatesSince(std::int64_t aVersion);
 
  private:
   TrafficConfiguration mCurrent;
   std::deque<TrafficUpdate> mChanges;  ///< Oldest first.
-  TrafficUpdate mFullUpdate;           ///< Made when it is asked for.
+  TrafficUpdate mFullUpdate;           ///< Made on request.
 };
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/routes/traffic_configuration.h
+++ b/include/spindleweir/servers/routes/traffic_configuration.h
@@ -1,5 +1,5 @@
-/// The configuration that is accepted by its version, beside intents and
-/// plans: routes, services, workspaces with their keys, and limits.
+/// The traffic configuration: routes, services, workspaces with their keys, and
+/// limits. It is published with a version, apart from intents and plans.
 #pragma once
 
 #include <cstdint>
@@ -11,14 +11,14 @@
 
 namespace spindleweir {
 
-/// Whether and how a request of a route may be repeated.
+/// How requests of a route are answered, and whether they may run twice.
 enum class RouteKind {
   kSafe,    ///< May run more than once.
   kUnsafe,  ///< Runs at most once.
   kStream,  ///< Answered by a stream of events.
 };
 
-/// A service that takes a part of a route's requests.
+/// A service that receives a weighted share of a route's requests.
 struct RouteTarget {
   std::string mService;
   double mWeight = 1;
@@ -31,7 +31,7 @@
   }
 };
 
-/// Which requests a route takes: no two routes have the same place.
+/// The requests that a route matches; unique in a configuration.
 struct RoutePattern {
   std::string mHost;
   std::string mPrefix;
@@ -47,19 +47,19 @@
   }
 };
 
-/// Which requests go where, and how.
+/// A route: which requests it matches, their services, time limits and retries.
 struct TrafficRoute {
   std::string mName;
   std::string mHost;
   std::string mPrefix;  ///< Begins and ends with a slash.
   RouteKind mKind = RouteKind::kUnsafe;
-  Millis mTimeout = 0;        ///< The longest that a request is held.
-  Millis mTargetLatency = 0;  ///< To an answer, or to a stream's first event.
-  Millis mStallTimeout = 0;   ///< Between events of a stream; 0: any.
+  Millis mTimeout = 0;        ///< Time limit of a request.
+  Millis mTargetLatency = 0;  ///< Until the answer, or a stream's first event.
+  Millis mTargetGap = 0;      ///< Between events of a stream; 0: no target.
   int mPriority = 0;          ///< 0 is the most urgent.
   int mMaxAttempts = 1;       ///< Upstreams that one request may be sent to.
-  bool mPublic = false;       ///< Needs no key.
-  bool mResumable = false;
+  bool mPublic = false;       ///< Callers need no key.
+  bool mResumable = false;    ///< A stream may continue on another upstream.
   std::vector<RouteTarget> mTargets;
 
   RoutePattern Pattern() const { return {mHost, mPrefix}; }
@@ -80,7 +80,7 @@
     mKind = static_cast<RouteKind>(kind);
     aCodec.Field("timeout_ms", mTimeout);
     aCodec.Field("target_ms", mTargetLatency);
-    aCodec.Field("pause_ms", mStallTimeout);
+    aCodec.Field("pause_ms", mTargetGap);
     aCodec.Field("priority", mPriority);
     aCodec.Field("attempts", mMaxAttempts);
     aCodec.Field("open", mPublic);
@@ -89,12 +89,12 @@
   }
 };
 
-/// A kind of accelerator.
+/// A kind of accelerator. The factors multiply the times of EngineProfile.
 struct AcceleratorKind {
   std::string mName;
   double mMemoryMb = 0;
-  double mStepFactor = 1;    ///< On steps and context.
-  double mPromptFactor = 1;  ///< On reading prompts.
+  double mStepFactor = 1;    ///< Of decoding steps.
+  double mPromptFactor = 1;  ///< Of prompt processing.
 
   bool operator==(const AcceleratorKind&) const = default;
 
@@ -107,28 +107,29 @@
   }
 };
 
-/// How the engines of a service work; mLayers 0: a plain service.
+/// The performance model of a service's engines; mLayers 0: a plain service.
+/// Times are for all layers of the model.
 struct EngineProfile {
   int mLayers = 0;
   double mLayerMb = 0;
-  int mSlots = 0;               ///< Requests at once at the first of a chain.
-  double mTokenBytes = 0;       ///< Memory of a token over all layers.
-  double mCapacityTokens = 0;   ///< Tokens at once that an engine is built for.
-  double mActivationBytes = 0;  ///< Handed on for each token.
-  double mIntraZoneMbps = 0;    ///< Within a zone.
-  double mInterZoneMbps = 0;    ///< Between zones, shared.
-  int mStride = 1;              ///< Steps in a pass with writers.
-  double mStepMillis = 0;
-  double mRequestMillis = 0;          ///< For each writing request and step.
-  double mContextMillis = 0;          ///< For 1,000 tokens of context and step.
-  double mPromptTokensPerSecond = 0;  ///< Prompt tokens.
-  double mPairMillis = 0;             ///< For a million pairs of tokens.
-  int mPromptChunkTokens = 512;       ///< Prompt tokens read in a step at most.
-  double mLoadSeconds = 0;            ///< All layers, from the weights store.
+  int mSlots = 0;               ///< Concurrent requests at the first stage.
+  double mTokenBytes = 0;       ///< Memory per context token, all layers.
+  double mCapacityTokens = 0;   ///< Context tokens to plan memory for.
+  double mActivationBytes = 0;  ///< Sent to the next stage per token.
+  double mIntraZoneMbps = 0;    ///< Bandwidth within a zone.
+  double mInterZoneMbps = 0;    ///< Bandwidth between zones, shared.
+  int mStride = 1;              ///< Steps per pass while requests decode.
+  double mStepMillis = 0;       ///< Base time of a decoding step.
+  double mRequestMillis = 0;    ///< Per decoding request and step.
+  double mContextMillis = 0;    ///< Per 1,000 context tokens and step.
+  double mPromptTokensPerSecond = 0;  ///< Prompt processing.
+  double mPairMillis = 0;             ///< Per million pairs of prompt tokens.
+  int mPromptChunkTokens = 512;  ///< Maximum prompt tokens processed in a step.
+  double mLoadSeconds = 0;       ///< Loads all layers from the weights store.
   int mLoadsAtOnce = 1;
-  double mTypicalPromptTokens = 0;  ///< Tokens.
-  double mTypicalAnswerTokens = 0;  ///< Tokens.
-  double mZoneDelayMillis = 0;      ///< Milliseconds between zones, one way.
+  double mTypicalPromptTokens = 0;
+  double mTypicalAnswerTokens = 0;
+  double mZoneDelayMillis = 0;  ///< One-way delay between zones.
   std::vector<AcceleratorKind> mKinds;
 
   const AcceleratorKind* FindKind(const std::string& aName) const;
@@ -160,7 +161,7 @@
   }
 };
 
-/// A service: a set of upstreams that do the same.
+/// A service: a set of interchangeable upstreams.
 struct TrafficService {
   std::string mName;
   std::string mHealthPath;
@@ -179,11 +180,11 @@
   }
 };
 
-/// A workspace and the keys its callers show.
+/// A workspace and the keys of its callers.
 struct TrafficWorkspace {
   std::string mName;
   std::vector<std::string> mKeys;
-  int mPriority = -1;  ///< Goes before that of the route; -1: none.
+  int mPriority = -1;  ///< Overrides that of the route; -1: none.
 
   bool operator==(const TrafficWorkspace&) const = default;
 
@@ -195,7 +196,7 @@
   }
 };
 
-/// What callers may send and how long they may take; 0: as the program has it.
+/// Limits on the requests of callers; 0: the program's default.
 struct TrafficLimits {
   std::int64_t mHeaderBytes = 0;
   std::int64_t mBodyBytes = 0;
@@ -211,7 +212,7 @@
   }
 };
 
-/// One accepted version.
+/// One accepted version of the traffic configuration.
 struct TrafficConfiguration {
   std::int64_t mVersion = 0;  ///< 0: none was accepted yet.
   std::vector<TrafficRoute> mRoutes;
@@ -231,9 +232,9 @@
   }
 };
 
-/// Throws kBadConfiguration naming what cannot be used: a route to an unknown
-/// service, two routes with one host and prefix, weights that add up to 0, a
-/// time-out of 0, a key that two workspaces share.
+/// Throws kBadConfiguration naming the first error: for example a route to an
+/// unknown service, two routes with one host and prefix, weights that add up to
+/// 0, a timeout of 0, or a key that two workspaces share.
 void CheckTrafficConfiguration(const TrafficConfiguration& aConfiguration);
 
 }  // namespace spindleweir
--- a/servers/routes/route_table.cpp
+++ b/servers/routes/route_table.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// A host as routes are looked up by: without port, in lower case.
-std::string PlainHost(std::string_view aHost) {
+/// The host without its port, in lower case.
+std::string NormalizedHost(std::string_view aHost) {
   const std::size_t colon = aHost.rfind(':');
   std::string host(aHost.substr(0, colon));
   std::transform(host.begin(), host.end(), host.begin(),
@@ -23,7 +23,7 @@
 RouteTable::RouteTable(TrafficConfiguration aConfiguration)
     : mConfiguration(std::move(aConfiguration)) {
   for (const TrafficRoute& route : mConfiguration.mRoutes) {
-    mByHost[PlainHost(route.mHost)].push_back(&route);
+    mByHost[NormalizedHost(route.mHost)].push_back(&route);
   }
   for (auto& [host, routes] : mByHost) {
     std::sort(routes.begin(), routes.end(),
@@ -43,7 +43,7 @@
 
 const TrafficRoute* RouteTable::FindRoute(std::string_view aHost,
                                           std::string_view aTarget) const {
-  const auto it = mByHost.find(PlainHost(aHost));
+  const auto it = mByHost.find(NormalizedHost(aHost));
   if (it == mByHost.end()) {
     return nullptr;
   }
--- a/servers/routes/traffic_change.cpp
+++ b/servers/routes/traffic_change.cpp
@@ -11,13 +11,13 @@
 
 namespace {
 
-/// Changes kept; a router that lacks more of them takes the whole.
+/// A router that is further behind receives the full configuration.
 constexpr std::size_t kMaxStoredChanges = 32;
 
-/// Routes of one piece of news: 100 are about 0.3 MB as a tree of JSON.
+/// 100 routes are about 0.3 MB as a parsed JSON tree.
 constexpr std::size_t kRoutesPerChunk = 100;
 
-/// One piece.
+/// One chunk of an update's routes.
 struct RouteChunk {
   std::vector<TrafficRoute> mRoutes;
 
@@ -27,60 +27,61 @@
   }
 };
 
-/// Routes by where they stand, which differs for all of a configuration.
+/// Routes by host and prefix, which are unique in a configuration.
 using RoutesByPattern = std::map<RoutePattern, const TrafficRoute*>;
 
 RoutesByPattern ByPattern(const std::vector<TrafficRoute>& aRoutes) {
-  RoutesByPattern places;
+  RoutesByPattern patterns;
   for (const TrafficRoute& route : aRoutes) {
-    places[route.Pattern()] = &route;
+    patterns[route.Pattern()] = &route;
   }
-  return places;
+  return patterns;
 }
 
 template <class T>
-std::string Packed(const T& aMessage) {
-  return Pack(DumpJson(ToJson(aMessage)));
+std::string Packed(const T& aContent) {
+  return Pack(DumpJson(ToJson(aContent)));
 }
 
-/// News of a configuration or of a change.
+/// An update that holds a configuration or a change.
 template <class T>
-TrafficUpdate MakeUpdate(std::int64_t aBase, T aMessage) {
-  TrafficUpdate news{.mBaseVersion = aBase, .mVersion = aMessage.mVersion};
-  RouteChunk piece;
-  for (TrafficRoute& route : aMessage.mRoutes) {
-    piece.mRoutes.push_back(std::move(route));
-    if (piece.mRoutes.size() == kRoutesPerChunk) {
-      news.mRoutes.push_back(Packed(piece));
-      piece.mRoutes.clear();
+TrafficUpdate MakeUpdate(std::int64_t aBaseVersion, T aContent) {
+  TrafficUpdate update{.mBaseVersion = aBaseVersion,
+                       .mVersion = aContent.mVersion};
+  RouteChunk chunk;
+  for (TrafficRoute& route : aContent.mRoutes) {
+    chunk.mRoutes.push_back(std::move(route));
+    if (chunk.mRoutes.size() == kRoutesPerChunk) {
+      update.mRouteChunks.push_back(Packed(chunk));
+      chunk.mRoutes.clear();
     }
   }
-  if (!piece.mRoutes.empty()) {
-    news.mRoutes.push_back(Packed(piece));
+  if (!chunk.mRoutes.empty()) {
+    update.mRouteChunks.push_back(Packed(chunk));
   }
-  aMessage.mRoutes.clear();
-  news.mPacked = Packed(aMessage);
-  return news;
+  aContent.mRoutes.clear();
+  update.mPacked = Packed(aContent);
+  return update;
 }
 
-/// The routes of a piece, at the end of those before.
+/// Appends the routes of a packed chunk.
 void AppendRoutes(const std::string& aPacked,
                   std::vector<TrafficRoute>& aRoutes) {
   const std::string text = Unpack(aPacked, kMostUnpacked);
-  auto piece = FromJson<RouteChunk>(ParseJson(text));
-  for (TrafficRoute& route : piece.mRoutes) {
+  auto chunk = FromJson<RouteChunk>(ParseJson(text));
+  for (TrafficRoute& route : chunk.mRoutes) {
     aRoutes.push_back(std::move(route));
   }
 }
 
-/// A message with the routes of its pieces.
+/// The configuration or change of an update, with its routes.
 template <class T>
-T ReadMessage(const TrafficUpdate& aUpdate) {
-  T message = FromJson<T>(ParseJson(Unpack(aUpdate.mPacked, kMostUnpacked)));
-  for (const std::string& piece : aUpdate.mRoutes) {
-    AppendRoutes(piece, message.mRoutes);
+T ReadContent(const TrafficUpdate& aUpdate) {
+  T content = FromJson<T>(ParseJson(Unpack(aUpdate.mPacked, kMostUnpacked)));
+  for (const std::string& chunk : aUpdate.mRouteChunks) {
+    AppendRoutes(chunk, content.mRoutes);
   }
-  return message;
+  return content;
 }
 
 }  // namespace
@@ -93,13 +94,13 @@
   change.mLimits = aNext.mLimits;
   const RoutesByPattern before = ByPattern(aBase.mRoutes);
   const RoutesByPattern after = ByPattern(aNext.mRoutes);
-  for (const auto& [place, route] : before) {
-    if (!after.contains(place)) {
-      change.mRemoved.push_back(place);
+  for (const auto& [pattern, route] : before) {
+    if (!after.contains(pattern)) {
+      change.mRemoved.push_back(pattern);
     }
   }
-  for (const auto& [place, route] : after) {
-    const auto it = before.find(place);
+  for (const auto& [pattern, route] : after) {
+    const auto it = before.find(pattern);
     if (it == before.end() || *it->second != *route) {
       change.mRoutes.push_back(*route);
     }
@@ -117,9 +118,10 @@
 TrafficConfiguration ApplyTrafficChange(const TrafficConfiguration& aBase,
                                         const TrafficChange& aChange) {
   if (aBase.mVersion != aChange.mBaseVersion) {
-    throw Error(ResultCode::kBadConfiguration,
-                "a change of version " + std::to_string(aChange.mBaseVersion) +
-                    " for version " + std::to_string(aBase.mVersion));
+    throw Error(
+        ResultCode::kBadConfiguration,
+        "a change based on version " + std::to_string(aChange.mBaseVersion) +
+            " does not apply to version " + std::to_string(aBase.mVersion));
   }
   TrafficConfiguration next;
   next.mVersion = aChange.mVersion;
@@ -130,14 +132,14 @@
       aChange.mWorkspaces.empty() && !aChange.mRemovesWorkspaces;
   next.mWorkspaces = sameKeys ? aBase.mWorkspaces : aChange.mWorkspaces;
   RoutesByPattern routes = ByPattern(aBase.mRoutes);
-  for (const RoutePattern& place : aChange.mRemoved) {
-    routes.erase(place);
+  for (const RoutePattern& pattern : aChange.mRemoved) {
+    routes.erase(pattern);
   }
   for (const TrafficRoute& route : aChange.mRoutes) {
     routes[route.Pattern()] = &route;
   }
   next.mRoutes.reserve(routes.size());
-  for (const auto& [place, route] : routes) {
+  for (const auto& [pattern, route] : routes) {
     next.mRoutes.push_back(*route);
   }
   return next;
@@ -146,9 +148,9 @@
 TrafficConfiguration ApplyTrafficUpdate(const TrafficConfiguration* aCurrent,
                                         const TrafficUpdate& aUpdate) {
   if (aUpdate.mBaseVersion == 0) {
-    return ReadMessage<TrafficConfiguration>(aUpdate);
+    return ReadContent<TrafficConfiguration>(aUpdate);
   }
-  const auto change = ReadMessage<TrafficChange>(aUpdate);
+  const auto change = ReadContent<TrafficChange>(aUpdate);
   return ApplyTrafficChange(
       aCurrent == nullptr ? TrafficConfiguration{} : *aCurrent, change);
 }
--- a/servers/routes/traffic_configuration.cpp
+++ b/servers/routes/traffic_configuration.cpp
@@ -18,31 +18,31 @@
                 const TrafficRoute& aRoute) {
   const std::string name = "route " + aRoute.mName;
   if (aRoute.mHost.empty()) {
-    Reject(name + " has no host");
+    Reject(name + ": host is empty");
   }
   const bool slashes =
       aRoute.mPrefix.starts_with('/') && aRoute.mPrefix.ends_with('/');
   if (!slashes) {
-    Reject(name + " has a prefix that does not begin and end with a slash");
+    Reject(name + ": prefix must begin and end with a slash");
   }
   if (aRoute.mTimeout <= 0) {
-    Reject(name + " has a time-out of 0");
+    Reject(name + ": timeout must be above 0 ms");
   }
   if (aRoute.mTargets.empty()) {
-    Reject(name + " goes to no service");
+    Reject(name + ": no target service");
   }
   double weights = 0;
   for (const RouteTarget& target : aRoute.mTargets) {
     if (aConfiguration.FindService(target.mService) == nullptr) {
-      Reject(name + " goes to the unknown service " + target.mService);
+      Reject(name + ": unknown target service " + target.mService);
     }
     if (target.mWeight < 0) {
-      Reject(name + " has a weight below 0");
+      Reject(name + ": the weight of a target is below 0");
     }
     weights += target.mWeight;
   }
   if (weights <= 0) {
-    Reject(name + " has weights that add up to 0");
+    Reject(name + ": the weights of the targets add up to 0");
   }
 }
 
@@ -74,14 +74,15 @@
   std::set<std::string> services;
   for (const TrafficService& service : aConfiguration.mServices) {
     if (service.mName.empty() || !services.insert(service.mName).second) {
-      Reject("service \"" + service.mName + "\" is named twice or not at all");
+      Reject("service \"" + service.mName +
+             "\": names must be unique and not empty");
     }
   }
   std::set<std::string> places;
   for (const TrafficRoute& route : aConfiguration.mRoutes) {
     CheckRoute(aConfiguration, route);
     if (!places.insert(route.mHost + route.mPrefix).second) {
-      Reject("two routes have the host " + route.mHost + " and the prefix " +
+      Reject("two routes match the host " + route.mHost + " and the prefix " +
              route.mPrefix);
     }
   }
--- a/tests/servers/routes_test.cpp
+++ b/tests/servers/routes_test.cpp
@@ -23,9 +23,10 @@
   return configuration;
 }
 
-ResultCode Check(const std::function<void(TrafficConfiguration&)>& aChange) {
+ResultCode CodeOfCheck(
+    const std::function<void(TrafficConfiguration&)>& aModify) {
   TrafficConfiguration configuration = Configuration();
-  aChange(configuration);
+  aModify(configuration);
   return CodeThrownBy([&] { CheckTrafficConfiguration(configuration); });
 }
 
@@ -33,26 +34,37 @@
 
 Test(routes, a_configuration_is_checked) {
   using Traffic = TrafficConfiguration;
-  constexpr ResultCode kBad = ResultCode::kBadConfiguration;
-  CHECK(Check([](Traffic&) {}) == ResultCode::kOk);
-  SECTION("what the routes say") {
-    CHECK(Check([](Traffic& aC) {
-            aC.mRoutes[0].mTargets[0].mService = "unknown";
-          }) == kBad);
-    CHECK(Check([](Traffic& aC) { aC.mRoutes[1].mPrefix = "/"; }) == kBad);
-    CHECK(Check([](Traffic& aC) { aC.mRoutes[0].mTimeout = 0; }) == kBad);
-    CHECK(Check([](Traffic& aC) { aC.mRoutes[0].mTargets[0].mWeight = 0; }) ==
-          kBad);
-    CHECK(Check([](Traffic& aC) { aC.mRoutes[0].mTargets.clear(); }) == kBad);
-    CHECK(Check([](Traffic& aC) { aC.mRoutes[0].mPrefix = "/x"; }) == kBad);
+  constexpr ResultCode kRejected = ResultCode::kBadConfiguration;
+  CHECK(CodeOfCheck([](Traffic&) {}) == ResultCode::kOk);
+  SECTION("invalid routes") {
+    CHECK(CodeOfCheck([](Traffic& aConfiguration) {
+            aConfiguration.mRoutes[0].mTargets[0].mService = "unknown";
+          }) == kRejected);
+    CHECK(CodeOfCheck([](Traffic& aConfiguration) {
+            aConfiguration.mRoutes[1].mPrefix = "/";
+          }) == kRejected);
+    CHECK(CodeOfCheck([](Traffic& aConfiguration) {
+            aConfiguration.mRoutes[0].mTimeout = 0;
+          }) == kRejected);
+    CHECK(CodeOfCheck([](Traffic& aConfiguration) {
+            aConfiguration.mRoutes[0].mTargets[0].mWeight = 0;
+          }) == kRejected);
+    CHECK(CodeOfCheck([](Traffic& aConfiguration) {
+            aConfiguration.mRoutes[0].mTargets.clear();
+          }) == kRejected);
+    CHECK(CodeOfCheck([](Traffic& aConfiguration) {
+            aConfiguration.mRoutes[0].mPrefix = "/x";
+          }) == kRejected);
   }
-  SECTION("a key of two workspaces") {
-    CHECK(Check([](Traffic& aC) {
-            aC.mWorkspaces.push_back({"other", {"k2"}});
-          }) == kBad);
+  SECTION("a key that two workspaces share") {
+    CHECK(CodeOfCheck([](Traffic& aConfiguration) {
+            aConfiguration.mWorkspaces.push_back({"other", {"k2"}});
+          }) == kRejected);
   }
   SECTION("a version below 1") {
-    CHECK(Check([](Traffic& aC) { aC.mVersion = 0; }) == kBad);
+    CHECK(CodeOfCheck([](Traffic& aConfiguration) {
+            aConfiguration.mVersion = 0;
+          }) == kRejected);
   }
 }
 
@@ -68,19 +80,19 @@
   CHECK(table.FindWorkspace("") == nullptr);
 }
 
-Test(routes, a_lease_lasts_from_when_it_was_asked_for) {
+Test(routes, a_lease_runs_from_the_time_of_the_poll) {
   ConfigurationLease lease(4000);
   CHECK(!lease.IsValid(0));
-  SECTION("the age that the leader tells is taken off") {
+  SECTION("the age of the leader's confirmation is subtracted") {
     lease.Confirm(5, 5, 1000, 200);
     CHECK(lease.IsValid(4799));
     CHECK(!lease.IsValid(4800));
   }
-  SECTION("a newer version that is not held here confirms nothing") {
+  SECTION("a newer version than the router's does not renew it") {
     lease.Confirm(6, 5, 3000, 0);
     CHECK(!lease.IsValid(4800));
   }
-  SECTION("an answer that was overtaken does not shorten it") {
+  SECTION("an answer that arrives out of order does not shorten it") {
     lease.Confirm(5, 5, 2000, 0);
     lease.Confirm(5, 5, 1500, 0);
     CHECK(lease.IsValid(5999));
--- a/tests/servers/traffic_change_test.cpp
+++ b/tests/servers/traffic_change_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t kMost = 1024 * 1024;
+constexpr std::size_t kMaxBytes = 1024 * 1024;
 
 TrafficRoute Route(const std::string& aPrefix, Millis aTimeout) {
   return {.mName = "r" + aPrefix,
@@ -28,86 +28,87 @@
   return configuration;
 }
 
-std::string Text(const TrafficConfiguration& aConfiguration) {
+std::string ToText(const TrafficConfiguration& aConfiguration) {
   return DumpJson(ToJson(aConfiguration));
 }
 
 }  // namespace
 
-Test(packing, texts_come_back_as_they_were) {
-  SECTION("a long one becomes shorter") {
+Test(packing, unpacking_restores_the_text) {
+  SECTION("a long text is compressed") {
     const std::string text(100000, 'a');
     CHECK(Pack(text).size() < 1000);
-    CHECK(Unpack(Pack(text), kMost) == text);
+    CHECK(Unpack(Pack(text), kMaxBytes) == text);
   }
-  SECTION("short ones, odd bytes and what looks packed") {
+  SECTION("short texts, binary bytes and texts that look packed") {
     for (const std::string& text :
          {std::string(), std::string("{}"), std::string("z1:abc"),
           std::string("\0\xff\n", 3), std::string("ab"),
           std::string(97, 'b')}) {
-      CHECK(Unpack(Pack(text), kMost) == text);
+      CHECK(Unpack(Pack(text), kMaxBytes) == text);
     }
   }
-  SECTION("a document that an earlier build wrote is read as it stands") {
-    CHECK(Unpack("{\"version\":1}", kMost) == "{\"version\":1}");
+  SECTION("an unpacked document of an earlier build is read unchanged") {
+    CHECK(Unpack("{\"version\":1}", kMaxBytes) == "{\"version\":1}");
   }
-  SECTION("what is broken or too long is refused") {
+  SECTION("damaged or too long texts are rejected") {
     const std::string packed = Pack(std::string(5000, 'a'));
-    const auto code = [](const std::string& aText, std::size_t aMost) {
-      return CodeThrownBy([&] { Unpack(aText, aMost); });
+    const auto code = [](const std::string& aText, std::size_t aMaxBytes) {
+      return CodeThrownBy([&] { Unpack(aText, aMaxBytes); });
     };
     CHECK(code(packed, 4999) == ResultCode::kDataCorrupt);
-    CHECK(code(packed.substr(0, packed.size() - 4), kMost) ==
+    CHECK(code(packed.substr(0, packed.size() - 4), kMaxBytes) ==
           ResultCode::kDataCorrupt);
-    CHECK(code("z1:", kMost) == ResultCode::kDataCorrupt);
-    CHECK(code("z1:????", kMost) == ResultCode::kDataCorrupt);
+    CHECK(code("z1:", kMaxBytes) == ResultCode::kDataCorrupt);
+    CHECK(code("z1:????", kMaxBytes) == ResultCode::kDataCorrupt);
   }
 }
 
-Test(traffic, a_router_comes_to_the_newest_version_by_changes) {
+Test(traffic, updates_bring_a_router_to_the_newest_version) {
   TrafficHistory history;
-  const TrafficConfiguration one =
+  const TrafficConfiguration first =
       Version(1, {Route("/a/", 10), Route("/b/", 10)});
-  history.Add(one);
-  SECTION("one that has nothing takes the whole") {
-    const auto news = history.UpdatesSince(0);
-    REQUIRE(news.size() == 1);
-    CHECK(Text(ApplyTrafficUpdate(nullptr, news[0])) == Text(one));
+  history.Add(first);
+  SECTION("a router without a configuration receives the full one") {
+    const auto updates = history.UpdatesSince(0);
+    REQUIRE(updates.size() == 1);
+    CHECK(ToText(ApplyTrafficUpdate(nullptr, updates[0])) == ToText(first));
   }
-  TrafficConfiguration three = Version(3, {Route("/b/", 20), Route("/c/", 5)});
-  three.mWorkspaces.clear();
-  history.Add(three);
+  TrafficConfiguration third = Version(3, {Route("/b/", 20), Route("/c/", 5)});
+  third.mWorkspaces.clear();
+  history.Add(third);
   history.Add(Version(7, {Route("/b/", 20), Route("/c/", 6)}));
-  SECTION("one that has the first takes both ways in order") {
-    const auto news = history.UpdatesSince(1);
-    REQUIRE(news.size() == 2);
-    TrafficConfiguration held = ApplyTrafficUpdate(&one, news[0]);
-    CHECK(Text(held) == Text(three));
-    held = ApplyTrafficUpdate(&held, news[1]);
-    CHECK(Text(held) == Text(history.Current()));
+  SECTION("a router with the first version receives both changes in order") {
+    const auto updates = history.UpdatesSince(1);
+    REQUIRE(updates.size() == 2);
+    TrafficConfiguration current = ApplyTrafficUpdate(&first, updates[0]);
+    CHECK(ToText(current) == ToText(third));
+    current = ApplyTrafficUpdate(&current, updates[1]);
+    CHECK(ToText(current) == ToText(history.Current()));
   }
-  SECTION("a way from another version is not taken") {
-    const auto news = history.UpdatesSince(3);
-    REQUIRE(news.size() == 1);
-    CHECK(CodeThrownBy([&] { ApplyTrafficUpdate(&one, news[0]); }) ==
+  SECTION("a change from another version is rejected") {
+    const auto updates = history.UpdatesSince(3);
+    REQUIRE(updates.size() == 1);
+    CHECK(CodeThrownBy([&] { ApplyTrafficUpdate(&first, updates[0]); }) ==
           ResultCode::kBadConfiguration);
   }
-  SECTION("a version that control never had is answered with the whole") {
-    const auto news = history.UpdatesSince(2);
-    REQUIRE(news.size() == 1);
-    CHECK(news[0].mBaseVersion == 0);
+  SECTION("for a version that control never had, the full one is sent") {
+    const auto updates = history.UpdatesSince(2);
+    REQUIRE(updates.size() == 1);
+    CHECK(updates[0].mBaseVersion == 0);
   }
-  SECTION("the newest needs nothing, and an older one is not taken back") {
-    history.Add(one);
+  SECTION("the newest version needs no update, and an older one is ignored") {
+    history.Add(first);
     CHECK(history.Current().mVersion == 7);
     CHECK(history.UpdatesSince(7).empty());
     CHECK(history.UpdatesSince(9).empty());
   }
 }
 
-Test(traffic, a_change_of_one_route_of_many_is_small) {
-  // Found on the users' platform, grown: each router took all of 1,400 routes
-  // for each new version, and control did nothing else any more.
+Test(traffic, an_update_for_one_route_of_many_is_small) {
+  // Guards against sending the full configuration for each new version: with
+  // 1,400 routes on a grown copy of the users' platform, control had no time
+  // for anything else.
   std::vector<TrafficRoute> routes;
   for (int i = 0; i < 1400; i++) {
     routes.push_back(Route("/" + std::to_string(i) + "/", 10));
@@ -117,36 +118,36 @@
   routes[700].mTimeout = 11;
   history.Add(Version(2, routes));
   const auto change = history.UpdatesSince(1);
-  const auto whole = history.UpdatesSince(0);
-  REQUIRE(change.size() == 1 && whole.size() == 1);
+  const auto full = history.UpdatesSince(0);
+  REQUIRE(change.size() == 1 && full.size() == 1);
   const auto size = [](const TrafficUpdate& aUpdate) {
     std::size_t n = aUpdate.mPacked.size();
-    for (const std::string& piece : aUpdate.mRoutes) {
-      n += piece.size();
+    for (const std::string& chunk : aUpdate.mRouteChunks) {
+      n += chunk.size();
     }
     return n;
   };
   CHECK(size(change[0]) < 1000);
-  CHECK(size(whole[0]) < Text(history.Current()).size() / 8);
-  SECTION("many routes come in pieces, so that none is large when it is read") {
-    CHECK(whole[0].mRoutes.size() == 14);
-    for (const std::string& piece : whole[0].mRoutes) {
-      CHECK(Unpack(piece, kMost).size() < 30000);
+  CHECK(size(full[0]) < ToText(history.Current()).size() / 8);
+  SECTION("many routes are sent in chunks, so that parsing one is cheap") {
+    CHECK(full[0].mRouteChunks.size() == 14);
+    for (const std::string& chunk : full[0].mRouteChunks) {
+      CHECK(Unpack(chunk, kMaxBytes).size() < 30000);
     }
-    CHECK(Text(ApplyTrafficUpdate(nullptr, whole[0])) ==
-          Text(history.Current()));
+    CHECK(ToText(ApplyTrafficUpdate(nullptr, full[0])) ==
+          ToText(history.Current()));
   }
-  SECTION("so do those of a change") {
-    const TrafficConfiguration held = history.Current();
+  SECTION("the routes of a change are sent in chunks as well") {
+    const TrafficConfiguration current = history.Current();
     for (TrafficRoute& route : routes) {
       route.mTimeout += 5;
     }
     history.Add(Version(3, routes));
     const auto large = history.UpdatesSince(2);
     REQUIRE(large.size() == 1);
-    CHECK(large[0].mRoutes.size() == 14);
-    // In another order, which says nothing.
-    const TrafficConfiguration read = ApplyTrafficUpdate(&held, large[0]);
+    CHECK(large[0].mRouteChunks.size() == 14);
+    // The order of the routes differs, which has no meaning.
+    const TrafficConfiguration read = ApplyTrafficUpdate(&current, large[0]);
     const TrafficChange left = ChangeBetween(read, history.Current());
     CHECK(read.mRoutes.size() == 1400);
     CHECK(left.mRoutes.empty() && left.mRemoved.empty());
