--- a/include/spindleweir/servers/configuration/configuration.h
+++ b/include/spindleweir/servers/configuration/configuration.h
@@ -1,5 +1,5 @@
-/// What operators state and the system accepts: intents, plans and the chain
-/// of accepted configurations.
+/// Intents of operators, the plans made from them, and the chain of accepted
+/// configurations.
 #pragma once
 
 #include <cstdint>
@@ -13,15 +13,15 @@
 /// A workspace: a customer with a key, rights and limits.
 struct WorkspaceSpec {
   std::string mName;
-  std::string mKey;                    ///< Only in an intent; never kept.
-  std::string mKeySha256;              ///< Hexadecimal digits.
+  std::string mKey;                    ///< Only in an intent; never stored.
+  std::string mKeySha256;              ///< 64 hexadecimal digits.
   std::vector<std::string> mModels;    ///< Names; empty: all.
   std::vector<std::string> mServices;  ///< Names; empty: all.
-  std::vector<std::string> mZones;     ///< Where its data may go; empty: all.
+  std::vector<std::string> mZones;  ///< Zones allowed for its data; empty: all.
   std::vector<std::string> mHardware;  ///< Accelerator kinds; empty: all.
   int mMaximumConcurrent = 256;        ///< Requests in flight over all routers.
-  double mRequestsPerSecond = 1000;
-  double mWeight = 1;  ///< Share under overload.
+  double mRequestsPerSecond = 1000;    ///< Rate limit.
+  double mWeight = 1;                  ///< Share under overload.
 
   template <class Codec>
   void Fields(Codec& aCodec) {
@@ -38,7 +38,7 @@
   }
 };
 
-/// A model: how many layers it has and where it may run.
+/// A model: its layers, and the zones and hardware that may run it.
 struct ModelSpec {
   std::string mName;
   std::string mVersion = "1";
@@ -58,7 +58,7 @@
   }
 };
 
-/// A plain service beside the engines.
+/// A plain service, without engines.
 struct ServiceSpec {
   std::string mName;
   bool mRepeatable = false;         ///< Whether a call may run twice.
@@ -72,7 +72,7 @@
   }
 };
 
-/// A placement intent: the whole of what operators want.
+/// A placement intent: the complete state that operators request.
 struct Intent {
   std::vector<WorkspaceSpec> mWorkspaces;
   std::vector<ModelSpec> mModels;
@@ -107,14 +107,14 @@
   }
 };
 
-/// One accepted configuration.
+/// One accepted configuration version.
 struct Configuration {
   std::int64_t mVersion = 0;
-  std::string mHash;          ///< Of the change that led to it; a chain.
+  std::string mHash;          ///< Of the change that led to this version.
   std::string mPreviousHash;  ///< The hash of the version before.
   Intent mIntent;
   std::vector<StagePlacement> mPlacement;
-  std::vector<std::string> mDrained;  ///< VMs that operators drain.
+  std::vector<std::string> mDrained;  ///< VMs drained by operators.
 
   template <class Codec>
   void Fields(Codec& aCodec) {
@@ -127,7 +127,7 @@
   }
 };
 
-/// What a plan does to one engine.
+/// The action of a plan on one engine.
 struct PlanChange {
   std::string mAction;  ///< "load", "move", "drop" or "keep".
   StagePlacement mStage;
@@ -139,12 +139,13 @@
   }
 };
 
-/// What a plan gives one model in one zone.
+/// The capacity that a plan gives one model in one zone.
 struct PlanCapacity {
   std::string mModel;
   std::string mZone;
   int mStages = 0;
-  double mTokensPerSecond = 0;    ///< The smallest stage's, by reported speeds.
+  /// Of the slowest stage, by the speeds that engines reported.
+  double mTokensPerSecond = 0;
   bool mSurvivesOneLoss = false;  ///< Whether each stage has two engines.
 
   template <class Codec>
@@ -157,17 +158,17 @@
   }
 };
 
-/// The answer to an intent: nothing changes before it is confirmed.
+/// The plan for an intent; it takes effect only when it is confirmed.
 struct Plan {
   std::string mId;
   std::int64_t mBaseVersion = 0;
-  Millis mExpiresWall = 0;
+  Millis mExpiresWall = 0;  ///< Unix time in milliseconds.
   Intent mIntent;
   std::vector<StagePlacement> mPlacement;
   std::vector<PlanChange> mChanges;
   std::vector<PlanCapacity> mCapacity;
-  std::vector<std::string> mWarnings;  ///< Warnings; it can be confirmed.
-  std::vector<std::string> mRejectionReasons;  ///< Why it cannot be confirmed.
+  std::vector<std::string> mWarnings;  ///< Do not prevent a confirmation.
+  std::vector<std::string> mRejectionReasons;  ///< Empty: it can be confirmed.
 
   template <class Codec>
   void Fields(Codec& aCodec) {
@@ -183,13 +184,13 @@
   }
 };
 
-/// The entry of that name, or nullptr.
+/// The workspace, model or service, or nullptr if there is none.
 const WorkspaceSpec* FindWorkspaceByKey(const Intent& aIntent,
                                         const std::string& aKeySha256);
 const ModelSpec* FindModel(const Intent& aIntent, const std::string& aName);
 const ServiceSpec* FindService(const Intent& aIntent, const std::string& aName);
 
-/// Whether the list allows the name: an empty list allows all.
+/// Whether the list contains the name; an empty list allows all names.
 bool Allows(const std::vector<std::string>& aList, const std::string& aName);
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/configuration/configuration_change.h
+++ b/include/spindleweir/servers/configuration/configuration_change.h
@@ -1,5 +1,5 @@
-/// What changed from one accepted configuration to the next: at full size the
-/// whole is 1.3 MB, a change a few hundred bytes.
+/// The change from one accepted configuration to the next. At full size a
+/// configuration is 1.3 MB, a change a few hundred bytes.
 #pragma once
 
 #include <cstdint>
@@ -10,11 +10,11 @@
 
 namespace spindleweir {
 
-/// The difference between a version and the one before.
+/// The difference between a version and the previous one.
 struct ConfigurationChange {
-  std::int64_t mVersion = 0;  ///< That it leads to; from the one before.
+  std::int64_t mVersion = 0;  ///< Version after the change.
   std::string mPreviousHash;
-  std::string mHash;  ///< ChangeHash(change): chained by mPreviousHash.
+  std::string mHash;  ///< ChangeHash() of this change; covers mPreviousHash.
   std::vector<WorkspaceSpec> mWorkspaces;  ///< New or changed.
   std::vector<std::string> mWorkspacesGone;
   std::vector<ModelSpec> mModels;
@@ -22,8 +22,8 @@
   std::vector<ServiceSpec> mServices;
   std::vector<std::string> mServicesGone;
   std::vector<StagePlacement> mStages;
-  std::vector<std::string> mStagesGone;  ///< Engines without a stage now.
-  std::vector<std::string> mDrained;     ///< VMs drained now.
+  std::vector<std::string> mStagesGone;  ///< Engines that lost their stage.
+  std::vector<std::string> mDrained;     ///< VMs that are newly drained.
   std::vector<std::string> mUndrained;
 
   template <class Codec>
@@ -45,19 +45,20 @@
 };
 
 /// The change that leads from aOld to the content of aNew, with its version
-/// and hash. Both must be in order (see SortLists).
+/// and hash. The lists of both must be sorted (see SortLists).
 ConfigurationChange ChangeBetween(const Configuration& aOld,
                                   const Configuration& aNew);
 
-/// Puts a change on top of the version before it. Throws kVersionConflict
-/// where it does not follow, or its hash is not its own.
+/// Applies a change to the version before it. Throws kVersionConflict if the
+/// change does not follow that version or its hash does not match.
 void ApplyChange(Configuration& aConfiguration,
                  const ConfigurationChange& aChange);
 
-/// The hash that a change must carry.
+/// SHA-256 of a change without its own hash, in hexadecimal digits.
 std::string ChangeHash(const ConfigurationChange& aChange);
 
-/// Brings the lists of a configuration into the order that all processes keep.
+/// Sorts the lists of a configuration by name, so that all processes have the
+/// same order.
 void SortLists(Configuration& aConfiguration);
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/configuration/configuration_history.h
+++ b/include/spindleweir/servers/configuration/configuration_history.h
@@ -1,5 +1,5 @@
-/// The configuration that a process has in force, with the last changes to it,
-/// so that others can catch up by those instead of by the whole.
+/// The current configuration of a process and the last changes to it, so that
+/// other processes can be sent changes instead of the full configuration.
 #pragma once
 
 #include <deque>
@@ -9,7 +9,7 @@
 
 namespace spindleweir {
 
-/// Asks for what is newer than the asker's configuration.
+/// Requests what is newer than the requester's configuration.
 struct ConfigurationRequest {
   std::int64_t mVersion = 0;
   std::string mHash;
@@ -21,8 +21,9 @@
   }
 };
 
-/// The changes since, oldest first, or the whole where they are not known. A
-/// whole carries the SHA-256 of its content against damage on the way.
+/// The changes since a version, oldest first, or the full configuration if
+/// those are not stored. A full configuration comes with the SHA-256 of its
+/// content, to detect corruption in transit.
 struct ConfigurationUpdate {
   std::vector<ConfigurationChange> mChanges;
   bool mIsFull = false;
@@ -40,20 +41,23 @@
   }
 };
 
-/// What became of news.
+/// Result of applying an update.
 enum class ConfigurationUpdateResult {
-  kApplied,       ///< A greater version is in force now.
-  kStale,         ///< Nothing newer in it.
-  kGap,           ///< Versions are missing before it: ask for them.
-  kFork,          ///< Another content of a version that is in force: an alarm.
-  kHashMismatch,  ///< A hash is not right.
+  kApplied,       ///< A newer version is in force.
+  kStale,         ///< The update has nothing newer.
+  kGap,           ///< Versions before the update are missing; request them.
+  kFork,          ///< Different content of the version in force: an alarm.
+  kHashMismatch,  ///< A hash does not match its content.
 };
 
-/// Takes greater versions only.
+/// Applies newer versions only.
 class ConfigurationHistory {
  public:
   ConfigurationUpdateResult ApplyUpdate(const ConfigurationUpdate& aUpdate);
+  /// The update for a requester; empty if it has the current or a newer
+  /// version.
   ConfigurationUpdate UpdateFor(const ConfigurationRequest& aRequest) const;
+  /// Requests what is newer than Current().
   ConfigurationRequest MakeRequest() const {
     return {mCurrent.mVersion, mCurrent.mHash};
   }
@@ -64,7 +68,7 @@
   ConfigurationUpdateResult ApplyChanges(const ConfigurationUpdate& aUpdate);
 
   Configuration mCurrent;
-  std::deque<ConfigurationChange> mChanges;  ///< The last ones, bounded.
+  std::deque<ConfigurationChange> mChanges;  ///< The last ones, oldest first.
 };
 
 }  // namespace spindleweir
--- a/include/spindleweir/servers/configuration/configuration_machine.h
+++ b/include/spindleweir/servers/configuration/configuration_machine.h
@@ -1,5 +1,5 @@
-/// The state that the replicated log builds: plans, the accepted
-/// configuration, and the answer that each command got.
+/// The state machine of the replicated log: plans, the accepted configuration,
+/// and the result of each command.
 #pragma once
 
 #include <sigc++/signal.h>
@@ -16,19 +16,20 @@
 
 enum class CommandKind { kPlan, kConfirm, kDrain, kPublish };
 
-/// One command of the log. All that differs between voters (time, ids,
-/// placement) was put in by the leader, so that each voter comes to the same.
+/// One command of the log. The leader sets every value that could differ
+/// between voters (time, ids, placement), so that all voters reach the same
+/// state.
 struct Command {
-  std::string mId;      ///< The operator's; a resend carries the same.
-  std::string mDigest;  ///< SHA-256 of what was asked.
+  std::string mId;      ///< Set by the operator; a retry has the same id.
+  std::string mDigest;  ///< SHA-256 of the operator's request.
   CommandKind mKind = CommandKind::kPlan;
-  Millis mLeaderWallTime = 0;        ///< The leader's time, for expiry.
+  Millis mLeaderWallTime = 0;        ///< Unix time (ms) for expiry.
   Plan mPlan;                        ///< For kPlan.
   std::string mPlanId;               ///< For kConfirm.
   std::string mVm;                   ///< For kDrain.
-  bool mDrain = true;                ///< For kDrain: false takes the VM back.
+  bool mDrain = true;                ///< For kDrain; false: undrain.
   std::int64_t mTrafficVersion = 0;  ///< For kPublish.
-  std::string mDocument;             ///< For kPublish: as sent, packed.
+  std::string mDocument;             ///< For kPublish; packed.
 
   template <class Codec>
   void Fields(Codec& aCodec) {
@@ -51,10 +52,10 @@
   }
 };
 
-/// A configuration that was accepted by its version, as it was sent; the
-/// document may be packed (core/packing.h).
+/// A published traffic configuration, as it was sent; the document may be
+/// packed (core/packing.h).
 struct PublishedDocument {
-  std::int64_t mVersion = 0;  ///< 0: none yet.
+  std::int64_t mVersion = 0;  ///< 0: nothing published yet.
   std::string mDigest;
   std::string mDocument;
 
@@ -66,14 +67,14 @@
   }
 };
 
-/// What a command came to.
+/// The result of a command.
 struct CommandResult {
   std::string mId;
   std::string mDigest;
   int mCode = 0;              ///< A ResultCode.
-  std::string mMessage;       ///< Why it was refused.
-  std::string mPlanId;        ///< The plan made or confirmed.
-  std::int64_t mVersion = 0;  ///< The version in force after it.
+  std::string mMessage;       ///< Why the command was rejected.
+  std::string mPlanId;        ///< Plan that was made or confirmed.
+  std::int64_t mVersion = 0;  ///< Version in force afterwards.
 
   template <class Codec>
   void Fields(Codec& aCodec) {
@@ -86,30 +87,32 @@
   }
 };
 
-/// Applies commands in the order of the log. Deterministic.
+/// Applies commands in the order of the log. Deterministic: equal commands lead
+/// to equal states.
 class ConfigurationMachine {
  public:
-  /// Applies one command; one that was applied before gets its first answer,
-  /// and changes nothing.
+  /// Applies one command. A command id that was applied before gets its first
+  /// result again and changes nothing; with a different digest it is rejected
+  /// with kCommandReused.
   CommandResult Apply(const Command& aCommand);
 
   const Configuration& Current() const { return mHistory.Current(); }
   const ConfigurationHistory& History() const { return mHistory; }
-  /// The newest document that was accepted by its version.
+  /// The newest published document.
   const PublishedDocument& Published() const { return mPublished; }
   const Plan* FindPlan(const std::string& aId) const;
-  /// The answer a command got, or nullptr.
+  /// The result of a command, or nullptr.
   const CommandResult* FindResult(const std::string& aCommandId) const;
 
-  /// The whole state as JSON, and back.
+  /// The complete state as JSON, for a snapshot; Restore() reads it.
   std::string Save() const;
   void Restore(const std::string& aData);
 
-  /// Sent after each newly accepted configuration.
+  /// Emitted with each newly accepted configuration.
   sigc::signal<void, const Configuration&>& SignalAccepted() {
     return mSignalAccepted;
   }
-  /// Sent after each newly accepted document.
+  /// Emitted with each newly published document.
   sigc::signal<void, const PublishedDocument&>& SignalPublished() {
     return mSignalPublished;
   }
@@ -121,7 +124,7 @@
   CommandResult ApplyPublish(const Command& aCommand);
   void AcceptConfiguration(Configuration aNext);
   void StoreResult(const CommandResult& aResult);
-  void DropExpiredPlans(Millis aWall);
+  void DropExpiredPlans(Millis aWallTime);
 
   ConfigurationHistory mHistory;
   std::map<std::string, Plan> mPlans;
--- a/include/spindleweir/servers/receipts/receipt_store.h
+++ b/include/spindleweir/servers/receipts/receipt_store.h
@@ -1,5 +1,5 @@
-/// Receipts: where each request and its data were processed. Prompts and
-/// answers are never part of them.
+/// Receipts: records of where each request and its data were processed. They
+/// never contain prompts or answers.
 #pragma once
 
 #include <cstdint>
@@ -13,10 +13,10 @@
 
 namespace spindleweir {
 
-/// One attempt: the upstreams that worked on it.
+/// One attempt of a request, with the upstreams that processed it.
 struct ReceiptAttempt {
   int mAttempt = 0;
-  int mFirstToken = 0;  ///< Index of the first token that was asked for.
+  int mFirstToken = 0;  ///< Index of the first token requested.
   std::string mEnded;   ///< "done", "failed", "replaced" or "cancelled".
   std::vector<StagePlacement> mStages;
 
@@ -33,15 +33,15 @@
 struct Receipt {
   std::string mRequest;
   std::string mWorkspace;
-  std::string mTarget;  ///< The model or service.
+  std::string mTarget;  ///< Model or service.
   std::string mRouter;
-  std::string mZone;  ///< Of the router.
+  std::string mZone;  ///< Zone of the router.
   std::int64_t mConfigurationVersion = 0;
-  Millis mStartedWall = 0;
+  Millis mStartedWall = 0;  ///< Unix time in milliseconds.
   Millis mDurationMillis = 0;
   int mTokens = 0;
   int mCode = 0;  ///< A ResultCode.
-  std::string mRan;
+  std::string mRan;  ///< Whether the request ran: NameOf(Ran).
   std::vector<ReceiptAttempt> mAttempts;
 
   template <class Codec>
@@ -61,41 +61,46 @@
   }
 };
 
-/// Receipts by request, the newest up to a bound.
+/// Receipts by request id; the oldest are dropped above a maximum number.
 class ReceiptStore {
  public:
-  explicit ReceiptStore(std::size_t aMaximum) : mMaximum(aMaximum) {}
+  explicit ReceiptStore(std::size_t aMaxReceipts)
+      : mMaxReceipts(aMaxReceipts) {}
 
-  /// Adds or replaces a receipt.
+  /// Adds a receipt, or replaces the one of the same request.
   void Add(const Receipt& aReceipt);
   const Receipt* Find(const std::string& aRequest) const;
   std::size_t Size() const { return mReceipts.size(); }
-  /// Oldest first.
+  /// All receipts, oldest first.
   std::vector<Receipt> All() const;
 
  private:
-  std::size_t mMaximum;
+  std::size_t mMaxReceipts;
   std::map<std::string, Receipt> mReceipts;
   std::deque<std::string> mOrder;
 };
 
-/// What a router has not yet handed over: a bounded queue of which a batch is
-/// under way at a time. What does not fit any more is counted as lost.
+/// A router's queue of receipts that were not yet delivered. At most one batch
+/// is in flight; receipts above the maximum number are dropped and counted.
 class ReceiptOutbox {
  public:
-  explicit ReceiptOutbox(std::size_t aMaximum) : mMaximum(aMaximum) {}
+  explicit ReceiptOutbox(std::size_t aMaxReceipts)
+      : mMaxReceipts(aMaxReceipts) {}
 
   void Add(const Receipt& aReceipt);
-  /// The next batch; empty where there is none, or one is under way.
+  /// Returns the next batch of at most aMaxCount receipts; empty if no receipt
+  /// is pending or a batch is in flight.
   std::vector<Receipt> TakeBatch(std::size_t aMaxCount);
-  /// The batch under way was handed over, or was not and comes again.
+  /// Ends the batch in flight; if it was not delivered, its receipts are sent
+  /// again first.
   void OnBatchResult(bool aDelivered);
 
   std::size_t Size() const { return mPending.size() + mInFlight.size(); }
+  /// Number of dropped receipts.
   std::int64_t Lost() const { return mLost; }
 
  private:
-  std::size_t mMaximum;
+  std::size_t mMaxReceipts;
   std::deque<Receipt> mPending;
   std::vector<Receipt> mInFlight;
   std::int64_t mLost = 0;
--- a/servers/configuration/configuration_change.cpp
+++ b/servers/configuration/configuration_change.cpp
@@ -27,13 +27,13 @@
 }
 
 template <class Item>
-bool Same(const Item& aLeft, const Item& aRight) {
+bool Equal(const Item& aLeft, const Item& aRight) {
   return ToJson(aLeft) == ToJson(aRight);
 }
-bool Same(const StagePlacement& aLeft, const StagePlacement& aRight) {
+bool Equal(const StagePlacement& aLeft, const StagePlacement& aRight) {
   return aLeft == aRight;
 }
-bool Same(const std::string& aLeft, const std::string& aRight) {
+bool Equal(const std::string& aLeft, const std::string& aRight) {
   return aLeft == aRight;
 }
 
@@ -54,14 +54,15 @@
                           });
 }
 
-/// What is in aNew and not the same in aOld, and the keys that are gone.
+/// Collects the items of aNew that are new or changed, and the keys of items
+/// that aNew lacks. Both lists must be sorted.
 template <class Item>
 void Compare(const std::vector<Item>& aOld, const std::vector<Item>& aNew,
              std::vector<Item>& aChanged, std::vector<std::string>& aGone) {
   for (const Item& item : aNew) {
     const auto it = Find(aOld, KeyOf(item));
-    const bool known = it != aOld.end() && KeyOf(*it) == KeyOf(item);
-    if (!known || !Same(*it, item)) {
+    const bool isKnown = it != aOld.end() && KeyOf(*it) == KeyOf(item);
+    if (!isKnown || !Equal(*it, item)) {
       aChanged.push_back(item);
     }
   }
@@ -137,7 +138,7 @@
   if (ChangeHash(aChange) != aChange.mHash) {
     throw Error(ResultCode::kVersionConflict,
                 "the change to version " + std::to_string(aChange.mVersion) +
-                    " is damaged");
+                    " does not match its hash");
   }
   Intent& intent = aConfiguration.mIntent;
   Merge(intent.mWorkspaces, aChange.mWorkspaces, aChange.mWorkspacesGone);
--- a/servers/configuration/configuration_history.cpp
+++ b/servers/configuration/configuration_history.cpp
@@ -23,17 +23,17 @@
 
 ConfigurationUpdateResult ConfigurationHistory::ApplyFull(
     const ConfigurationUpdate& aUpdate) {
-  const Configuration& whole = aUpdate.mFull;
-  if (whole.mVersion <= mCurrent.mVersion) {
+  const Configuration& full = aUpdate.mFull;
+  if (full.mVersion <= mCurrent.mVersion) {
     const bool fork =
-        whole.mVersion == mCurrent.mVersion && whole.mHash != mCurrent.mHash;
+        full.mVersion == mCurrent.mVersion && full.mHash != mCurrent.mHash;
     return fork ? ConfigurationUpdateResult::kFork
                 : ConfigurationUpdateResult::kStale;
   }
-  if (DigestOf(whole) != aUpdate.mFullDigest) {
+  if (DigestOf(full) != aUpdate.mFullDigest) {
     return ConfigurationUpdateResult::kHashMismatch;
   }
-  mCurrent = whole;
+  mCurrent = full;
   mChanges.clear();
   return ConfigurationUpdateResult::kApplied;
 }
@@ -70,25 +70,25 @@
 
 ConfigurationUpdate ConfigurationHistory::UpdateFor(
     const ConfigurationRequest& aRequest) const {
-  ConfigurationUpdate news;
+  ConfigurationUpdate update;
   if (aRequest.mVersion >= mCurrent.mVersion) {
-    return news;
+    return update;
   }
   for (const ConfigurationChange& change : mChanges) {
-    const bool next = news.mChanges.empty()
-                          ? change.mVersion == aRequest.mVersion + 1 &&
-                                change.mPreviousHash == aRequest.mHash
-                          : true;
-    if (next) {
-      news.mChanges.push_back(change);
+    const bool follows = update.mChanges.empty()
+                             ? change.mVersion == aRequest.mVersion + 1 &&
+                                   change.mPreviousHash == aRequest.mHash
+                             : true;
+    if (follows) {
+      update.mChanges.push_back(change);
     }
   }
-  if (news.mChanges.empty()) {
-    news.mIsFull = true;
-    news.mFull = mCurrent;
-    news.mFullDigest = DigestOf(mCurrent);
+  if (update.mChanges.empty()) {
+    update.mIsFull = true;
+    update.mFull = mCurrent;
+    update.mFullDigest = DigestOf(mCurrent);
   }
-  return news;
+  return update;
 }
 
 }  // namespace spindleweir
--- a/servers/configuration/configuration_machine.cpp
+++ b/servers/configuration/configuration_machine.cpp
@@ -10,10 +10,11 @@
 namespace {
 
 constexpr std::size_t kMaxStoredResults = 2048;
-/// An expired plan is told apart from an unknown one for this long.
+/// For this long after its expiry, confirming a plan gives kPlanExpired and not
+/// kPlanNotFound.
 constexpr Millis kExpiredPlanRetention = 60 * 60 * 1000;
 
-/// The state as it is written into a snapshot.
+/// The state as stored in a snapshot.
 struct SavedState {
   Configuration mCurrent;
   std::vector<Plan> mPlans;
@@ -29,7 +30,7 @@
   }
 };
 
-CommandResult Refusal(ResultCode aCode, std::string aMessage) {
+CommandResult Rejected(ResultCode aCode, std::string aMessage) {
   CommandResult result;
   result.mCode = static_cast<int>(aCode);
   result.mMessage = std::move(aMessage);
@@ -44,8 +45,8 @@
       return *first;
     }
     CommandResult result =
-        Refusal(ResultCode::kCommandReused,
-                "command id " + aCommand.mId + " was used with another body");
+        Rejected(ResultCode::kCommandReused,
+                 "command id " + aCommand.mId + " was used with another body");
     result.mVersion = Current().mVersion;
     return result;
   }
@@ -82,20 +83,20 @@
 CommandResult ConfigurationMachine::ApplyConfirm(const Command& aCommand) {
   const Plan* plan = FindPlan(aCommand.mPlanId);
   if (plan == nullptr) {
-    return Refusal(ResultCode::kPlanNotFound, "no plan " + aCommand.mPlanId);
+    return Rejected(ResultCode::kPlanNotFound, "no plan " + aCommand.mPlanId);
   }
   if (!plan->mRejectionReasons.empty()) {
-    return Refusal(ResultCode::kPlanShort, plan->mRejectionReasons.front());
+    return Rejected(ResultCode::kPlanShort, plan->mRejectionReasons.front());
   }
   if (plan->mBaseVersion != Current().mVersion) {
-    return Refusal(
+    return Rejected(
         ResultCode::kVersionConflict,
         "the plan was made on version " + std::to_string(plan->mBaseVersion) +
             "; the current version is " + std::to_string(Current().mVersion));
   }
   if (aCommand.mLeaderWallTime > plan->mExpiresWall) {
-    return Refusal(ResultCode::kPlanExpired,
-                   "plan " + aCommand.mPlanId + " has expired");
+    return Rejected(ResultCode::kPlanExpired,
+                    "plan " + aCommand.mPlanId + " has expired");
   }
   Configuration next = Current();
   next.mIntent = plan->mIntent;
@@ -125,15 +126,16 @@
 
 CommandResult ConfigurationMachine::ApplyPublish(const Command& aCommand) {
   if (aCommand.mTrafficVersion < mPublished.mVersion) {
-    // Overtaken: acknowledged, and nothing changes.
+    // A newer version was published before: this one succeeds without effect.
     return {};
   }
   if (aCommand.mTrafficVersion == mPublished.mVersion) {
     return aCommand.mDigest == mPublished.mDigest
                ? CommandResult{}
-               : Refusal(ResultCode::kVersionTaken,
-                         "version " + std::to_string(aCommand.mTrafficVersion) +
-                             " has another content");
+               : Rejected(ResultCode::kVersionTaken,
+                          "version " +
+                              std::to_string(aCommand.mTrafficVersion) +
+                              " has another content");
   }
   mPublished = {.mVersion = aCommand.mTrafficVersion,
                 .mDigest = aCommand.mDigest,
@@ -157,9 +159,9 @@
   }
 }
 
-void ConfigurationMachine::DropExpiredPlans(Millis aWall) {
-  std::erase_if(mPlans, [aWall](const auto& aItem) {
-    return aItem.second.mExpiresWall + kExpiredPlanRetention < aWall;
+void ConfigurationMachine::DropExpiredPlans(Millis aWallTime) {
+  std::erase_if(mPlans, [aWallTime](const auto& aItem) {
+    return aItem.second.mExpiresWall + kExpiredPlanRetention < aWallTime;
   });
 }
 
--- a/servers/configuration/intent_check.cpp
+++ b/servers/configuration/intent_check.cpp
@@ -17,33 +17,34 @@
 constexpr std::string_view kNameCharacters =
     "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.:";
 
-[[noreturn]] void Refuse(const std::string& aMessage) {
+[[noreturn]] void Reject(const std::string& aMessage) {
   throw Error(ResultCode::kBadField, aMessage);
 }
 
-void CheckName(const std::string& aName, const std::string& aWhat,
+void CheckName(const std::string& aName, const std::string& aField,
                std::set<std::string>& aSeen) {
   const bool plain =
       aName.find_first_not_of(kNameCharacters) == std::string::npos;
   if (aName.empty() || aName.size() > kMaxNameLength || !plain) {
-    Refuse(aWhat + " name \"" + aName +
+    Reject(aField + " name \"" + aName +
            "\" must be 1 to 64 letters, digits or -_.:");
   }
   if (!aSeen.insert(aName).second) {
-    Refuse(aWhat + " name \"" + aName + "\" stands twice");
+    Reject(aField + " name \"" + aName + "\" must be unique");
   }
 }
 
-void CheckPositive(double aValue, const std::string& aWhat) {
+void CheckPositive(double aValue, const std::string& aField) {
   if (!(aValue > 0) || aValue > 1e9) {
-    Refuse(aWhat + " must be greater than 0 and at most 1e9");
+    Reject(aField + " must be greater than 0 and at most 1e9");
   }
 }
 
 void HashKey(WorkspaceSpec& aWorkspace, std::set<std::string>& aKeys) {
   if (!aWorkspace.mKey.empty()) {
     if (aWorkspace.mKey.size() < kMinKeyLength) {
-      Refuse("workspace " + aWorkspace.mName + ": key must have 8 characters");
+      Reject("workspace " + aWorkspace.mName +
+             ": key must have at least 8 characters");
     }
     aWorkspace.mKeySha256 = Sha256Hex(aWorkspace.mKey);
     aWorkspace.mKey.clear();
@@ -51,11 +52,12 @@
   const bool digits = aWorkspace.mKeySha256.find_first_not_of(
                           "0123456789abcdef") == std::string::npos;
   if (aWorkspace.mKeySha256.size() != kSha256Digits || !digits) {
-    Refuse("workspace " + aWorkspace.mName +
+    Reject("workspace " + aWorkspace.mName +
            ": key, or key_sha256 of 64 hexadecimal digits, must be given");
   }
   if (!aKeys.insert(aWorkspace.mKeySha256).second) {
-    Refuse("workspace " + aWorkspace.mName + ": key of another workspace");
+    Reject("workspace " + aWorkspace.mName +
+           ": key is used by another workspace");
   }
 }
 
@@ -64,10 +66,10 @@
   for (const ModelSpec& model : aIntent.mModels) {
     CheckName(model.mName, "model", names);
     if (model.mLayers < 1 || model.mLayers > kMaxLayers) {
-      Refuse("model " + model.mName + ": layers must be 1 to 4096");
+      Reject("model " + model.mName + ": layers must be 1 to 4096");
     }
     if (model.mVersion.empty()) {
-      Refuse("model " + model.mName + ": version must not be empty");
+      Reject("model " + model.mName + ": version must not be empty");
     }
     CheckPositive(model.mShare, "model " + model.mName + ": share");
   }
@@ -76,12 +78,12 @@
 void CheckReferences(const Intent& aIntent, const WorkspaceSpec& aWorkspace) {
   for (const std::string& name : aWorkspace.mModels) {
     if (FindModel(aIntent, name) == nullptr) {
-      Refuse("workspace " + aWorkspace.mName + ": no model " + name);
+      Reject("workspace " + aWorkspace.mName + ": unknown model " + name);
     }
   }
   for (const std::string& name : aWorkspace.mServices) {
     if (FindService(aIntent, name) == nullptr) {
-      Refuse("workspace " + aWorkspace.mName + ": no service " + name);
+      Reject("workspace " + aWorkspace.mName + ": unknown service " + name);
     }
   }
 }
--- a/servers/receipts/receipt_store.cpp
+++ b/servers/receipts/receipt_store.cpp
@@ -5,13 +5,13 @@
 namespace spindleweir {
 
 void ReceiptStore::Add(const Receipt& aReceipt) {
-  const bool known = mReceipts.contains(aReceipt.mRequest);
+  const bool isKnown = mReceipts.contains(aReceipt.mRequest);
   mReceipts[aReceipt.mRequest] = aReceipt;
-  if (known) {
+  if (isKnown) {
     return;
   }
   mOrder.push_back(aReceipt.mRequest);
-  if (mOrder.size() > mMaximum) {
+  if (mOrder.size() > mMaxReceipts) {
     mReceipts.erase(mOrder.front());
     mOrder.pop_front();
   }
@@ -32,7 +32,7 @@
 }
 
 void ReceiptOutbox::Add(const Receipt& aReceipt) {
-  if (Size() >= mMaximum) {
+  if (Size() >= mMaxReceipts) {
     mLost++;
     return;
   }
--- a/tests/servers/configuration_test.cpp
+++ b/tests/servers/configuration_test.cpp
@@ -46,7 +46,7 @@
   CHECK(machine.Apply(ConfirmCommand("c", "plan-a")).mCode == 0);
   CHECK(machine.Current().mVersion == 1 && accepted == 1);
   CHECK(machine.Current().mHash.size() == 64);
-  SECTION("the next one names the hash of this one") {
+  SECTION("the next version has this hash as its previous one") {
     const std::string hash = machine.Current().mHash;
     machine.Apply(PlanCommand("b", 1));
     machine.Apply(ConfirmCommand("d", "plan-b"));
@@ -54,37 +54,37 @@
   }
 }
 
-Test(configuration, of_two_with_equal_versions_one_wins) {
+Test(configuration, of_two_plans_for_one_version_one_is_accepted) {
   ConfigurationMachine machine;
   machine.Apply(PlanCommand("a", 0));
   machine.Apply(PlanCommand("b", 0));
   CHECK(machine.Apply(ConfirmCommand("ca", "plan-a")).mCode == 0);
-  const CommandResult loser = machine.Apply(ConfirmCommand("cb", "plan-b"));
-  CHECK(loser.mCode == CodeOf(ResultCode::kVersionConflict));
-  CHECK(loser.mVersion == 1);
+  const CommandResult second = machine.Apply(ConfirmCommand("cb", "plan-b"));
+  CHECK(second.mCode == CodeOf(ResultCode::kVersionConflict));
+  CHECK(second.mVersion == 1);
   CHECK(machine.Current().mIntent.mModels[0].mName == "model-a");
 }
 
-Test(configuration, a_resend_gets_the_first_answer) {
+Test(configuration, a_repeated_command_gets_its_first_result) {
   ConfigurationMachine machine;
   machine.Apply(PlanCommand("a", 0));
   machine.Apply(ConfirmCommand("c", "plan-a"));
   machine.Apply(PlanCommand("b", 1));
   machine.Apply(ConfirmCommand("d", "plan-b"));
-  SECTION("though the version has moved on") {
+  SECTION("although a newer version is in force") {
     const CommandResult again = machine.Apply(ConfirmCommand("c", "plan-a"));
     CHECK(again.mCode == 0 && again.mVersion == 1);
     CHECK(machine.Current().mVersion == 2);
   }
-  SECTION("and so does a refused one") {
+  SECTION("if it was rejected") {
     const int first = machine.Apply(ConfirmCommand("e", "no-plan")).mCode;
     CHECK(machine.Apply(ConfirmCommand("e", "no-plan")).mCode == first);
   }
-  SECTION("the id with another body is an error") {
+  SECTION("but not if its body differs") {
     CHECK(machine.Apply(ConfirmCommand("c", "plan-b")).mCode ==
           CodeOf(ResultCode::kCommandReused));
   }
-  SECTION("also after a snapshot") {
+  SECTION("after a restore from a snapshot") {
     ConfigurationMachine other;
     other.Restore(machine.Save());
     CHECK(other.Apply(ConfirmCommand("c", "plan-a")).mVersion == 1);
@@ -93,7 +93,7 @@
   }
 }
 
-Test(configuration, plans_expire_and_can_be_forbidden) {
+Test(configuration, expired_and_rejected_plans_cannot_be_confirmed) {
   ConfigurationMachine machine;
   machine.Apply(PlanCommand("a", 0, 1000));
   CHECK(machine.Apply(ConfirmCommand("late", "plan-a", 1001)).mCode ==
@@ -106,7 +106,7 @@
   CHECK(machine.Current().mVersion == 0);
 }
 
-Test(configuration, drains_are_versions_and_repeat_harmlessly) {
+Test(configuration, a_drain_makes_a_version_and_its_repetition_none) {
   ConfigurationMachine machine;
   Command drain;
   drain.mId = "1";
@@ -122,7 +122,7 @@
   CHECK(machine.Current().mVersion == 2 && machine.Current().mDrained.empty());
 }
 
-Test(configuration_history, takes_what_follows_and_nothing_else) {
+Test(configuration_history, applies_only_updates_that_follow) {
   ConfigurationMachine machine;
   ConfigurationHistory router;
   machine.Apply(PlanCommand("a", 0));
@@ -144,60 +144,60 @@
     CHECK(router.ApplyUpdate(last) == ConfigurationUpdateResult::kGap);
     CHECK(router.Current().mVersion == 1);
   }
-  SECTION("a damaged one is refused") {
+  SECTION("a damaged change is rejected") {
     ConfigurationUpdate damaged = both;
     damaged.mChanges[0].mDrained.push_back("vm");
     CHECK(router.ApplyUpdate(damaged) ==
           ConfigurationUpdateResult::kHashMismatch);
     CHECK(router.Current().mVersion == 1);
   }
-  SECTION("another content of a known version is a fork") {
+  SECTION("different content of a known version is a fork") {
     ConfigurationUpdate fork = first;
     REQUIRE(fork.mChanges.size() == 1);
     fork.mChanges[0].mDrained.push_back("vm");
     fork.mChanges[0].mHash = ChangeHash(fork.mChanges[0]);
     CHECK(router.ApplyUpdate(fork) == ConfigurationUpdateResult::kFork);
   }
-  SECTION("the changes, or the whole, lead to the same") {
+  SECTION("changes and a full configuration lead to the same state") {
     ConfigurationHistory empty;
     const ConfigurationUpdate none =
         machine.History().UpdateFor({7, "elsewhere"});
     CHECK(none.mChanges.empty() && !none.mIsFull);
-    const ConfigurationUpdate whole =
+    const ConfigurationUpdate full =
         machine.History().UpdateFor({2, "elsewhere"});
-    CHECK(whole.mIsFull &&
-          empty.ApplyUpdate(whole) == ConfigurationUpdateResult::kApplied);
+    CHECK(full.mIsFull &&
+          empty.ApplyUpdate(full) == ConfigurationUpdateResult::kApplied);
     CHECK(router.ApplyUpdate(both) == ConfigurationUpdateResult::kApplied);
     CHECK(ToJson(router.Current()) == ToJson(machine.Current()));
     CHECK(ToJson(empty.Current()) == ToJson(machine.Current()));
-    CHECK(router.ApplyUpdate(whole) == ConfigurationUpdateResult::kStale);
+    CHECK(router.ApplyUpdate(full) == ConfigurationUpdateResult::kStale);
   }
 }
 
-Test(configuration, intents_are_checked_and_keys_are_sealed) {
-  const auto good = [] {
+Test(configuration, intents_are_checked_and_keys_are_hashed) {
+  const auto makeIntent = [] {
     Intent intent;
     intent.mModels.push_back({.mName = "m", .mLayers = 4});
     intent.mWorkspaces.push_back({.mName = "w", .mKey = "a-long-key"});
     return intent;
   };
-  Intent sealed = good();
-  CheckIntentAndHashKeys(sealed);
-  CHECK(sealed.mWorkspaces[0].mKey.empty());
-  CHECK(sealed.mWorkspaces[0].mKeySha256.size() == 64);
-  const auto refused = [&](const std::function<void(Intent&)>& aSpoil) {
-    Intent intent = good();
-    aSpoil(intent);
+  Intent hashed = makeIntent();
+  CheckIntentAndHashKeys(hashed);
+  CHECK(hashed.mWorkspaces[0].mKey.empty());
+  CHECK(hashed.mWorkspaces[0].mKeySha256.size() == 64);
+  const auto rejected = [&](const std::function<void(Intent&)>& aModify) {
+    Intent intent = makeIntent();
+    aModify(intent);
     return CodeThrownBy([&] { CheckIntentAndHashKeys(intent); }) ==
            ResultCode::kBadField;
   };
-  CHECK(refused([](Intent& aIntent) { aIntent.mModels[0].mLayers = -1; }));
-  CHECK(refused([](Intent& aIntent) { aIntent.mModels[0].mName = "a b"; }));
-  CHECK(refused(
+  CHECK(rejected([](Intent& aIntent) { aIntent.mModels[0].mLayers = -1; }));
+  CHECK(rejected([](Intent& aIntent) { aIntent.mModels[0].mName = "a b"; }));
+  CHECK(rejected(
       [](Intent& aIntent) { aIntent.mModels.push_back(aIntent.mModels[0]); }));
-  CHECK(refused([](Intent& aIntent) { aIntent.mWorkspaces[0].mKey = "x"; }));
-  CHECK(refused(
+  CHECK(rejected([](Intent& aIntent) { aIntent.mWorkspaces[0].mKey = "x"; }));
+  CHECK(rejected(
       [](Intent& aIntent) { aIntent.mWorkspaces[0].mModels = {"other"}; }));
-  CHECK(refused(
+  CHECK(rejected(
       [](Intent& aIntent) { aIntent.mWorkspaces[0].mRequestsPerSecond = -4; }));
 }
