--- a/include/spindleweir/servers/claims/claim_messages.h
+++ b/include/spindleweir/servers/claims/claim_messages.h
@@ -71,9 +71,9 @@
 
   template <class Codec>
   void Fields(Codec& aCodec) {
-    int ask = static_cast<int>(mOperation);
-    aCodec.Required("ask", ask);
-    mOperation = static_cast<ClaimOperation>(ask);
+    int operation = static_cast<int>(mOperation);
+    aCodec.Required("ask", operation);
+    mOperation = static_cast<ClaimOperation>(operation);
     aCodec.Required("record", mRecord);
   }
 };
--- a/include/spindleweir/servers/receipts/receipt_store.h
+++ b/include/spindleweir/servers/receipts/receipt_store.h
@@ -40,7 +40,7 @@
   Millis mStartedWall = 0;  ///< Unix time in milliseconds.
   Millis mDurationMillis = 0;
   int mTokens = 0;
-  int mCode = 0;  ///< A ResultCode.
+  int mCode = 0;     ///< A ResultCode.
   std::string mRan;  ///< Whether the request ran: NameOf(Ran).
   std::vector<ReceiptAttempt> mAttempts;
 
--- a/tests/servers/configuration_test.cpp
+++ b/tests/servers/configuration_test.cpp
@@ -106,7 +106,7 @@
   CHECK(machine.Current().mVersion == 0);
 }
 
-Test(configuration, a_drain_makes_a_version_and_its_repetition_none) {
+Test(configuration, a_repeated_drain_makes_no_new_version) {
   ConfigurationMachine machine;
   Command drain;
   drain.mId = "1";
