--- a/include/spindleweir/servers/membership/upstream_table.h
+++ b/include/spindleweir/servers/membership/upstream_table.h
@@ -79,7 +79,7 @@
   }
 };
 
-/// The heartbeats of a table in a message; allZero if the table is null. Throws
+/// The heartbeats of a table in a message; none if the table is null. Throws
 /// kBadField if aTable is not a table.
 std::vector<UpstreamHeartbeat> ReadHeartbeats(
     const Json::Value& aTable, const InvalidRowHook& aOnInvalid = {});
--- a/servers/membership/upstream_feed.cpp
+++ b/servers/membership/upstream_feed.cpp
@@ -8,8 +8,9 @@
 
 namespace {
 
-/// Batches are stored up to this many times the rows of the full list: for a
-/// poller that lacks more than that, the full list is smaller.
+/// Batches are stored up to this many times the rows of the full list, but at
+/// least kMinRetainedRows rows: a poller that lacks more than that is served
+/// better by the full list.
 constexpr std::size_t kRetainedRowsFactor = 2;
 constexpr std::size_t kMinRetainedRows = 200;
 
--- a/servers/membership/upstream_table.cpp
+++ b/servers/membership/upstream_table.cpp
@@ -17,9 +17,9 @@
  public:
   explicit NameIndex(std::vector<std::string>& aNames) : mNames(aNames) {}
 
-  int NumberOf(const std::string& aName) {
+  int IndexOf(const std::string& aName) {
     const auto [it, isNew] =
-        mNumbers.try_emplace(aName, static_cast<int>(mNames.size()));
+        mIndices.try_emplace(aName, static_cast<int>(mNames.size()));
     if (isNew) {
       mNames.push_back(aName);
     }
@@ -28,15 +28,15 @@
 
  private:
   std::vector<std::string>& mNames;
-  std::unordered_map<std::string, int> mNumbers;
+  std::unordered_map<std::string, int> mIndices;
 };
 
-const std::string& NameAt(const std::vector<std::string>& aNames, int aNumber) {
-  if (aNumber < 0 || static_cast<std::size_t>(aNumber) >= aNames.size()) {
+const std::string& NameAt(const std::vector<std::string>& aNames, int aIndex) {
+  if (aIndex < 0 || static_cast<std::size_t>(aIndex) >= aNames.size()) {
     throw Error(ResultCode::kBadField,
                 "the index of a name of an upstream is out of range");
   }
-  return aNames[static_cast<std::size_t>(aNumber)];
+  return aNames[static_cast<std::size_t>(aIndex)];
 }
 
 UpstreamState StateAt(int aState) {
@@ -116,9 +116,9 @@
   for (const UpstreamRecord& record : aRecords) {
     table.mInstances.push_back(record.mInstance);
     table.mAddresses.push_back(record.mAddress);
-    table.mServices.push_back(names.NumberOf(record.mService));
-    table.mZones.push_back(names.NumberOf(record.mZone));
-    table.mKinds.push_back(names.NumberOf(record.mKind));
+    table.mServices.push_back(names.IndexOf(record.mService));
+    table.mZones.push_back(names.IndexOf(record.mZone));
+    table.mKinds.push_back(names.IndexOf(record.mKind));
     table.mSlots.push_back(record.mSlots);
     table.mStates.push_back(static_cast<int>(record.mState));
     table.mFroms.push_back(record.mLayers.mFrom);
