--- a/servers/consensus/raft_node.cpp
+++ b/servers/consensus/raft_node.cpp
@@ -173,9 +173,10 @@
 
 void RaftNode::HandleVoteReply(const RaftMessage& aMessage) {
   const bool pre = aMessage.mKind == RaftKind::kPreVoteReply;
-  const RaftRole wanted = pre ? RaftRole::kPreCandidate : RaftRole::kCandidate;
+  const RaftRole requiredRole =
+      pre ? RaftRole::kPreCandidate : RaftRole::kCandidate;
   const std::int64_t term = pre ? mHardState.mTerm + 1 : mHardState.mTerm;
-  if (mRole != wanted || aMessage.mTerm != term || !aMessage.mGranted ||
+  if (mRole != requiredRole || aMessage.mTerm != term || !aMessage.mGranted ||
       !IsVoter(aMessage.mFrom)) {
     return;
   }
--- a/servers/consensus/raft_replication.cpp
+++ b/servers/consensus/raft_replication.cpp
@@ -48,17 +48,17 @@
   }
   for (std::size_t i = 0; i < aMessage.mEntries.size(); i++) {
     const LogEntry& entry = aMessage.mEntries[i];
-    const bool known =
+    const bool isStored =
         entry.mIndex <= mSnapshot.mIndex ||
         (entry.mIndex <= LastIndex() && TermAt(entry.mIndex) == entry.mTerm);
-    if (known) {
+    if (isStored) {
       continue;
     }
-    const auto fresh = std::span(aMessage.mEntries).subspan(i);
-    mOptions.mStorage->Append(fresh);
+    const auto newEntries = std::span(aMessage.mEntries).subspan(i);
+    mOptions.mStorage->Append(newEntries);
     mEntries.resize(
         static_cast<std::size_t>(entry.mIndex - mSnapshot.mIndex - 1));
-    mEntries.insert(mEntries.end(), fresh.begin(), fresh.end());
+    mEntries.insert(mEntries.end(), newEntries.begin(), newEntries.end());
     RefreshVoters();
     break;
   }
--- a/servers/placement/layer_groups.cpp
+++ b/servers/placement/layer_groups.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Engines that hold the same layers.
+/// Number of engines in a group; they hold the same layers.
 constexpr int kEnginesPerGroup = 2;
 
 /// The engines of one accelerator kind, and how many layers each can hold if it
@@ -132,8 +132,8 @@
           {{kind.mEngines[n], kind.mEngines[n + 1]}, kind.mMaxLayersShared});
     }
   }
-  // A stream that loses its first engine restarts at all of its engines, so the
-  // first layers go to engines that share them.
+  // A stream that loses its first engine restarts at all its other engines, so
+  // the first layers go to engines that share them.
   std::stable_sort(groups.begin(), groups.end(),
                    [](const Group& aLeft, const Group& aRight) {
                      return aLeft.mEngines.size() > aRight.mEngines.size();
--- a/servers/placement/zone_cells.cpp
+++ b/servers/placement/zone_cells.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Minimum number of engines in a cell. The zone value is verified for zones of
+/// Minimum number of engines in a cell. The zone value is known to fit zones of
 /// 33 to 43 engines; placing 25 cells of this size takes 50 ms of CPU time.
 constexpr std::size_t kEnginesPerCell = 40;
 /// A cell has memory for at least this many copies of the weights, so that it
--- a/servers/placement/zone_value.cpp
+++ b/servers/placement/zone_value.cpp
@@ -54,8 +54,8 @@
     }
   }
   const auto servedShare = [&aProfile](double aCapacity) {
-    const double wanted = aProfile.mCapacityTokens;
-    return wanted <= 0 ? 1 : std::clamp(aCapacity / wanted, 0.0, 1.0);
+    const double demand = aProfile.mCapacityTokens;
+    return demand <= 0 ? 1 : std::clamp(aCapacity / demand, 0.0, 1.0);
   };
   ZoneValue value;
   double current = 1;
--- a/tests/servers/layers_test.cpp
+++ b/tests/servers/layers_test.cpp
@@ -223,7 +223,7 @@
 
 /// Capacity in tokens of the layer with the least.
 double MinCapacity(const EngineProfile& aProfile, const EngineSet& aEngines) {
-  double least = 1e12;
+  double minimum = 1e12;
   for (int layer = 0; layer < aProfile.mLayers; layer++) {
     double room = 0;
     for (const UpstreamRecord& record : aEngines.mRecords) {
@@ -233,9 +233,9 @@
         room += model.RequestCapacity(layers.Count()) / layers.Count();
       }
     }
-    least = std::min(least, room);
+    minimum = std::min(minimum, room);
   }
-  return least;
+  return minimum;
 }
 
 }  // namespace
--- a/tests/servers/placement_test.cpp
+++ b/tests/servers/placement_test.cpp
@@ -194,14 +194,14 @@
                               .mUnusable = unusable});
   const Configuration accepted = Accepted(plan);
   engines.resize(6);
-  const Plan cut = MakePlan({.mIntent = intent,
-                             .mCurrent = accepted,
-                             .mEngines = engines,
-                             .mUnusable = unusable});
+  const Plan partitioned = MakePlan({.mIntent = intent,
+                                     .mCurrent = accepted,
+                                     .mEngines = engines,
+                                     .mUnusable = unusable});
   const auto inY = std::count_if(
-      cut.mPlacement.begin(), cut.mPlacement.end(),
+      partitioned.mPlacement.begin(), partitioned.mPlacement.end(),
       [](const StagePlacement& aStage) { return aStage.mZone == "y"; });
-  CHECK(inY == 6 && !cut.mWarnings.empty());
+  CHECK(inY == 6 && !partitioned.mWarnings.empty());
 }
 
 Test(placement, zone_and_hardware_limits_are_respected) {
