--- a/drivers/stream_server.cpp
+++ b/drivers/stream_server.cpp
@@ -173,7 +173,8 @@
     throw Error(ResultCode::kCannotListen,
                 "cannot listen on " + mOptions.mListen.Text());
   }
-  if (mOptions.mMemory != nullptr && mOptions.mMemory->Options().mSocketBuffer > 0) {
+  if (mOptions.mMemory != nullptr &&
+      mOptions.mMemory->Options().mSocketBuffer > 0) {
     // Accepted connections have it from their start.
     SetWindow(evconnlistener_get_fd(mListener),
               mOptions.mMemory->Options().mSocketBuffer);
@@ -211,7 +212,8 @@
 
 void StreamServer::WatchMemory() {
   if (mMemoryTimer == nullptr) {
-    mMemoryTimer = mLoop.Every(MemoryBudget::kTickInterval, [this] { CheckMemory(); });
+    mMemoryTimer =
+        mLoop.Every(MemoryBudget::kTickInterval, [this] { CheckMemory(); });
   }
 }
 
