--- a/servers/routing/chain_chooser.cpp
+++ b/servers/routing/chain_chooser.cpp
@@ -179,15 +179,18 @@
   std::span<const ChainCandidate> mCandidates;
   const ChainQuery& mQuery;
   ChainChoice& mChoice;
-  std::vector<std::size_t> mAdmitted;  ///< Admitted candidates.
-  std::vector<std::size_t>
-      mAdmittedZones;  ///< Zone of each admitted candidate.
+  /// Indices of the admitted candidates.
+  std::vector<std::size_t> mAdmitted;
+  /// Zone index of each admitted candidate.
+  std::vector<std::size_t> mAdmittedZones;
   std::vector<std::string> mZones;
+  /// By index of the first zone, then of the second.
   std::vector<double> mLinkMillis;
+  /// By zone index.
   std::vector<double> mHomeLinkMillis;
   std::vector<Node> mNodes;
-  std::vector<std::vector<std::size_t>>
-      mNodesAt;  ///< Node indices by boundary.
+  /// Node indices by boundary.
+  std::vector<std::vector<std::size_t>> mNodesAt;
 };
 
 }  // namespace
--- a/tests/servers/choice_test.cpp
+++ b/tests/servers/choice_test.cpp
@@ -48,7 +48,7 @@
   ChoicePlayOptions play = LargeFleet();
   play.mRouters = 100;
   play.mLength = 6000;
-  SECTION("with the cheapest path alone more than a third are refused") {
+  SECTION("with the cheapest path alone a third or more are refused") {
     play.mRule = ChoiceRule::kCheapest;
     const ChoicePlayResult result = PlayChoices(play);
     CHECK(result.RefusedShare() > 0.33);
--- a/tests/servers/retry_pool_test.cpp
+++ b/tests/servers/retry_pool_test.cpp
@@ -51,7 +51,8 @@
   CHECK(granted == 32);
   CHECK(granted > 7 * equalPart);
   SECTION(
-      "until the part of the control is spent, for the rest of the window") {
+      "grants stop when the control's part is spent, until the window has "
+      "passed") {
     CHECK(pool.Grant(1000, third, kNow) < 40);
     CHECK(pool.Grant(1, third, kNow) == 0);
     CHECK(pool.Grant(1, third, kNow + 5000) == 0);
@@ -62,7 +63,7 @@
 Test(retry_pool, routers_and_controls_together_keep_to_the_limit) {
   const int before = SpendAll(Options(kOldStart), kNow);
   CHECK(before <= kSlack);
-  SECTION("also if all of them restart within one window") {
+  SECTION("they also keep to it if all of them restart within one window") {
     CHECK(before + SpendAll(Options(kNow), kNow) <= kSlack);
   }
 }
--- a/tests/servers/slowdown_test.cpp
+++ b/tests/servers/slowdown_test.cpp
@@ -282,7 +282,7 @@
 
 Test(slowdown, callers_are_served_on_time_with_two_in_five_engines_slow) {
   ChoicePlayOptions play = SlowPlay();
-  SECTION("without slowdown detection more than a third are late") {
+  SECTION("without slowdown detection a third or more are late") {
     play.mPaceRule = PaceRule::kNone;
     CHECK(PlayChoices(play).LateShare() > 0.33);
   }
