--- a/tests/fuzz/crash_ledger_fuzz.cpp
+++ b/tests/fuzz/crash_ledger_fuzz.cpp
@@ -104,20 +104,20 @@
   }
 
   /// Delivers a message. It stays stored, so it may be delivered again.
-  void Deliver(std::size_t aWhich) {
-    for (CrashRecord record : mMessages[aWhich].mRecords) {
+  void Deliver(std::size_t aMessage) {
+    for (CrashRecord record : mMessages[aMessage].mRecords) {
       for (ObservedCrash& crash : record.mCrashes) {
-        crash.mAgo += mNow - mMessages[aWhich].mAt;
-        mKnown[mMessages[aWhich].mTo][record.mRequestDigest].insert(
+        crash.mAgo += mNow - mMessages[aMessage].mAt;
+        mKnown[mMessages[aMessage].mTo][record.mRequestDigest].insert(
             crash.mIncarnation);
         if (mDefect == Defect::kDropsExcuses) {
           crash.mExcused = false;
         }
         if (mDefect == Defect::kCountsMessagesAsCrashes) {
-          crash.mIncarnation += "+" + std::to_string(mMessages[aWhich].mTo);
+          crash.mIncarnation += "+" + std::to_string(mMessages[aMessage].mTo);
         }
       }
-      mLedgers[mMessages[aWhich].mTo].Merge(record, mNow);
+      mLedgers[mMessages[aMessage].mTo].Merge(record, mNow);
     }
   }
 
--- a/tests/servers/crash_ledger_test.cpp
+++ b/tests/servers/crash_ledger_test.cpp
@@ -222,12 +222,12 @@
 Test(request_digest, differs_if_any_part_differs) {
   const RequestParts parts{
       .mWorkspace = "w", .mHost = "h", .mTarget = "/t", .mBody = "b"};
-  const std::string content = RequestDigest(parts);
-  CHECK(content == RequestDigest(parts));
+  const std::string digest = RequestDigest(parts);
+  CHECK(digest == RequestDigest(parts));
   for (const RequestParts& other :
        {RequestParts{"x", "h", "/t", "b"}, RequestParts{"w", "x", "/t", "b"},
         RequestParts{"w", "h", "/x", "b"}, RequestParts{"w", "h", "/t", "x"},
         RequestParts{"w", "h", "/tb", ""}}) {
-    CHECK(content != RequestDigest(other));
+    CHECK(digest != RequestDigest(other));
   }
 }
--- a/tests/servers/shutdown_admission_test.cpp
+++ b/tests/servers/shutdown_admission_test.cpp
@@ -13,11 +13,12 @@
 
 ShutdownAdmission WithSamples() {
   ShutdownAdmission admission({.mGrace = 7700});
-  for (int millisPerToken = 1; millisPerToken <= 64; millisPerToken++) {
+  for (int halfMillisPerToken = 1; halfMillisPerToken <= 64;
+       halfMillisPerToken++) {
     // The time per token is recorded, so the expected tokens don't matter.
-    const double tokens = millisPerToken % 2 == 0 ? 100 : 300;
+    const double tokens = halfMillisPerToken % 2 == 0 ? 100 : 300;
     admission.Record("model", tokens,
-                     static_cast<Millis>(tokens * millisPerToken / 2));
+                     static_cast<Millis>(tokens * halfMillisPerToken / 2));
   }
   admission.Record("plain", 0, 20);
   return admission;
