--- a/daemons/router/caller_api.cpp
+++ b/daemons/router/caller_api.cpp
@@ -15,31 +15,31 @@
 constexpr int kHttpOk = 200;
 constexpr const char* kTextType = "text/plain; charset=utf-8";
 constexpr std::string_view kServicePrefix = "/v1/services/";
-constexpr std::size_t kMaximumKeyLength = 255;
-constexpr std::size_t kMaximumBody = 1024 * 1024;
-constexpr Millis kMostDeadline = 3600 * 1000;
-constexpr int kMostPriority = 10;
+constexpr std::size_t kMaxIdempotencyKeyLength = 255;
+constexpr std::size_t kMaxBodyBytes = 1024 * 1024;
+constexpr Millis kMaxDeadline = 3600 * 1000;
+constexpr int kMaxPriority = 10;
 constexpr Millis kNotReadyRetryAfter = 1000;
 
 /// A whole number in a header, within bounds.
-std::int64_t NumberOf(std::string_view aText, const char* aHeader,
-                      std::int64_t aLeast, std::int64_t aMost) {
+std::int64_t ParseNumberHeader(std::string_view aText, const char* aHeader,
+                               std::int64_t aMin, std::int64_t aMax) {
   std::int64_t number = 0;
   const char* end = aText.data() + aText.size();
   const auto [stop, ec] = std::from_chars(aText.data(), end, number);
-  if (ec != std::errc() || stop != end || number < aLeast || number > aMost) {
+  if (ec != std::errc() || stop != end || number < aMin || number > aMax) {
     throw Error(ResultCode::kBadHeader,
                 std::string(aHeader) + " must be a whole number from " +
-                    std::to_string(aLeast) + " to " + std::to_string(aMost));
+                    std::to_string(aMin) + " to " + std::to_string(aMax));
   }
   return number;
 }
 
-void CheckKey(std::string_view aKey) {
+void CheckIdempotencyKey(std::string_view aKey) {
   const bool printable = std::all_of(
       aKey.begin(), aKey.end(),
       [](unsigned char aByte) { return aByte >= 0x20 && aByte < 0x7f; });
-  if (aKey.size() > kMaximumKeyLength || !printable) {
+  if (aKey.size() > kMaxIdempotencyKeyLength || !printable) {
     throw Error(ResultCode::kBadHeader,
                 "Idempotency-Key must be at most 255 printable characters");
   }
@@ -65,7 +65,7 @@
 }
 
 void CallerApi::Route(const std::shared_ptr<HttpExchange>& aExchange) {
-  if (aExchange->Body().size() > kMaximumBody) {
+  if (aExchange->Body().size() > kMaxBodyBytes) {
     throw Error(ResultCode::kBodyTooLarge,
                 "a body must have at most 1048576 bytes");
   }
@@ -104,15 +104,17 @@
   }
 }
 
-CallerRequest CallerApi::Check(const std::shared_ptr<HttpExchange>& aExchange) {
-  if (mContext.mRefusing) {
+CallerRequest CallerApi::CheckRequest(
+    const std::shared_ptr<HttpExchange>& aExchange) {
+  if (mContext.mRejectingRequests) {
     throw Error(ResultCode::kStopping, "this router is stopping");
   }
   if (!mContext.mReady && !mContext.mStopping) {
     throw Error(ResultCode::kNotReady, "no accepted configuration yet");
   }
-  const WorkspaceSpec* workspace = FindWorkspaceByKey(
-      mContext.Accepted().mIntent, Sha256Hex(aExchange->BearerKey()));
+  const WorkspaceSpec* workspace =
+      FindWorkspaceByKey(mContext.AcceptedConfiguration().mIntent,
+                         Sha256Hex(aExchange->BearerKey()));
   if (workspace == nullptr) {
     throw Error(ResultCode::kUnauthorized, "the bearer key is not known");
   }
@@ -121,16 +123,17 @@
   request.mExchange = aExchange;
   request.mStarted = SteadyNow();
   request.mIdempotencyKey = aExchange->Header("Idempotency-Key");
-  CheckKey(request.mIdempotencyKey);
+  CheckIdempotencyKey(request.mIdempotencyKey);
   const std::string_view deadline = aExchange->Header("X-Deadline-Ms");
   if (!deadline.empty()) {
-    request.mDeadline = request.mStarted +
-                        NumberOf(deadline, "X-Deadline-Ms", 1, kMostDeadline);
+    request.mDeadline =
+        request.mStarted +
+        ParseNumberHeader(deadline, "X-Deadline-Ms", 1, kMaxDeadline);
   }
   const std::string_view priority = aExchange->Header("X-Priority");
   if (!priority.empty()) {
     request.mPriority = static_cast<int>(
-        NumberOf(priority, "X-Priority", -kMostPriority, kMostPriority));
+        ParseNumberHeader(priority, "X-Priority", -kMaxPriority, kMaxPriority));
   }
   request.mId = mContext.NextRequestId();
   return request;
@@ -138,9 +141,10 @@
 
 void CallerApi::StartCompletion(const std::shared_ptr<HttpExchange>& aExchange,
                                 bool aChat) {
-  CallerRequest request = Check(aExchange);
+  CallerRequest request = CheckRequest(aExchange);
   CompletionBody body = ReadCompletion(aExchange->Body(), aChat);
-  const ModelSpec* model = FindModel(mContext.Accepted().mIntent, body.mModel);
+  const ModelSpec* model =
+      FindModel(mContext.AcceptedConfiguration().mIntent, body.mModel);
   if (model == nullptr) {
     throw Error(ResultCode::kUnknownModel, "no model " + body.mModel);
   }
@@ -155,12 +159,13 @@
 }
 
 void CallerApi::StartService(const std::shared_ptr<HttpExchange>& aExchange) {
-  CallerRequest request = Check(aExchange);
+  CallerRequest request = CheckRequest(aExchange);
   const std::string_view rest =
       std::string_view(aExchange->Path()).substr(kServicePrefix.size());
   const std::size_t slash = std::min(rest.find('/'), rest.size());
   const std::string name(rest.substr(0, slash));
-  const ServiceSpec* service = FindService(mContext.Accepted().mIntent, name);
+  const ServiceSpec* service =
+      FindService(mContext.AcceptedConfiguration().mIntent, name);
   if (service == nullptr) {
     throw Error(ResultCode::kNotFound, "no service " + name);
   }
@@ -179,11 +184,12 @@
 }
 
 void CallerApi::ListModels(const std::shared_ptr<HttpExchange>& aExchange) {
-  const CallerRequest request = Check(aExchange);
+  const CallerRequest request = CheckRequest(aExchange);
   Json::Value list(Json::objectValue);
   list["object"] = "list";
   list["data"] = Json::Value(Json::arrayValue);
-  for (const ModelSpec& model : mContext.Accepted().mIntent.mModels) {
+  for (const ModelSpec& model :
+       mContext.AcceptedConfiguration().mIntent.mModels) {
     if (!Allows(request.mWorkspace.mModels, model.mName)) {
       continue;
     }
--- a/daemons/router/caller_api.h
+++ b/daemons/router/caller_api.h
@@ -19,14 +19,14 @@
 
  private:
   void Route(const std::shared_ptr<HttpExchange>& aExchange);
-  CallerRequest Check(const std::shared_ptr<HttpExchange>& aExchange);
+  CallerRequest CheckRequest(const std::shared_ptr<HttpExchange>& aExchange);
   void StartCompletion(const std::shared_ptr<HttpExchange>& aExchange,
                        bool aChat);
   void StartService(const std::shared_ptr<HttpExchange>& aExchange);
   void ListModels(const std::shared_ptr<HttpExchange>& aExchange);
 
   RouterContext& mContext;
-  ClaimGate mClaims;
+  ClaimClient mClaims;
 };
 
 }  // namespace spindleweir
--- a/daemons/router/caller_work.cpp
+++ b/daemons/router/caller_work.cpp
@@ -5,35 +5,37 @@
 
 namespace spindleweir {
 
-CallerWork::CallerWork(RouterContext& aContext, ClaimGate& aClaims,
-                       CallerRequest aRequest, const std::string& aTarget)
+RequestHandler::RequestHandler(RouterContext& aContext, ClaimClient& aClaims,
+                               CallerRequest aRequest,
+                               const std::string& aTarget)
     : mContext(aContext), mClaims(aClaims), mRequest(std::move(aRequest)) {
   mReceipt.mRequest = mRequest.mId;
   mReceipt.mWorkspace = mRequest.mWorkspace.mName;
   mReceipt.mTarget = aTarget;
   mReceipt.mRouter = mContext.mOptions.mId;
   mReceipt.mZone = mContext.mOptions.mZone;
-  mReceipt.mConfigurationVersion = mContext.Accepted().mVersion;
+  mReceipt.mConfigurationVersion = mContext.AcceptedConfiguration().mVersion;
   mReceipt.mStartedWall = WallNow();
 }
 
-void CallerWork::Open(std::shared_ptr<void> aSelf) {
+void RequestHandler::Open(std::shared_ptr<void> aSelf) {
   mSelf = std::move(aSelf);
   mContext.mOpenRequests++;
 }
 
-void CallerWork::AskForPlace(
+void RequestHandler::RequestAdmission(
     double aServiceMillis, std::function<void(const AdmissionOutcome&)> aDone) {
   AdmissionRequest ask;
   ask.mWorkspace = mRequest.mWorkspace.mName;
   ask.mPriority = mRequest.mPriority;
   ask.mDeadline = mRequest.mDeadline;
   ask.mServiceMillis = aServiceMillis;
-  mTicket = mContext.Ask(ask, std::move(aDone));
+  mTicket = mContext.SubmitForAdmission(ask, std::move(aDone));
 }
 
-void CallerWork::ReplyWithError(ResultCode aCode, const std::string& aMessage,
-                                Millis aRetryAfter) {
+void RequestHandler::ReplyWithError(ResultCode aCode,
+                                    const std::string& aMessage,
+                                    Millis aRetryAfter) {
   mRequest.mExchange->AddHeader("X-Request-Id", mRequest.mId);
   ReplyError(*mRequest.mExchange, {.mCode = aCode,
                                    .mMessage = aMessage,
@@ -41,7 +43,7 @@
                                    .mRetryAfter = aRetryAfter});
 }
 
-void CallerWork::SettleClaim(bool aMayHaveRun) {
+void RequestHandler::SettleClaim(bool aMayHaveRun) {
   if (!mClaimHeld) {
     return;
   }
@@ -53,8 +55,8 @@
   }
 }
 
-void CallerWork::FinishClaim(const StoredAnswer& aAnswer,
-                             std::function<void()> aThen) {
+void RequestHandler::FinishClaim(const StoredAnswer& aAnswer,
+                                 std::function<void()> aThen) {
   if (!mClaimHeld) {
     aThen();
     return;
@@ -63,7 +65,8 @@
   mClaims.Finish(mClaim, ClaimState::kDone, aAnswer, std::move(aThen));
 }
 
-void CallerWork::Close(ResultCode aCode, Ran aRan, int aTokens, int aAttempts) {
+void RequestHandler::Close(ResultCode aCode, Ran aRan, int aTokens,
+                           int aAttempts) {
   mContext.WithdrawTicket(mTicket);
   const ResultCodeInfo& info = InfoOf(aCode);
   mReceipt.mDurationMillis = SteadyNow() - mRequest.mStarted;
@@ -82,9 +85,9 @@
       .Add("tokens", aTokens)
       .Add("attempts", aAttempts)
       .Add("took_ms", static_cast<Json::Int64>(mReceipt.mDurationMillis));
-  if (mPlaced) {
-    mPlaced = false;
-    mContext.ReleasePlace(mRequest.mWorkspace.mName);
+  if (mHoldsSlot) {
+    mHoldsSlot = false;
+    mContext.ReleaseSlot(mRequest.mWorkspace.mName);
   }
   mContext.mOpenRequests--;
   // Whoever called this is still on the stack.
--- a/daemons/router/caller_work.h
+++ b/daemons/router/caller_work.h
@@ -28,20 +28,20 @@
   }
 };
 
-/// Work for one request. It holds itself from Open() until after Close().
-class CallerWork {
+/// Tick for one request. It holds itself from Open() until after Close().
+class RequestHandler {
  protected:
   /// aTarget: the model or service.
-  CallerWork(RouterContext& aContext, ClaimGate& aClaims,
-             CallerRequest aRequest, const std::string& aTarget);
-  ~CallerWork() = default;
-  CallerWork(const CallerWork&) = delete;
-  CallerWork& operator=(const CallerWork&) = delete;
+  RequestHandler(RouterContext& aContext, ClaimClient& aClaims,
+                 CallerRequest aRequest, const std::string& aTarget);
+  ~RequestHandler() = default;
+  RequestHandler(const RequestHandler&) = delete;
+  RequestHandler& operator=(const RequestHandler&) = delete;
 
   void Open(std::shared_ptr<void> aSelf);
   /// Asks for a place; aDone is called once, unless the work ends before.
-  void AskForPlace(double aServiceMillis,
-                   std::function<void(const AdmissionOutcome&)> aDone);
+  void RequestAdmission(double aServiceMillis,
+                        std::function<void(const AdmissionOutcome&)> aDone);
   /// Sends an error as the whole answer.
   void ReplyWithError(ResultCode aCode, const std::string& aMessage,
                       Millis aRetryAfter);
@@ -56,12 +56,12 @@
   void Close(ResultCode aCode, Ran aRan, int aTokens, int aAttempts);
 
   RouterContext& mContext;
-  ClaimGate& mClaims;
+  ClaimClient& mClaims;
   CallerRequest mRequest;
   Receipt mReceipt;
   ClaimRecord mClaim;
   bool mClaimHeld = false;
-  bool mPlaced = false;  ///< Holds a place of the limiter.
+  bool mHoldsSlot = false;  ///< Holds a place of the limiter.
 
  private:
   std::uint64_t mTicket = 0;
--- a/daemons/router/claim_gate.cpp
+++ b/daemons/router/claim_gate.cpp
@@ -11,50 +11,51 @@
 namespace {
 
 constexpr const char* kClaimMethod = "claim.ask";
-constexpr Millis kAskTimeout = 1000;
-constexpr Millis kTellTimeout = 2000;
-constexpr Millis kTellAgain = 500;
-constexpr int kTellTries = 240;
+constexpr Millis kAcquireTimeout = 1000;
+constexpr Millis kReportTimeout = 2000;
+constexpr Millis kReportRetryDelay = 500;
+constexpr int kMaxReportAttempts = 240;
 /// An answer waits no longer for keepers to hold it. A round to them and their
 /// disks takes some 5 ms; where no majority of them is left, the caller's
 /// answer goes before what a resend of it would be told.
-constexpr Millis kKeptWait = 1000;
-constexpr std::size_t kMaximumAnswerBytes = 64 * 1024;
+constexpr Millis kStorageTimeout = 1000;
+constexpr std::size_t kMaxStoredAnswerBytes = 64 * 1024;
 /// Longer than any call may take: a claim held for longer has lost its owner.
-constexpr Millis kStaleClaim = 120 * 1000;
+constexpr Millis kStaleClaimAge = 120 * 1000;
 
 /// One round, shared by the replies that it waits for.
-struct OpenRound {
+struct PendingRound {
   ClaimRound mRound;
   std::function<void(const ClaimOutcome&)> mDone;
 };
 
-void Settle(const std::shared_ptr<OpenRound>& aOpen) {
-  if (aOpen->mRound.Verdict() == ClaimVerdict::kPending || !aOpen->mDone) {
+void Settle(const std::shared_ptr<PendingRound>& aPending) {
+  if (aPending->mRound.Verdict() == ClaimVerdict::kPending ||
+      !aPending->mDone) {
     return;
   }
-  const auto done = std::move(aOpen->mDone);
-  aOpen->mDone = nullptr;
-  done({aOpen->mRound.Verdict(), aOpen->mRound.Request(),
-        aOpen->mRound.Earlier()});
+  const auto done = std::move(aPending->mDone);
+  aPending->mDone = nullptr;
+  done({aPending->mRound.Verdict(), aPending->mRound.Request(),
+        aPending->mRound.Earlier()});
 }
 
 /// Counts the keepers that have an outcome, and calls back once.
-class KeptCount {
+class StorageQuorum {
  public:
-  KeptCount(std::size_t aKeepers, std::function<void()> aKept)
-      : mKeepers(aKeepers), mKept(std::move(aKept)) {}
+  StorageQuorum(std::size_t aKeepers, std::function<void()> aOnStored)
+      : mKeepers(aKeepers), mOnStored(std::move(aOnStored)) {}
 
-  void Told() {
-    mTold++;
-    if (mTold * 2 > mKeepers) {
+  void OnAcknowledged() {
+    mAcknowledged++;
+    if (mAcknowledged * 2 > mKeepers) {
       Settle();
     }
   }
 
   void Settle() {
     mTimer.reset();
-    const std::function<void()> kept = std::exchange(mKept, nullptr);
+    const std::function<void()> kept = std::exchange(mOnStored, nullptr);
     if (kept) {
       kept();
     }
@@ -64,8 +65,8 @@
 
  private:
   std::size_t mKeepers;
-  std::size_t mTold = 0;
-  std::function<void()> mKept;
+  std::size_t mAcknowledged = 0;
+  std::function<void()> mOnStored;
 };
 
 }  // namespace
@@ -88,9 +89,9 @@
   return ResultCode::kNoClaimQuorum;
 }
 
-void ClaimGate::Acquire(const std::string& aKey, const std::string& aOwner,
-                        const std::string& aBody,
-                        std::function<void(const ClaimOutcome&)> aDone) {
+void ClaimClient::Acquire(const std::string& aKey, const std::string& aOwner,
+                          const std::string& aBody,
+                          std::function<void(const ClaimOutcome&)> aDone) {
   ClaimRecord asked;
   asked.mKey = aKey;
   asked.mDigest = Sha256Hex(aBody);
@@ -101,13 +102,13 @@
     aDone({ClaimVerdict::kNoQuorum, asked, {}});
     return;
   }
-  const auto open = std::make_shared<OpenRound>(
-      OpenRound{ClaimRound(asked, keepers.size(), WallNow() - kStaleClaim),
-                std::move(aDone)});
+  const auto open = std::make_shared<PendingRound>(PendingRound{
+      ClaimRound(asked, keepers.size(), WallNow() - kStaleClaimAge),
+      std::move(aDone)});
   const ClaimMessage message{ClaimOperation::kAcquire, asked};
   for (const EntryVm& keeper : keepers) {
     mContext.mRpc.Call(
-        keeper.mAddress, kClaimMethod, ToJson(message), kAskTimeout,
+        keeper.mAddress, kClaimMethod, ToJson(message), kAcquireTimeout,
         [open, id = keeper.mId](const RpcResult& aResult) {
           if (aResult.mOk) {
             open->mRound.OnReply(id, FromJson<ClaimReply>(aResult.mAnswer));
@@ -119,20 +120,20 @@
   }
 }
 
-void ClaimGate::Release(const ClaimRecord& aRecord) {
+void ClaimClient::Release(const ClaimRecord& aRecord) {
   const ClaimMessage message{ClaimOperation::kRelease, aRecord};
   for (const EntryVm& keeper :
        mContext.mEntryVms.Current().OfRole(EntryRole::kControl)) {
-    Tell(keeper, message, kTellTries, nullptr);
+    SendUntilAcknowledged(keeper, message, kMaxReportAttempts, nullptr);
   }
 }
 
-void ClaimGate::Finish(ClaimRecord aRecord, ClaimState aState,
-                       const StoredAnswer& aAnswer,
-                       std::function<void()> aKept) {
+void ClaimClient::Finish(ClaimRecord aRecord, ClaimState aState,
+                         const StoredAnswer& aAnswer,
+                         std::function<void()> aOnStored) {
   aRecord.mState = aState;
   aRecord.mAnswer = aAnswer;
-  if (aRecord.mAnswer.mBody.size() > kMaximumAnswerBytes) {
+  if (aRecord.mAnswer.mBody.size() > kMaxStoredAnswerBytes) {
     aRecord.mAnswer.mBody.clear();
     aRecord.mAnswer.mBodyStored = false;
   }
@@ -140,9 +141,10 @@
   const std::vector<EntryVm> keepers =
       mContext.mEntryVms.Current().OfRole(EntryRole::kControl);
   const auto count =
-      std::make_shared<KeptCount>(keepers.size(), std::move(aKept));
+      std::make_shared<StorageQuorum>(keepers.size(), std::move(aOnStored));
   for (const EntryVm& keeper : keepers) {
-    Tell(keeper, message, kTellTries, [count] { count->Told(); });
+    SendUntilAcknowledged(keeper, message, kMaxReportAttempts,
+                          [count] { count->OnAcknowledged(); });
   }
   if (keepers.empty()) {
     count->Settle();
@@ -150,7 +152,7 @@
   }
   // The messages under way hold the count, its timer does not.
   count->mTimer = mContext.mLoop.AfterRunning(
-      kKeptWait, [this, weak = std::weak_ptr<KeptCount>(count)] {
+      kStorageTimeout, [this, weak = std::weak_ptr<StorageQuorum>(count)] {
         mContext.mCounters.Add("claim_outcomes_late");
         if (const auto late = weak.lock()) {
           late->Settle();
@@ -158,28 +160,32 @@
       });
 }
 
-void ClaimGate::Tell(const EntryVm& aKeeper, const ClaimMessage& aMessage,
-                     int aTries, const std::function<void()>& aTold) {
-  if (aTries == 0) {
+void ClaimClient::SendUntilAcknowledged(
+    const EntryVm& aKeeper, const ClaimMessage& aMessage, int aAttemptsLeft,
+    const std::function<void()>& aOnAcknowledged) {
+  if (aAttemptsLeft == 0) {
     mContext.mCounters.Add("claim_outcomes_untold");
     LogLine(LogLevel::kWarning, "claim_outcome_untold")
         .Add("keeper", aKeeper.mId);
     return;
   }
   mContext.mRpc.Call(
-      aKeeper.mAddress, kClaimMethod, ToJson(aMessage), kTellTimeout,
-      [this, aKeeper, aMessage, aTries, aTold](const RpcResult& aResult) {
+      aKeeper.mAddress, kClaimMethod, ToJson(aMessage), kReportTimeout,
+      [this, aKeeper, aMessage, aAttemptsLeft,
+       aOnAcknowledged](const RpcResult& aResult) {
         if (aResult.mOk) {
-          if (aTold) {
-            aTold();
+          if (aOnAcknowledged) {
+            aOnAcknowledged();
           }
           return;
         }
         const auto again = std::make_shared<std::unique_ptr<Timer>>();
         *again = mContext.mLoop.After(
-            kTellAgain, [this, again, aKeeper, aMessage, aTries, aTold] {
+            kReportRetryDelay,
+            [this, again, aKeeper, aMessage, aAttemptsLeft, aOnAcknowledged] {
               again->reset();
-              Tell(aKeeper, aMessage, aTries - 1, aTold);
+              SendUntilAcknowledged(aKeeper, aMessage, aAttemptsLeft - 1,
+                                    aOnAcknowledged);
             });
       });
 }
--- a/daemons/router/claim_gate.h
+++ b/daemons/router/claim_gate.h
@@ -10,17 +10,17 @@
 
 namespace spindleweir {
 
-/// What an asker is told.
+/// What an requester is told.
 struct ClaimOutcome {
   ClaimVerdict mVerdict = ClaimVerdict::kNoQuorum;
-  ClaimRecord mAsked;    ///< To be given back with Release or Finish.
-  ClaimRecord mEarlier;  ///< With kDone: the earlier call's.
+  ClaimRecord mRequested;  ///< To be given back with Release or Finish.
+  ClaimRecord mEarlier;    ///< With kDone: the earlier call's.
 };
 
 /// Every control process is a claim keeper, since it has a disk.
-class ClaimGate {
+class ClaimClient {
  public:
-  explicit ClaimGate(RouterContext& aContext) : mContext(aContext) {}
+  explicit ClaimClient(RouterContext& aContext) : mContext(aContext) {}
 
   /// Takes the key for aOwner. The body is what a resend must equal.
   void Acquire(const std::string& aKey, const std::string& aOwner,
@@ -28,17 +28,18 @@
                std::function<void(const ClaimOutcome&)> aDone);
   /// The call was not dispatched and will not be.
   void Release(const ClaimRecord& aRecord);
-  /// The call ended; told again to each keeper until it has answered. aKept
+  /// The call ended; told again to each keeper until it has answered. aOnStored
   /// (it may be empty) is called once: when a majority of the keepers has the
   /// outcome, so that every later Acquire() learns it, or after a second.
   void Finish(ClaimRecord aRecord, ClaimState aState,
               const StoredAnswer& aAnswer,
-              std::function<void()> aKept = nullptr);
+              std::function<void()> aOnStored = nullptr);
 
  private:
-  /// aTold (it may be empty) is called once the keeper has answered.
-  void Tell(const EntryVm& aKeeper, const ClaimMessage& aMessage, int aTries,
-            const std::function<void()>& aTold);
+  /// aOnAcknowledged (it may be empty) is called once the keeper has answered.
+  void SendUntilAcknowledged(const EntryVm& aKeeper,
+                             const ClaimMessage& aMessage, int aAttemptsLeft,
+                             const std::function<void()>& aOnAcknowledged);
 
   RouterContext& mContext;
 };
--- a/daemons/router/completion.cpp
+++ b/daemons/router/completion.cpp
@@ -11,23 +11,23 @@
 namespace {
 
 constexpr int kHttpOk = 200;
-constexpr int kMaximumAttempts = 8;
-constexpr std::size_t kPushBackBytes = 256 * 1024;
-constexpr Millis kPushBackPeriod = 20;
-constexpr Millis kRetryFirst = 50;
-constexpr Millis kRetryMost = 1000;
-constexpr Millis kWaitForChain = 5000;
+constexpr int kMaxAttempts = 8;
+constexpr std::size_t kMaxPendingBytes = 256 * 1024;
+constexpr Millis kBackpressureInterval = 20;
+constexpr Millis kMinRetryDelay = 50;
+constexpr Millis kMaxRetryDelay = 1000;
+constexpr Millis kChainWaitTimeout = 5000;
 constexpr Millis kNoUpstreamRetryAfter = 1000;
 constexpr std::size_t kBytesPerPromptToken = 4;
 }  // namespace
 
-Completion::Completion(RouterContext& aContext, ClaimGate& aClaims,
+Completion::Completion(RouterContext& aContext, ClaimClient& aClaims,
                        CallerRequest aRequest, CompletionBody aBody,
                        ModelSpec aModel)
-    : CallerWork(aContext, aClaims, std::move(aRequest), aBody.mModel),
+    : RequestHandler(aContext, aClaims, std::move(aRequest), aBody.mModel),
       mBody(std::move(aBody)),
       mModel(std::move(aModel)),
-      mGate(mRequest.mId, mModel.mLayers) {
+      mTokenFilter(mRequest.mId, mModel.mLayers) {
   mReply.mRequest = mRequest.mId;
   mReply.mCreatedWall = mReceipt.mStartedWall;
   mReply.mPromptTokens =
@@ -49,7 +49,7 @@
 
 void Completion::Begin() {
   Open(shared_from_this());
-  mRequest.mExchange->OnClosed([this] { CallerLeft(); });
+  mRequest.mExchange->OnClosed([this] { OnCallerDisconnected(); });
   if (mRequest.mDeadline > 0) {
     const Millis left = std::max<Millis>(0, mRequest.mDeadline - SteadyNow());
     mDeadlineTimer = mContext.mLoop.After(left, [this] {
@@ -58,18 +58,19 @@
            "");
     });
   }
-  AskForPlace(ExpectedMillis() * mBody.mMaximumTokens,
-              [self = shared_from_this()](const AdmissionOutcome& aOutcome) {
-                self->Admitted(aOutcome);
-              });
+  RequestAdmission(
+      ExpectedMillis() * mBody.mMaximumTokens,
+      [self = shared_from_this()](const AdmissionOutcome& aOutcome) {
+        self->OnAdmission(aOutcome);
+      });
 }
 
-void Completion::Admitted(const AdmissionOutcome& aOutcome) {
+void Completion::OnAdmission(const AdmissionOutcome& aOutcome) {
   if (aOutcome.mCode != ResultCode::kOk) {
     Fail(aOutcome.mCode, "", aOutcome.mRetryAfter);
     return;
   }
-  mPlaced = true;
+  mHoldsSlot = true;
   mContext.mRetryBudget.RequestStarted();
   if (mRequest.mIdempotencyKey.empty()) {
     Dispatch();
@@ -80,11 +81,11 @@
   mClaims.Acquire(
       mRequest.ClaimKey("completions"), mRequest.mId,
       mRequest.mExchange->Body(),
-      [self](const ClaimOutcome& aClaim) { self->Claimed(aClaim); });
+      [self](const ClaimOutcome& aClaim) { self->OnClaim(aClaim); });
 }
 
-void Completion::Claimed(const ClaimOutcome& aOutcome) {
-  mClaim = aOutcome.mAsked;
+void Completion::OnClaim(const ClaimOutcome& aOutcome) {
+  mClaim = aOutcome.mRequested;
   if (aOutcome.mVerdict != ClaimVerdict::kGranted) {
     const bool kept = aOutcome.mEarlier.mAnswer.mBodyStored;
     // Grants of a minority must not block a later resend.
@@ -130,29 +131,29 @@
   mPhase = Phase::kRunning;
   mRetryTimer.reset();
   if (!ChooseStages()) {
-    NoChain();
+    HandleMissingChain();
     return;
   }
-  mGate.BeginAttempt();
-  mReceipt.mAttempts.push_back({.mAttempt = mGate.Attempt(),
-                                .mFirstToken = mGate.Delivered(),
+  mTokenFilter.BeginAttempt();
+  mReceipt.mAttempts.push_back({.mAttempt = mTokenFilter.Attempt(),
+                                .mFirstToken = mTokenFilter.Delivered(),
                                 .mStages = mStages});
   for (const StagePlacement& stage : mStages) {
     mContext.mView.Dispatched(stage.mEngine, mContext.mLoop.RunningNow());
   }
   mDispatched = true;
-  mSilences = 0;
-  mLostChainAt = 0;
+  mConsecutiveStalls = 0;
+  mNoChainSince = 0;
   mContext.mCounters.Add("chains_dispatched");
   mCall = mContext.mEngines.Run(
       MakeJob(),
       {.mOnFrame = [this](const TokenFrame& aFrame) { HandleFrame(aFrame); },
        .mOnEnd =
            [this](const HttpResult& aResult) { HandleChainEnd(aResult); }});
-  WatchSilence();
+  StartStallTimer();
 }
 
-void Completion::NoChain() {
+void Completion::HandleMissingChain() {
   if (!mDispatched) {
     Fail(ResultCode::kNoUpstream,
          "no chain of usable engines covers all layers", kNoUpstreamRetryAfter);
@@ -161,18 +162,18 @@
   // A stream under way waits for a stage to come back, in small steps; engines
   // given up before may be the only ones left.
   mExcluded.clear();
-  if (mLostChainAt == 0) {
-    mLostChainAt = SteadyNow();
+  if (mNoChainSince == 0) {
+    mNoChainSince = SteadyNow();
   }
-  if (SteadyNow() - mLostChainAt > kWaitForChain) {
+  if (SteadyNow() - mNoChainSince > kChainWaitTimeout) {
     Fail(ResultCode::kStreamBroken, "no chain of usable engines is left");
     return;
   }
-  mChainWaits++;
-  mRetryTimer =
-      mContext.mLoop.After(BackoffDelay(mChainWaits, kRetryFirst, kRetryMost,
-                                        [this] { return mContext.Random(); }),
-                           [this] { Dispatch(); });
+  mChainRetries++;
+  mRetryTimer = mContext.mLoop.After(
+      BackoffDelay(mChainRetries, kMinRetryDelay, kMaxRetryDelay,
+                   [this] { return mContext.Random(); }),
+      [this] { Dispatch(); });
 }
 
 void Completion::HandleFrame(const TokenFrame& aFrame) {
@@ -184,12 +185,12 @@
     if (!aFrame.mFailed.empty()) {
       failed.insert(aFrame.mFailed);
     }
-    Replace("chain: " + aFrame.mError, failed);
+    ReplaceChain("chain: " + aFrame.mError, failed);
     return;
   }
-  const TokenVerdict verdict = mGate.Check(aFrame);
+  const TokenVerdict verdict = mTokenFilter.Check(aFrame);
   if (verdict == TokenVerdict::kDeliver) {
-    mSilences = 0;
+    mConsecutiveStalls = 0;
     Deliver(aFrame);
     return;
   }
@@ -201,8 +202,8 @@
       .Add("engine", mStages.back().mEngine);
   // A duplicate harms nobody; anything else makes the whole stream doubtful.
   if (verdict != TokenVerdict::kDuplicate) {
-    Replace(std::string("frame refused: ") + NameOf(verdict),
-            {mStages.back().mEngine});
+    ReplaceChain(std::string("frame refused: ") + NameOf(verdict),
+                 {mStages.back().mEngine});
   }
 }
 
@@ -213,26 +214,26 @@
   // Whoever answered with an error is there; a lost connection is a failure
   // of the engine that was asked, the last one.
   const bool refused = aResult.mComplete && aResult.mStatus != kHttpOk;
-  Replace(refused ? "refused with " + std::to_string(aResult.mStatus)
-                  : "connection lost",
-          {mStages.back().mEngine});
+  ReplaceChain(refused ? "refused with " + std::to_string(aResult.mStatus)
+                       : "connection lost",
+               {mStages.back().mEngine});
 }
 
-void Completion::EndAttempt(const char* aHow) {
+void Completion::EndAttempt(const char* aEnding) {
   if (mCall == nullptr) {
     return;
   }
   mCall.reset();
-  mSilenceTimer.reset();
-  mPushBackTimer.reset();
-  mReceipt.mAttempts.back().mEnded = aHow;
+  mStallTimer.reset();
+  mBackpressureTimer.reset();
+  mReceipt.mAttempts.back().mEnded = aEnding;
   for (const StagePlacement& stage : mStages) {
     mContext.mView.Ended(stage.mEngine);
   }
 }
 
-void Completion::Replace(const std::string& aWhy,
-                         const std::set<std::string>& aFailed) {
+void Completion::ReplaceChain(const std::string& aWhy,
+                              const std::set<std::string>& aFailed) {
   EndAttempt("failed");
   bool known = false;
   for (const std::string& engine : aFailed) {
@@ -247,22 +248,22 @@
   }
   LogLine(LogLevel::kWarning, "chain_replaced")
       .Add("request", mRequest.mId)
-      .Add("attempt", mGate.Attempt())
+      .Add("attempt", mTokenFilter.Attempt())
       .Add("why", aWhy)
       .Add("failed", failed)
-      .Add("delivered", mGate.Delivered());
+      .Add("delivered", mTokenFilter.Delivered());
   // A failure of a VM known to be leaving spends nothing of the budget.
-  const bool allowed = mGate.Attempt() < kMaximumAttempts &&
+  const bool allowed = mTokenFilter.Attempt() < kMaxAttempts &&
                        (known || mContext.mRetryBudget.TrySpend());
   if (!allowed) {
     Fail(ResultCode::kStreamBroken, "too many attempts failed: " + aWhy);
     return;
   }
   const Millis delay =
-      mGate.Attempt() < 2
+      mTokenFilter.Attempt() < 2
           ? 0
-          : BackoffDelay(mGate.Attempt() - 1, kRetryFirst, kRetryMost,
-                         [this] { return mContext.Random(); });
+          : BackoffDelay(mTokenFilter.Attempt() - 1, kMinRetryDelay,
+                         kMaxRetryDelay, [this] { return mContext.Random(); });
   mRetryTimer = mContext.mLoop.After(delay, [this] { Dispatch(); });
 }
 
@@ -284,37 +285,37 @@
     if (first || aFrame.mLast) {
       mRequest.mExchange->Write(
           StreamEvent(mBody, mReply, aFrame.mText, first));
-      if (!mEvents.has_value()) {
-        mEvents.emplace(mBody, mReply);
+      if (!mEventWriter.has_value()) {
+        mEventWriter.emplace(mBody, mReply);
       }
     } else {
-      mRequest.mExchange->Write(mEvents->Write(aFrame.mText));
+      mRequest.mExchange->Write(mEventWriter->Write(aFrame.mText));
     }
   }
   if (aFrame.mLast) {
-    FinishWhole();
+    FinishCompletion();
     return;
   }
-  mSilentSince = SteadyNow();
-  PushBack();
+  mLastProgressAt = SteadyNow();
+  ApplyBackpressure();
 }
 
-void Completion::PushBack() {
-  const bool full = mRequest.mExchange->PendingBytes() > kPushBackBytes;
-  if (mCall == nullptr || (!full && mPushBackTimer == nullptr)) {
+void Completion::ApplyBackpressure() {
+  const bool full = mRequest.mExchange->PendingBytes() > kMaxPendingBytes;
+  if (mCall == nullptr || (!full && mBackpressureTimer == nullptr)) {
     return;
   }
   mCall->Pause(full);
   if (!full) {
-    mPushBackTimer.reset();
+    mBackpressureTimer.reset();
     return;
   }
   mContext.mCounters.Add("slow_callers_pushed_back");
-  mPushBackTimer =
-      mContext.mLoop.After(kPushBackPeriod, [this] { PushBack(); });
+  mBackpressureTimer = mContext.mLoop.After(kBackpressureInterval,
+                                            [this] { ApplyBackpressure(); });
 }
 
-void Completion::FinishWhole() {
+void Completion::FinishCompletion() {
   for (const StagePlacement& stage : mStages) {
     mContext.mView.Succeeded(stage.mEngine);
   }
@@ -323,14 +324,15 @@
   for (const std::string& token : mTokens) {
     text += token;
   }
-  const std::string whole = DumpJson(WholeReply(mBody, mReply, text));
-  mPhase = Phase::kKeeping;
+  const std::string whole = DumpJson(FullReply(mBody, mReply, text));
+  mPhase = Phase::kStoring;
   mDeadlineTimer.reset();
-  FinishClaim({.mStatus = kHttpOk, .mType = "application/json", .mBody = whole},
-              [self = shared_from_this(), whole] { self->GiveEnd(whole); });
+  FinishClaim(
+      {.mStatus = kHttpOk, .mType = "application/json", .mBody = whole},
+      [self = shared_from_this(), whole] { self->SendFinalAnswer(whole); });
 }
 
-void Completion::GiveEnd(const std::string& aWhole) {
+void Completion::SendFinalAnswer(const std::string& aFullAnswer) {
   if (mStreaming) {
     if (mBody.mIncludeUsage) {
       mRequest.mExchange->Write(UsageEvent(mBody, mReply));
@@ -339,7 +341,7 @@
     mRequest.mExchange->EndStream();
   } else {
     mRequest.mExchange->AddHeader("X-Request-Id", mRequest.mId);
-    mRequest.mExchange->Reply(kHttpOk, "application/json", aWhole);
+    mRequest.mExchange->Reply(kHttpOk, "application/json", aFullAnswer);
   }
   End(ResultCode::kOk, Ran::kYes);
 }
@@ -351,7 +353,7 @@
   }
   EndAttempt("failed");
   if (mStreaming) {
-    mRequest.mExchange->Write(AsEvent(ErrorBody(
+    mRequest.mExchange->Write(ToEvent(ErrorBody(
         {.mCode = aCode, .mMessage = aMessage, .mRequest = mRequest.mId})));
     mRequest.mExchange->EndStream();
   } else {
@@ -360,12 +362,12 @@
   End(aCode, InfoOf(aCode).mRan);
 }
 
-void Completion::CallerLeft() {
+void Completion::OnCallerDisconnected() {
   if (mPhase == Phase::kEnded) {
     return;
   }
   mContext.mCounters.Add("callers_left");
-  if (mPhase == Phase::kKeeping) {
+  if (mPhase == Phase::kStoring) {
     // It ran; the keepers are being told so.
     return;
   }
@@ -378,7 +380,7 @@
   mDeadlineTimer.reset();
   mRetryTimer.reset();
   SettleClaim(mDispatched);
-  Close(aCode, aRan, mReply.mTokens, mGate.Attempt());
+  Close(aCode, aRan, mReply.mTokens, mTokenFilter.Attempt());
 }
 
 }  // namespace spindleweir
--- a/daemons/router/completion_body.cpp
+++ b/daemons/router/completion_body.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr int kMostTokens = 65536;
+constexpr int kMaxTokens = 65536;
 constexpr Millis kMillisPerSecond = 1000;
 
 /// One message of a chat.
@@ -56,7 +56,7 @@
   }
 };
 
-[[noreturn]] void Refuse(const std::string& aMessage) {
+[[noreturn]] void ThrowBadField(const std::string& aMessage) {
   throw Error(ResultCode::kBadField, aMessage);
 }
 
@@ -66,12 +66,12 @@
     return aContent.asString();
   }
   if (!aContent.isArray()) {
-    Refuse(aWhere + " must be a string or an array of text parts");
+    ThrowBadField(aWhere + " must be a string or an array of text parts");
   }
   std::string text;
   for (const Json::Value& part : aContent) {
     if (!part.isObject() || !part["text"].isString()) {
-      Refuse(aWhere + " may hold text parts only");
+      ThrowBadField(aWhere + " may hold text parts only");
     }
     text += part["text"].asString();
   }
@@ -80,7 +80,7 @@
 
 std::string ChatPrompt(const RawBody& aRaw) {
   if (aRaw.mMessages.empty()) {
-    Refuse("messages must hold at least one message");
+    ThrowBadField("messages must hold at least one message");
   }
   std::string prompt;
   for (const ChatMessage& message : aRaw.mMessages) {
@@ -90,15 +90,15 @@
   return prompt;
 }
 
-int TokensOf(const RawBody& aRaw) {
+int MaxTokensOf(const RawBody& aRaw) {
   const int asked = aRaw.mMaximumCompletionTokens != -1
                         ? aRaw.mMaximumCompletionTokens
                         : aRaw.mMaximumTokens;
   if (asked == -1) {
     return CompletionBody{}.mMaximumTokens;
   }
-  if (asked < 1 || asked > kMostTokens) {
-    Refuse("max_tokens must be 1 to 65536");
+  if (asked < 1 || asked > kMaxTokens) {
+    ThrowBadField("max_tokens must be 1 to 65536");
   }
   return asked;
 }
@@ -139,12 +139,12 @@
 CompletionBody ReadCompletion(std::string_view aText, bool aChat) {
   const auto raw = FromJson<RawBody>(ParseJson(aText));
   if (raw.mChoices != 1) {
-    Refuse("n must be 1");
+    ThrowBadField("n must be 1");
   }
   CompletionBody body;
   body.mChat = aChat;
   body.mModel = raw.mModel;
-  body.mMaximumTokens = TokensOf(raw);
+  body.mMaximumTokens = MaxTokensOf(raw);
   body.mStream = raw.mStream;
   body.mIncludeUsage = raw.mStreamOptions.mIncludeUsage;
   if (aChat) {
@@ -152,14 +152,13 @@
   } else if (raw.mPrompt.isString()) {
     body.mPrompt = raw.mPrompt.asString();
   } else {
-    Refuse("prompt must be a string");
+    ThrowBadField("prompt must be a string");
   }
   return body;
 }
 
-Json::Value WholeReply(const CompletionBody& aBody,
-                       const CompletionReply& aReply,
-                       const std::string& aText) {
+Json::Value FullReply(const CompletionBody& aBody,
+                      const CompletionReply& aReply, const std::string& aText) {
   Json::Value reply = Frame(aBody, aReply, false);
   Json::Value choice = Choice(aReply);
   if (aBody.mChat) {
@@ -191,21 +190,21 @@
     choice["text"] = text;
   }
   event["choices"].append(choice);
-  return AsEvent(event);
+  return ToEvent(event);
 }
 
 StreamEventWriter::StreamEventWriter(const CompletionBody& aBody,
                                      const CompletionReply& aReply) {
   // A text that JSON writes as it is, and that no name of a model can hold.
-  constexpr std::string_view kMark = "<text>";
-  const std::string event = StreamEvent(aBody, aReply, kMark, false);
+  constexpr std::string_view kPlaceholder = "<text>";
+  const std::string event = StreamEvent(aBody, aReply, kPlaceholder, false);
   const std::size_t at = event.find("\"<text>\"");
-  mBefore = event.substr(0, at);
-  mAfter = event.substr(at + kMark.size() + 2);
+  mPrefix = event.substr(0, at);
+  mSuffix = event.substr(at + kPlaceholder.size() + 2);
 }
 
 std::string StreamEventWriter::Write(std::string_view aText) const {
-  return mBefore + DumpJson(std::string(aText)) + mAfter;
+  return mPrefix + DumpJson(std::string(aText)) + mSuffix;
 }
 
 std::string UsageEvent(const CompletionBody& aBody,
@@ -213,10 +212,10 @@
   Json::Value event = Frame(aBody, aReply, true);
   event["choices"] = Json::Value(Json::arrayValue);
   event["usage"] = Usage(aReply);
-  return AsEvent(event);
+  return ToEvent(event);
 }
 
-std::string AsEvent(const Json::Value& aValue) {
+std::string ToEvent(const Json::Value& aValue) {
   return "data: " + DumpJson(aValue) + "\n\n";
 }
 
--- a/daemons/router/completion_body.h
+++ b/daemons/router/completion_body.h
@@ -34,8 +34,8 @@
 };
 
 /// The whole answer.
-Json::Value WholeReply(const CompletionBody& aBody,
-                       const CompletionReply& aReply, const std::string& aText);
+Json::Value FullReply(const CompletionBody& aBody,
+                      const CompletionReply& aReply, const std::string& aText);
 /// One event of a stream, "data: {...}\n\n".
 std::string StreamEvent(const CompletionBody& aBody,
                         const CompletionReply& aReply, std::string_view aText,
@@ -48,8 +48,8 @@
   std::string Write(std::string_view aText) const;
 
  private:
-  std::string mBefore;
-  std::string mAfter;
+  std::string mPrefix;
+  std::string mSuffix;
 };
 
 /// The usage event of a stream that asked for one.
@@ -57,7 +57,7 @@
                        const CompletionReply& aReply);
 
 /// An event with any JSON value.
-std::string AsEvent(const Json::Value& aValue);
+std::string ToEvent(const Json::Value& aValue);
 
 /// How every stream ends.
 inline constexpr std::string_view kStreamDone = "data: [DONE]\n\n";
--- a/daemons/router/completion_chain.cpp
+++ b/daemons/router/completion_chain.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr Millis kProbeTimeout = 300;
-constexpr double kSilenceSteps = 5;
-constexpr int kSilencesBeforeReplace = 3;
-constexpr int kSilencesBeforeFirstToken = 10;
+constexpr double kStallTimeoutChainCosts = 5;
+constexpr int kMaxStallsMidStream = 3;
+constexpr int kMaxStallsBeforeFirstToken = 10;
 
 }  // namespace
 
@@ -22,15 +22,15 @@
   std::vector<std::string> zones = mModel.mZones;
   std::vector<std::string> hardware = mModel.mHardware;
   const auto narrow = [](std::vector<std::string>& aList,
-                         const std::vector<std::string>& aBy) {
+                         const std::vector<std::string>& aAllowed) {
     if (aList.empty()) {
-      aList = aBy;
+      aList = aAllowed;
     } else {
-      std::erase_if(aList, [&aBy](const std::string& aName) {
-        return !Allows(aBy, aName);
+      std::erase_if(aList, [&aAllowed](const std::string& aName) {
+        return !Allows(aAllowed, aName);
       });
     }
-    return !aList.empty() || aBy.empty();
+    return !aList.empty() || aAllowed.empty();
   };
   const bool possible = narrow(zones, mRequest.mWorkspace.mZones) &&
                         narrow(hardware, mRequest.mWorkspace.mHardware);
@@ -84,20 +84,20 @@
       .Add("request", mRequest.mId)
       .Add("workspace", mRequest.mWorkspace.mName)
       .Add("model", mBody.mModel)
-      .Add("attempt", mGate.Attempt() + 1)
-      .Add("from_token", mGate.Delivered())
+      .Add("attempt", mTokenFilter.Attempt() + 1)
+      .Add("from_token", mTokenFilter.Delivered())
       .Add("candidates", aChoice.mConsidered)
       .Add("refused", refused)
       .Add("chain", chain)
       .Add("cost_ms", aChoice.mCostMillis)
       .Add("configuration",
-           static_cast<Json::Int64>(mContext.Accepted().mVersion));
+           static_cast<Json::Int64>(mContext.AcceptedConfiguration().mVersion));
 }
 
 ChainJob Completion::MakeJob() const {
   ChainJob job;
   job.mRequest = mRequest.mId;
-  job.mAttempt = mGate.Attempt();
+  job.mAttempt = mTokenFilter.Attempt();
   job.mModel = mModel.mName;
   job.mVersion = mModel.mVersion;
   job.mPrompt = mBody.mPrompt;
@@ -113,29 +113,30 @@
   return job;
 }
 
-Millis Completion::LongestSilence() const {
-  const auto expected = static_cast<Millis>(mChainCost * kSilenceSteps);
+Millis Completion::StallTimeout() const {
+  const auto expected =
+      static_cast<Millis>(mChainCost * kStallTimeoutChainCosts);
   return std::max(mContext.mOptions.mSilence, expected);
 }
 
-void Completion::WatchSilence() {
-  mSilentSince = SteadyNow();
-  mSilenceTimer =
-      mContext.mLoop.After(LongestSilence(), [this] { HandleSilence(); });
+void Completion::StartStallTimer() {
+  mLastProgressAt = SteadyNow();
+  mStallTimer =
+      mContext.mLoop.After(StallTimeout(), [this] { OnStallTimer(); });
 }
 
-void Completion::HandleSilence() {
+void Completion::OnStallTimer() {
   // Tokens only note their time; the timer finds out whether one came.
-  const Millis left = mSilentSince + LongestSilence() - SteadyNow();
+  const Millis left = mLastProgressAt + StallTimeout() - SteadyNow();
   if (left > 0) {
-    mSilenceTimer = mContext.mLoop.After(left, [this] { HandleSilence(); });
+    mStallTimer = mContext.mLoop.After(left, [this] { OnStallTimer(); });
     return;
   }
-  if (mPushBackTimer != nullptr) {
-    WatchSilence();
+  if (mBackpressureTimer != nullptr) {
+    StartStallTimer();
     return;
   }
-  mSilences++;
+  mConsecutiveStalls++;
   ProbeStages();
 }
 
@@ -146,7 +147,7 @@
     std::set<std::string> mSilent;
   };
   const auto probes = std::make_shared<Probes>(Probes{mStages.size(), {}});
-  const int attempt = mGate.Attempt();
+  const int attempt = mTokenFilter.Attempt();
   for (const StagePlacement& stage : mStages) {
     const Upstream* engine = mContext.mView.Find(stage.mEngine);
     if (engine == nullptr) {
@@ -162,39 +163,39 @@
             probes->mSilent.insert(name);
           }
           probes->mLeft--;
-          if (probes->mLeft == 0 && self->mGate.Attempt() == attempt) {
-            self->ProbesDone(probes->mSilent);
+          if (probes->mLeft == 0 && self->mTokenFilter.Attempt() == attempt) {
+            self->OnProbesDone(probes->mSilent);
           }
         });
   }
   if (probes->mLeft == 0) {
-    ProbesDone(probes->mSilent);
+    OnProbesDone(probes->mSilent);
   }
 }
 
-void Completion::ProbesDone(const std::set<std::string>& aSilent) {
+void Completion::OnProbesDone(const std::set<std::string>& aSilent) {
   if (mPhase != Phase::kRunning || mCall == nullptr) {
     return;
   }
-  if (mSilences == 0) {
+  if (mConsecutiveStalls == 0) {
     // A token came meanwhile.
-    WatchSilence();
+    StartStallTimer();
     return;
   }
   if (!aSilent.empty()) {
-    Replace("silent", aSilent);
+    ReplaceChain("silent", aSilent);
     return;
   }
   // All answer: a long queue or prefill, or a link that is cut between two of
   // them. After some rounds the chain is given up, without blame.
   // Before the first token a queue is the likelier cause.
-  const int most = mGate.Delivered() > 0 ? kSilencesBeforeReplace
-                                         : kSilencesBeforeFirstToken;
-  if (mSilences >= most) {
-    Replace("no token though all engines answer", {});
+  const int most = mTokenFilter.Delivered() > 0 ? kMaxStallsMidStream
+                                                : kMaxStallsBeforeFirstToken;
+  if (mConsecutiveStalls >= most) {
+    ReplaceChain("no token though all engines answer", {});
     return;
   }
-  WatchSilence();
+  StartStallTimer();
 }
 
 }  // namespace spindleweir
--- a/daemons/router/peer_link.cpp
+++ b/daemons/router/peer_link.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr Millis kTickPeriod = 50;
-constexpr Millis kSharePeriod = 100;
-constexpr Millis kReceiptPeriod = 200;
+constexpr Millis kTickInterval = 50;
+constexpr Millis kShareInterval = 100;
+constexpr Millis kReceiptInterval = 200;
 constexpr Millis kProbeTimeout = 800;
 constexpr Millis kPullTimeout = 1000;
 constexpr Millis kReceiptTimeout = 2000;
@@ -50,18 +50,18 @@
   RegisterMethods(aDispatcher);
   mContext.mEntryVms.SignalChanged().connect(
       [this](const EntryVms& aVms) { SetPeers(aVms); });
-  mTickTimer = mContext.mLoop.Every(kTickPeriod, [this] {
+  mTickTimer = mContext.mLoop.Every(kTickInterval, [this] {
     mMembers.Tick(SteadyNow());
     UpdateReadiness();
   });
   mReceiptTimer =
-      mContext.mLoop.Every(kReceiptPeriod, [this] { HandReceiptsOver(); });
+      mContext.mLoop.Every(kReceiptInterval, [this] { SendReceipts(); });
 }
 
 void PeerLink::RegisterMethods(RpcDispatcher& aDispatcher) {
   aDispatcher.On(rpc_method::kPing, [this](const Json::Value& aMessage) {
-    Learn(FromJson<PeerState>(aMessage));
-    return ToJson(OwnState());
+    ApplyPeerState(FromJson<PeerState>(aMessage));
+    return ToJson(LocalState());
   });
   aDispatcher.On(rpc_method::kPingVia, [this](const Json::Value& aMessage) {
     ProbeFor(FromJson<IndirectProbe>(aMessage));
@@ -77,11 +77,11 @@
                    return ToJson(mContext.mHistory.UpdateFor(
                        FromJson<ConfigurationRequest>(aMessage)));
                  });
-  aDispatcher.On(rpc_method::kPushConfiguration,
-                 [this](const Json::Value& aMessage) {
-                   TakeNews(FromJson<ConfigurationUpdate>(aMessage));
-                   return Json::Value(Json::objectValue);
-                 });
+  aDispatcher.On(
+      rpc_method::kPushConfiguration, [this](const Json::Value& aMessage) {
+        OnConfigurationUpdate(FromJson<ConfigurationUpdate>(aMessage));
+        return Json::Value(Json::objectValue);
+      });
   aDispatcher.On(rpc_method::kRouterState,
                  [this](const Json::Value&) { return StateForOperators(); });
 }
@@ -100,17 +100,17 @@
     const bool wanted =
         vm.mZone == mContext.mOptions.mZone || vm.mRole == EntryRole::kControl;
     if (wanted && vm.mId != mContext.mOptions.mId &&
-        mToAskFirst.insert(vm.mId).second) {
+        mUnprobedPeers.insert(vm.mId).second) {
       Probe(vm.mId, "");
     }
   }
 }
 
-PeerState PeerLink::OwnState() {
+PeerState PeerLink::LocalState() {
   PeerState state;
   state.mFrom = mContext.mOptions.mId;
   state.mZone = mContext.mOptions.mZone;
-  state.mVersion = mContext.Accepted().mVersion;
+  state.mVersion = mContext.AcceptedConfiguration().mVersion;
   state.mReady = mContext.mReady;
   state.mUpdates = mMembers.NextGossip();
   state.mLeaving = mContext.mLeaving.Notices();
@@ -118,11 +118,11 @@
   return state;
 }
 
-void PeerLink::Learn(const PeerState& aState) {
+void PeerLink::ApplyPeerState(const PeerState& aState) {
   mMembers.ApplyUpdates(aState.mUpdates, SteadyNow());
   bool news = false;
   for (const LeaveNotice& word : aState.mLeaving) {
-    news = mContext.AddLeavingWord(word, aState.mFrom) || news;
+    news = mContext.AddLeaveNotice(word, aState.mFrom) || news;
   }
   if (news) {
     mContext.RefreshLeaving();
@@ -131,8 +131,8 @@
   if (peer != nullptr && peer->mRole == EntryRole::kRouter) {
     mContext.mShares.UpdateFromPeer(aState.mFrom, aState.mDemands);
   }
-  mGreatestVersion = std::max(mGreatestVersion, aState.mVersion);
-  if (aState.mVersion > mContext.Accepted().mVersion) {
+  mNewestKnownVersion = std::max(mNewestKnownVersion, aState.mVersion);
+  if (aState.mVersion > mContext.AcceptedConfiguration().mVersion) {
     Pull(aState.mFrom);
   }
 }
@@ -151,42 +151,42 @@
   if (target == nullptr) {
     return;
   }
-  mContext.mRpc.Call(target->mAddress, rpc_method::kPing, ToJson(OwnState()),
+  mContext.mRpc.Call(target->mAddress, rpc_method::kPing, ToJson(LocalState()),
                      kProbeTimeout, [this, aTarget](const RpcResult& aResult) {
-                       mToAskFirst.erase(aTarget);
+                       mUnprobedPeers.erase(aTarget);
                        if (aResult.mOk) {
                          mMembers.OnProbeAnswered(aTarget, SteadyNow());
-                         Learn(FromJson<PeerState>(aResult.mAnswer));
+                         ApplyPeerState(FromJson<PeerState>(aResult.mAnswer));
                        }
                      });
 }
 
-void PeerLink::ProbeFor(const IndirectProbe& aAsked) {
+void PeerLink::ProbeFor(const IndirectProbe& aProbe) {
   const EntryVms& vms = mContext.mEntryVms.Current();
-  const EntryVm* target = vms.Find(aAsked.mTarget);
-  const EntryVm* asker = vms.Find(aAsked.mFrom);
-  if (target == nullptr || asker == nullptr) {
+  const EntryVm* target = vms.Find(aProbe.mTarget);
+  const EntryVm* requester = vms.Find(aProbe.mFrom);
+  if (target == nullptr || requester == nullptr) {
     return;
   }
   mContext.mRpc.Call(
-      target->mAddress, rpc_method::kPing, ToJson(OwnState()), kProbeTimeout,
-      [this, aAsked, address = asker->mAddress](const RpcResult& aResult) {
+      target->mAddress, rpc_method::kPing, ToJson(LocalState()), kProbeTimeout,
+      [this, aProbe, address = requester->mAddress](const RpcResult& aResult) {
         if (aResult.mOk) {
-          mContext.mRpc.Call(address, rpc_method::kAnswered, ToJson(aAsked),
+          mContext.mRpc.Call(address, rpc_method::kAnswered, ToJson(aProbe),
                              kProbeTimeout, nullptr);
         }
       });
 }
 
-void PeerLink::TakeNews(const ConfigurationUpdate& aNews) {
-  std::int64_t newest = aNews.mIsFull ? aNews.mFull.mVersion : 0;
-  for (const ConfigurationChange& change : aNews.mChanges) {
+void PeerLink::OnConfigurationUpdate(const ConfigurationUpdate& aUpdate) {
+  std::int64_t newest = aUpdate.mIsFull ? aUpdate.mFull.mVersion : 0;
+  for (const ConfigurationChange& change : aUpdate.mChanges) {
     newest = std::max(newest, change.mVersion);
   }
-  mGreatestVersion = std::max(mGreatestVersion, newest);
-  if (mContext.Accept(aNews) == ConfigurationUpdateResult::kGap) {
+  mNewestKnownVersion = std::max(mNewestKnownVersion, newest);
+  if (mContext.ApplyUpdate(aUpdate) == ConfigurationUpdateResult::kGap) {
     mContext.mCounters.Add("configuration_gaps");
-    mAskAgain = true;
+    mPullPending = true;
   }
 }
 
@@ -203,13 +203,13 @@
         mPulling = false;
         if (aResult.mOk) {
           mContext.mCounters.Add("configuration_pulls");
-          TakeNews(FromJson<ConfigurationUpdate>(aResult.mAnswer));
+          OnConfigurationUpdate(FromJson<ConfigurationUpdate>(aResult.mAnswer));
         }
       });
 }
 
 void PeerLink::PullFromControl() {
-  mAskAgain = false;
+  mPullPending = false;
   for (const EntryVm& control :
        mContext.mEntryVms.Current().OfRole(EntryRole::kControl)) {
     if (mMembers.IsUsable(control.mId)) {
@@ -221,11 +221,12 @@
 
 void PeerLink::UpdateReadiness() {
   mContext.RefreshLeaving();
-  if (mAskAgain && !mPulling) {
+  if (mPullPending && !mPulling) {
     PullFromControl();
   }
-  const bool ready = mToAskFirst.empty() && mContext.Accepted().mVersion > 0 &&
-                     mContext.Accepted().mVersion >= mGreatestVersion;
+  const bool ready =
+      mUnprobedPeers.empty() && mContext.AcceptedConfiguration().mVersion > 0 &&
+      mContext.AcceptedConfiguration().mVersion >= mNewestKnownVersion;
   if (ready && !mContext.mReady) {
     mContext.mReady = true;
     LogLine(LogLevel::kInfo, "ready");
@@ -250,7 +251,7 @@
   mContext.ShareLimits(std::max<std::size_t>(1, routers));
 }
 
-void PeerLink::HandReceiptsOver() {
+void PeerLink::SendReceipts() {
   const EntryVms& vms = mContext.mEntryVms.Current();
   std::vector<EntryVm> controls =
       vms.OfRole(EntryRole::kControl, mContext.mOptions.mZone);
@@ -282,7 +283,7 @@
   state["ready"] = mContext.mReady;
   state["stopping"] = mContext.mStopping;
   state["configuration_version"] =
-      static_cast<Json::Int64>(mContext.Accepted().mVersion);
+      static_cast<Json::Int64>(mContext.AcceptedConfiguration().mVersion);
   state["open_requests"] = mContext.mOpenRequests;
   state["leaving"] = Json::Value(Json::arrayValue);
   for (const std::string& vm : mContext.mLeaving.Vms()) {
--- a/daemons/router/peer_link.h
+++ b/daemons/router/peer_link.h
@@ -22,24 +22,24 @@
  private:
   void RegisterMethods(RpcDispatcher& aDispatcher);
   void SetPeers(const EntryVms& aVms);
-  PeerState OwnState();
-  void Learn(const PeerState& aState);
+  PeerState LocalState();
+  void ApplyPeerState(const PeerState& aState);
   void Probe(const std::string& aTarget, const std::string& aVia);
-  void ProbeFor(const IndirectProbe& aAsked);
-  void TakeNews(const ConfigurationUpdate& aNews);
+  void ProbeFor(const IndirectProbe& aProbe);
+  void OnConfigurationUpdate(const ConfigurationUpdate& aUpdate);
   void Pull(const std::string& aFrom);
   void PullFromControl();
   void UpdateReadiness();
   void ShareLimits();
-  void HandReceiptsOver();
+  void SendReceipts();
   Json::Value StateForOperators() const;
 
   RouterContext& mContext;
   MemberTable mMembers;
-  std::set<std::string> mToAskFirst;  ///< Before the router is ready.
-  std::int64_t mGreatestVersion = 0;  ///< Heard of.
+  std::set<std::string> mUnprobedPeers;  ///< Before the router is ready.
+  std::int64_t mNewestKnownVersion = 0;  ///< Heard of.
   bool mPulling = false;
-  bool mAskAgain = false;  ///< A push came that does not follow.
+  bool mPullPending = false;  ///< A push came that does not follow.
   std::unique_ptr<Timer> mTickTimer;
   std::unique_ptr<Timer> mShareTimer;
   std::unique_ptr<Timer> mReceiptTimer;
--- a/daemons/router/router_context.cpp
+++ b/daemons/router/router_context.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-constexpr std::size_t kOutboxReceipts = 4096;
-constexpr Millis kLimiterPeriod = 20;
-constexpr Millis kRetainPeriod = 500;
+constexpr std::size_t kMaxOutboxReceipts = 4096;
+constexpr Millis kLimiterInterval = 20;
+constexpr Millis kLeavingPruneInterval = 500;
 /// Until links are measured: what the users' pages say of their zones.
 constexpr double kSameZoneMillis = 0.1;
 constexpr double kOtherZoneMillis = 0.9;
@@ -28,36 +28,38 @@
           {.mMaximumInFlight = mOptions.mMaximumInFlight,
            .mMaximumQueue = static_cast<std::size_t>(mOptions.mMaximumQueue)}),
       mRetryBudget({}),
-      mOutbox(kOutboxReceipts),
+      mOutbox(kMaxOutboxReceipts),
       mRandom(std::random_device{}()),
-      mRetainTimer(
-          aLoop.Every(kRetainPeriod,
+      mLeavingPruneTimer(
+          aLoop.Every(kLeavingPruneInterval,
                       [this] { mLeaving.Retain(mView.Names(), SteadyNow()); })),
-      mLimiterTimer(aLoop.Every(
-          kLimiterPeriod, [this] { Announce(mLimiter.Tick(SteadyNow())); })) {}
+      mLimiterTimer(aLoop.Every(kLimiterInterval, [this] {
+        DeliverOutcomes(mLimiter.Tick(SteadyNow()));
+      })) {}
 
-ConfigurationUpdateResult RouterContext::Accept(
-    const ConfigurationUpdate& aNews) {
-  const ConfigurationUpdateResult verdict = mHistory.ApplyUpdate(aNews);
+ConfigurationUpdateResult RouterContext::ApplyUpdate(
+    const ConfigurationUpdate& aUpdate) {
+  const ConfigurationUpdateResult verdict = mHistory.ApplyUpdate(aUpdate);
   if (verdict == ConfigurationUpdateResult::kFork ||
       verdict == ConfigurationUpdateResult::kHashMismatch) {
     const bool fork = verdict == ConfigurationUpdateResult::kFork;
     mCounters.Add(fork ? "configuration_forks" : "configuration_bad_hashes");
     LogLine(LogLevel::kError,
             fork ? "configuration_fork" : "configuration_bad_hash")
-        .Add("version", static_cast<Json::Int64>(Accepted().mVersion));
+        .Add("version",
+             static_cast<Json::Int64>(AcceptedConfiguration().mVersion));
   }
   if (verdict != ConfigurationUpdateResult::kApplied) {
     return verdict;
   }
-  const Configuration& accepted = Accepted();
+  const Configuration& accepted = AcceptedConfiguration();
   mLeaving.SetDrained(accepted.mDrained);
   RefreshLeaving();
   ShareLimits(mSharingRouters);
   mCounters.Set("configuration_version", accepted.mVersion);
   LogLine(LogLevel::kInfo, "configuration_in_force")
       .Add("version", static_cast<Json::Int64>(accepted.mVersion))
-      .Add("whole", aNews.mIsFull)
+      .Add("whole", aUpdate.mIsFull)
       .Add("hash", accepted.mHash);
   if (mOptions.mOnConfiguration) {
     mOptions.mOnConfiguration(accepted.mVersion);
@@ -68,7 +70,8 @@
 void RouterContext::ShareLimits(std::size_t aRouters) {
   mSharingRouters = aRouters;
   mShares.SetLocal(mLimiter.Demands(SteadyNow()));
-  for (const WorkspaceSpec& workspace : Accepted().mIntent.mWorkspaces) {
+  for (const WorkspaceSpec& workspace :
+       AcceptedConfiguration().mIntent.mWorkspaces) {
     const double share = mShares.Share(workspace.mName, aRouters);
     mLimiter.SetLimits(
         workspace.mName,
@@ -78,33 +81,34 @@
   }
 }
 
-std::uint64_t RouterContext::Ask(
+std::uint64_t RouterContext::SubmitForAdmission(
     AdmissionRequest aRequest,
     std::function<void(const AdmissionOutcome&)> aDone) {
   aRequest.mTicket = mNextTicket++;
-  mWaiting[aRequest.mTicket] = std::move(aDone);
-  Announce(mLimiter.Submit(aRequest, SteadyNow()));
+  mPendingAdmissions[aRequest.mTicket] = std::move(aDone);
+  DeliverOutcomes(mLimiter.Submit(aRequest, SteadyNow()));
   return aRequest.mTicket;
 }
 
 void RouterContext::WithdrawTicket(std::uint64_t aTicket) {
-  if (mWaiting.erase(aTicket) > 0) {
+  if (mPendingAdmissions.erase(aTicket) > 0) {
     mLimiter.Withdraw(aTicket);
   }
 }
 
-void RouterContext::ReleasePlace(const std::string& aWorkspace) {
-  Announce(mLimiter.Release(aWorkspace, SteadyNow()));
+void RouterContext::ReleaseSlot(const std::string& aWorkspace) {
+  DeliverOutcomes(mLimiter.Release(aWorkspace, SteadyNow()));
 }
 
-void RouterContext::Announce(const std::vector<AdmissionOutcome>& aOutcomes) {
+void RouterContext::DeliverOutcomes(
+    const std::vector<AdmissionOutcome>& aOutcomes) {
   for (const AdmissionOutcome& outcome : aOutcomes) {
-    const auto it = mWaiting.find(outcome.mTicket);
-    if (it == mWaiting.end()) {
+    const auto it = mPendingAdmissions.find(outcome.mTicket);
+    if (it == mPendingAdmissions.end()) {
       continue;
     }
     const auto call = std::move(it->second);
-    mWaiting.erase(it);
+    mPendingAdmissions.erase(it);
     call(outcome);
   }
 }
@@ -117,26 +121,26 @@
     }
     mLeaving.OnSeen(vm, report.mIncarnation);
     if (report.mLeaving) {
-      AddLeavingWord({vm, report.mIncarnation}, "its own word");
+      AddLeaveNotice({vm, report.mIncarnation}, "its own word");
     }
   }
   for (const std::string& vm : mView.TakeNewlyLeaving()) {
     const Upstream* upstream = mView.Find(vm);
     if (upstream != nullptr) {
       mLeaving.Retain({vm}, SteadyNow());
-      AddLeavingWord({vm, upstream->mReport.mIncarnation}, "the platform");
+      AddLeaveNotice({vm, upstream->mReport.mIncarnation}, "the platform");
     }
   }
   mView.SetLeaving(mLeaving.Vms());
 }
 
-bool RouterContext::AddLeavingWord(const LeaveNotice& aWord,
-                                   const std::string& aBy) {
-  const bool news = mLeaving.Add(aWord);
+bool RouterContext::AddLeaveNotice(const LeaveNotice& aNotice,
+                                   const std::string& aSource) {
+  const bool news = mLeaving.Add(aNotice);
   if (news) {
     LogLine(LogLevel::kInfo, "upstream_leaving")
-        .Add("vm", aWord.mVm)
-        .Add("by", aBy);
+        .Add("vm", aNotice.mVm)
+        .Add("by", aSource);
   }
   return news;
 }
--- a/daemons/router/router_context.h
+++ b/daemons/router/router_context.h
@@ -28,20 +28,23 @@
   RouterContext(EventLoop& aLoop, RouterOptions aOptions);
 
   /// Takes what is newer of the accepted configuration.
-  ConfigurationUpdateResult Accept(const ConfigurationUpdate& aNews);
-  const Configuration& Accepted() const { return mHistory.Current(); }
+  ConfigurationUpdateResult ApplyUpdate(const ConfigurationUpdate& aUpdate);
+  const Configuration& AcceptedConfiguration() const {
+    return mHistory.Current();
+  }
   /// Gives the limiter this router's part of each workspace's limits, with
   /// aRouters sharing them.
   void ShareLimits(std::size_t aRouters);
   /// Asks for a place; aDone is called once, maybe at once.
-  std::uint64_t Ask(AdmissionRequest aRequest,
-                    std::function<void(const AdmissionOutcome&)> aDone);
+  std::uint64_t SubmitForAdmission(
+      AdmissionRequest aRequest,
+      std::function<void(const AdmissionOutcome&)> aDone);
   void WithdrawTicket(std::uint64_t aTicket);
-  void ReleasePlace(const std::string& aWorkspace);
+  void ReleaseSlot(const std::string& aWorkspace);
   /// Brings who leaves from all sources into the view.
   void RefreshLeaving();
   /// Takes a word; true where it is news.
-  bool AddLeavingWord(const LeaveNotice& aWord, const std::string& aBy);
+  bool AddLeaveNotice(const LeaveNotice& aNotice, const std::string& aSource);
 
   std::string NextRequestId();
   double Random();
@@ -64,20 +67,20 @@
   LeavingSet mLeaving;
   ReceiptOutbox mOutbox;
   bool mReady = false;
-  bool mStopping = false;  ///< Not ready any more, for the balancer.
-  bool mRefusing = false;  ///< Takes no new request any more.
+  bool mStopping = false;           ///< Not ready any more, for the balancer.
+  bool mRejectingRequests = false;  ///< Takes no new request any more.
   int mOpenRequests = 0;
 
  private:
-  void Announce(const std::vector<AdmissionOutcome>& aOutcomes);
+  void DeliverOutcomes(const std::vector<AdmissionOutcome>& aOutcomes);
 
   std::map<std::uint64_t, std::function<void(const AdmissionOutcome&)>>
-      mWaiting;
+      mPendingAdmissions;
   std::uint64_t mNextTicket = 1;
   std::uint64_t mNextRequest = 1;
   std::size_t mSharingRouters = 1;
   std::mt19937_64 mRandom;
-  std::unique_ptr<Timer> mRetainTimer;
+  std::unique_ptr<Timer> mLeavingPruneTimer;
   std::unique_ptr<Timer> mLimiterTimer;
 };
 
--- a/daemons/router/router_daemon.cpp
+++ b/daemons/router/router_daemon.cpp
@@ -15,10 +15,10 @@
 
 /// Above what CallerApi takes, so that it answers with a number; beyond this
 /// the connection gets evhttp's own 413.
-constexpr std::size_t kMaximumCallerBytes = 8 * 1024 * 1024;
-constexpr std::size_t kMaximumRpcBytes = 64 * 1024 * 1024;
-constexpr Millis kUnreadyBeforeClose = 200;
-constexpr Millis kReceiptsGrace = 5000;
+constexpr std::size_t kMaxCallerBodyBytes = 8 * 1024 * 1024;
+constexpr std::size_t kMaxRpcBodyBytes = 64 * 1024 * 1024;
+constexpr Millis kStopCheckInterval = 200;
+constexpr Millis kReceiptsTimeout = 5000;
 
 }  // namespace
 
@@ -34,7 +34,7 @@
                  {.mPlatform = mContext.mOptions.mPlatform}),
         mRpcServer(aLoop,
                    {.mListen = mContext.mOptions.mRpcListen,
-                    .mMaximumBodyBytes = kMaximumRpcBytes,
+                    .mMaximumBodyBytes = kMaxRpcBodyBytes,
                     .mHandle =
                         [this](const std::shared_ptr<HttpExchange>& aExchange) {
                           mDispatcher.Handle(*aExchange);
@@ -42,15 +42,15 @@
         mCallerServer(
             aLoop,
             {.mListen = mContext.mOptions.mListen,
-             .mMaximumBodyBytes = kMaximumCallerBytes,
+             .mMaximumBodyBytes = kMaxCallerBodyBytes,
              .mHandle = [this](const std::shared_ptr<HttpExchange>& aExchange) {
                mApi.Handle(aExchange);
              }}) {}
 
   /// One look at a planned stop, after the balancer's time to see it.
-  void StepStop();
+  void ContinueStop();
   /// Receipts are waited for in vain where all of control is stopped too.
-  bool ReceiptsAreWaitedFor();
+  bool AwaitsReceipts();
 
   RouterContext mContext;
   RpcDispatcher mDispatcher;
@@ -62,29 +62,29 @@
   HttpServer mCallerServer;
   std::unique_ptr<Timer> mStopTimer;
   std::unique_ptr<Timer> mDrainTimer;
-  std::unique_ptr<Timer> mRefuseTimer;
+  std::unique_ptr<Timer> mRejectTimer;
   Millis mIdleSince = 0;  ///< At a stop: the last request ended; 0: not yet.
-  bool mListens = true;
+  bool mListening = true;
 };
 
-bool RouterDaemon::Parts::ReceiptsAreWaitedFor() {
+bool RouterDaemon::Parts::AwaitsReceipts() {
   mIdleSince = mIdleSince == 0 ? SteadyNow() : mIdleSince;
-  const bool late = SteadyNow() - mIdleSince > kReceiptsGrace;
+  const bool late = SteadyNow() - mIdleSince > kReceiptsTimeout;
   return mContext.mOutbox.Size() > 0 && !late;
 }
 
-void RouterDaemon::Parts::StepStop() {
-  if (!mContext.mRefusing) {
+void RouterDaemon::Parts::ContinueStop() {
+  if (!mContext.mRejectingRequests) {
     return;
   }
   // A call on a connection that ends with the process would get no answer.
   mCallerServer.CloseIdle();
-  if (mContext.mOpenRequests > 0 || ReceiptsAreWaitedFor()) {
+  if (mContext.mOpenRequests > 0 || AwaitsReceipts()) {
     return;
   }
-  if (mListens) {
+  if (mListening) {
     // Who connected until now is answered within another period.
-    mListens = !mCallerServer.StopListening();
+    mListening = !mCallerServer.StopListening();
     return;
   }
   if (mCallerServer.Connections() > 0) {
@@ -134,11 +134,12 @@
   mParts->mCallerServer.SetClosing();
   // Until the balancer has seen that this router is not ready, what it still
   // sends is served.
-  mParts->mRefuseTimer = context.mLoop.After(
-      context.mOptions.mStopUnready, [&context] { context.mRefusing = true; });
+  mParts->mRejectTimer =
+      context.mLoop.After(context.mOptions.mStopUnready,
+                          [&context] { context.mRejectingRequests = true; });
   // What is in flight ends, and its receipts are handed over.
-  mParts->mDrainTimer =
-      context.mLoop.Every(kUnreadyBeforeClose, [this] { mParts->StepStop(); });
+  mParts->mDrainTimer = context.mLoop.Every(kStopCheckInterval,
+                                            [this] { mParts->ContinueStop(); });
   mParts->mStopTimer =
       context.mLoop.After(context.mOptions.mStopGrace, [&context] {
         LogLine(LogLevel::kWarning, "stop_grace_over")
--- a/daemons/router/service_call.cpp
+++ b/daemons/router/service_call.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr Millis kDefaultTimeout = 30000;
-constexpr int kMaximumAttempts = 3;
-constexpr Millis kRetryFirst = 20;
-constexpr Millis kRetryMost = 500;
+constexpr int kMaxAttempts = 3;
+constexpr Millis kMinRetryDelay = 20;
+constexpr Millis kMaxRetryDelay = 500;
 constexpr Millis kNoUpstreamRetryAfter = 1000;
 constexpr int kHttpServerError = 500;
 constexpr int kHttpUnavailable = 503;
@@ -33,40 +33,41 @@
 
 }  // namespace
 
-ServiceCall::ServiceCall(RouterContext& aContext, ClaimGate& aClaims,
+ServiceCall::ServiceCall(RouterContext& aContext, ClaimClient& aClaims,
                          CallerRequest aRequest, ServiceSpec aService,
                          std::string aPath)
-    : CallerWork(aContext, aClaims, std::move(aRequest), aService.mName),
+    : RequestHandler(aContext, aClaims, std::move(aRequest), aService.mName),
       mService(std::move(aService)),
       mPath(std::move(aPath)) {}
 
 ServiceCall::~ServiceCall() = default;
 
-bool ServiceCall::MayRepeat() const {
+bool ServiceCall::IsRepeatable() const {
   const std::string& method = mRequest.mExchange->Method();
   return mService.mRepeatable || method == "GET" || method == "HEAD";
 }
 
 void ServiceCall::Begin() {
   Open(shared_from_this());
-  mRequest.mExchange->OnClosed([this] { CallerLeft(); });
+  mRequest.mExchange->OnClosed([this] { OnCallerDisconnected(); });
   const Millis left = mRequest.mDeadline > 0 ? mRequest.mDeadline - SteadyNow()
                                              : kDefaultTimeout;
   mTimer =
-      mContext.mLoop.After(std::max<Millis>(0, left), [this] { TimeOut(); });
-  AskForPlace(0, [self = shared_from_this()](const AdmissionOutcome& aOutcome) {
-    self->Admitted(aOutcome);
-  });
+      mContext.mLoop.After(std::max<Millis>(0, left), [this] { OnTimeout(); });
+  RequestAdmission(
+      0, [self = shared_from_this()](const AdmissionOutcome& aOutcome) {
+        self->OnAdmission(aOutcome);
+      });
 }
 
-void ServiceCall::Admitted(const AdmissionOutcome& aOutcome) {
+void ServiceCall::OnAdmission(const AdmissionOutcome& aOutcome) {
   if (aOutcome.mCode != ResultCode::kOk) {
     Fail(aOutcome.mCode, "", aOutcome.mRetryAfter);
     return;
   }
-  mPlaced = true;
+  mHoldsSlot = true;
   mContext.mRetryBudget.RequestStarted();
-  if (MayRepeat() || mRequest.mIdempotencyKey.empty()) {
+  if (IsRepeatable() || mRequest.mIdempotencyKey.empty()) {
     Dispatch();
     return;
   }
@@ -74,12 +75,12 @@
                            mRequest.mExchange->Body();
   mClaims.Acquire(mRequest.ClaimKey(mService.mName), mRequest.mId, body,
                   [self = shared_from_this()](const ClaimOutcome& aOutcome2) {
-                    self->Claimed(aOutcome2);
+                    self->OnClaim(aOutcome2);
                   });
 }
 
-void ServiceCall::Claimed(const ClaimOutcome& aOutcome) {
-  mClaim = aOutcome.mAsked;
+void ServiceCall::OnClaim(const ClaimOutcome& aOutcome) {
+  mClaim = aOutcome.mRequested;
   LogLine(LogLevel::kInfo, "claim")
       .Add("request", mRequest.mId)
       .Add("verdict", static_cast<int>(aOutcome.mVerdict));
@@ -154,7 +155,7 @@
     options.mHeaders.push_back({"Idempotency-Key", mRequest.mIdempotencyKey});
   }
   options.mTimeout = 0;
-  options.mFresh = !MayRepeat();
+  options.mFresh = !IsRepeatable();
   options.mOnDone = [this](const HttpResult& aResult) {
     HandleResult(aResult);
   };
@@ -171,7 +172,7 @@
       .Add("candidates", static_cast<int>(aCandidates))
       .Add("chosen", aChosen)
       .Add("configuration",
-           static_cast<Json::Int64>(mContext.Accepted().mVersion));
+           static_cast<Json::Int64>(mContext.AcceptedConfiguration().mVersion));
 }
 
 void ServiceCall::HandleResult(const HttpResult& aResult) {
@@ -182,51 +183,51 @@
     mContext.mView.Failed(mVm, mContext.mLoop.RunningNow());
     EndAttempt("failed");
     mMayHaveRun = mMayHaveRun || aResult.mSent;
-    TryAgain("connection lost", !aResult.mSent);
+    RetryOrFail("connection lost", !aResult.mSent);
     return;
   }
   const bool refused = aResult.mStatus == kHttpUnavailable &&
                        HeaderOf(aResult, kNotRunHeader) == "true";
   if (refused) {
     EndAttempt("failed");
-    TryAgain("the instance did not start it", true);
+    RetryOrFail("the instance did not start it", true);
     return;
   }
   mContext.mView.Succeeded(mVm);
   EndAttempt("done");
-  if (MayRepeat() && aResult.mStatus >= kHttpServerError &&
-      mAttempt < kMaximumAttempts && mContext.mRetryBudget.TrySpend()) {
-    mRetryTimer =
-        mContext.mLoop.After(BackoffDelay(mAttempt, kRetryFirst, kRetryMost,
-                                          [this] { return mContext.Random(); }),
-                             [this] { Dispatch(); });
+  if (IsRepeatable() && aResult.mStatus >= kHttpServerError &&
+      mAttempt < kMaxAttempts && mContext.mRetryBudget.TrySpend()) {
+    mRetryTimer = mContext.mLoop.After(
+        BackoffDelay(mAttempt, kMinRetryDelay, kMaxRetryDelay,
+                     [this] { return mContext.Random(); }),
+        [this] { Dispatch(); });
     return;
   }
-  Answer(aResult);
+  SendAnswer(aResult);
 }
 
-void ServiceCall::TryAgain(const std::string& aWhy, bool aProvenNotRun) {
+void ServiceCall::RetryOrFail(const std::string& aWhy, bool aProvenNotRun) {
   LogLine(LogLevel::kWarning, "service_call_failed")
       .Add("request", mRequest.mId)
       .Add("vm", mVm)
       .Add("why", aWhy)
       .Add("proven_not_run", aProvenNotRun);
-  if (!aProvenNotRun && !MayRepeat()) {
+  if (!aProvenNotRun && !IsRepeatable()) {
     Fail(ResultCode::kOutcomeUnknown, aWhy + " after dispatch");
     return;
   }
-  if (mAttempt >= kMaximumAttempts || !mContext.mRetryBudget.TrySpend()) {
+  if (mAttempt >= kMaxAttempts || !mContext.mRetryBudget.TrySpend()) {
     Fail(mMayHaveRun ? ResultCode::kOutcomeUnknown : ResultCode::kNoUpstream,
          aWhy, kNoUpstreamRetryAfter);
     return;
   }
-  mRetryTimer =
-      mContext.mLoop.After(BackoffDelay(mAttempt, kRetryFirst, kRetryMost,
-                                        [this] { return mContext.Random(); }),
-                           [this] { Dispatch(); });
+  mRetryTimer = mContext.mLoop.After(
+      BackoffDelay(mAttempt, kMinRetryDelay, kMaxRetryDelay,
+                   [this] { return mContext.Random(); }),
+      [this] { Dispatch(); });
 }
 
-void ServiceCall::Answer(const HttpResult& aResult) {
+void ServiceCall::SendAnswer(const HttpResult& aResult) {
   mHasRun = true;
   mTimer.reset();
   const StoredAnswer answer{.mStatus = aResult.mStatus,
@@ -248,7 +249,7 @@
   End(aCode, InfoOf(aCode).mRan);
 }
 
-void ServiceCall::TimeOut() {
+void ServiceCall::OnTimeout() {
   const bool dispatched = mCall != nullptr || mMayHaveRun;
   mMayHaveRun = dispatched;
   EndAttempt("cancelled");
@@ -257,12 +258,12 @@
        "");
 }
 
-void ServiceCall::CallerLeft() {
+void ServiceCall::OnCallerDisconnected() {
   if (mEnded) {
     return;
   }
   mContext.mCounters.Add("callers_left");
-  if (mHasRun || (mCall != nullptr && !MayRepeat())) {
+  if (mHasRun || (mCall != nullptr && !IsRepeatable())) {
     // It may run whether the caller waits or not: its outcome is awaited and
     // kept for a resend.
     return;
@@ -272,12 +273,12 @@
   End(ResultCode::kOutcomeUnknown, mMayHaveRun ? Ran::kUnknown : Ran::kNo);
 }
 
-void ServiceCall::EndAttempt(const char* aHow) {
+void ServiceCall::EndAttempt(const char* aEnding) {
   if (mCall == nullptr) {
     return;
   }
   mCall.reset();
-  mReceipt.mAttempts.back().mEnded = aHow;
+  mReceipt.mAttempts.back().mEnded = aEnding;
   mContext.mView.Ended(mVm);
 }
 
--- a/daemons/router/service_call.h
+++ b/daemons/router/service_call.h
@@ -11,11 +11,11 @@
 
 /// A call that may not be repeated is dispatched at most once; with an
 /// Idempotency-Key it is claimed first, so that this holds over all routers.
-class ServiceCall : private CallerWork,
+class ServiceCall : private RequestHandler,
                     public std::enable_shared_from_this<ServiceCall> {
  public:
   /// aPath: what follows the service's name, with its leading slash.
-  ServiceCall(RouterContext& aContext, ClaimGate& aClaims,
+  ServiceCall(RouterContext& aContext, ClaimClient& aClaims,
               CallerRequest aRequest, ServiceSpec aService, std::string aPath);
   ~ServiceCall();
   ServiceCall(const ServiceCall&) = delete;
@@ -24,21 +24,21 @@
   void Begin();
 
  private:
-  void Admitted(const AdmissionOutcome& aOutcome);
-  void Claimed(const ClaimOutcome& aOutcome);
+  void OnAdmission(const AdmissionOutcome& aOutcome);
+  void OnClaim(const ClaimOutcome& aOutcome);
   void Dispatch();
   void LogRouting(const std::string& aChosen, std::size_t aCandidates) const;
   void HandleResult(const HttpResult& aResult);
-  void TryAgain(const std::string& aWhy, bool aProvenNotRun);
+  void RetryOrFail(const std::string& aWhy, bool aProvenNotRun);
   /// Gives the answer once resends learn it.
-  void Answer(const HttpResult& aResult);
+  void SendAnswer(const HttpResult& aResult);
   void Fail(ResultCode aCode, const std::string& aMessage,
             Millis aRetryAfter = 0);
-  void CallerLeft();
-  void TimeOut();
-  void EndAttempt(const char* aHow);
+  void OnCallerDisconnected();
+  void OnTimeout();
+  void EndAttempt(const char* aEnding);
   void End(ResultCode aCode, Ran aRan);
-  bool MayRepeat() const;
+  bool IsRepeatable() const;
 
   ServiceSpec mService;
   std::string mPath;
--- a/daemons/router/stewardship.cpp
+++ b/daemons/router/stewardship.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-constexpr Millis kPeriod = 100;
+constexpr Millis kTickInterval = 100;
 /// Rounds that no start can reach within a millisecond of its run.
 constexpr std::int64_t kRoundsPerMilli = 1000;
 constexpr Millis kLeaseTimeout = 500;
 /// An order that shows no effect in a report is given again after this.
-constexpr Millis kOrderAgain = 2000;
+constexpr Millis kOrderRetryInterval = 2000;
 /// An engine whose reports stop for so long is repaired around.
-constexpr Millis kDeadAfter = 1200;
+constexpr Millis kEngineTimeout = 1200;
 constexpr Millis kRepairDelay = 200;
 /// A repair moves what runs only for twice the throughput: every move takes an
 /// engine out of service while it loads. Smaller gains are an operator's to
@@ -36,7 +36,7 @@
   });
   mContext.mEntryVms.SignalChanged().connect(
       [this](const EntryVms& aVms) { Start(aVms); });
-  mTimer = mContext.mLoop.Every(kPeriod, [this] { Work(); });
+  mTimer = mContext.mLoop.Every(kTickInterval, [this] { Tick(); });
 }
 
 void Stewardship::Start(const EntryVms& aVms) {
@@ -78,7 +78,7 @@
   }
 }
 
-void Stewardship::Work() {
+void Stewardship::Tick() {
   if (mHolder == nullptr) {
     return;
   }
@@ -87,18 +87,18 @@
   mHolder->Tick(now);
   const bool holds = mHolder->Holds(now);
   LogLease(holds);
-  const std::vector<EngineReport> engines =
-      mContext.mView.LiveEngines(zone, kDeadAfter, mContext.mLoop.RunningNow());
+  const std::vector<EngineReport> engines = mContext.mView.LiveEngines(
+      zone, kEngineTimeout, mContext.mLoop.RunningNow());
   for (const EngineReport& engine : engines) {
     mHolder->OnEpochSeen(engine.mEpoch);
   }
-  if (!holds || mContext.Accepted().mVersion == 0 ||
+  if (!holds || mContext.AcceptedConfiguration().mVersion == 0 ||
       !mContext.mView.Complete(zone, mContext.mLoop.RunningNow())) {
     return;
   }
-  UpdateWanted(engines, now);
+  UpdateTarget(engines, now);
   const std::vector<EngineOrder> orders =
-      PlanOrders({.mPlacement = mWanted,
+      PlanOrders({.mPlacement = mTargetPlacement,
                   .mEngines = engines,
                   .mMaxLoads = mContext.mOptions.mMaximumLoads});
   for (const EngineOrder& order : orders) {
@@ -107,12 +107,12 @@
 }
 
 void Stewardship::LogLease(bool aHolds) {
-  if (aHolds == mHeld) {
+  if (aHolds == mLeaseHeld) {
     return;
   }
-  mHeld = aHolds;
+  mLeaseHeld = aHolds;
   // What was planned under an earlier lease may be out of date.
-  mWantedVersion = 0;
+  mTargetVersion = 0;
   mContext.mCounters.Set("steward", aHolds ? 1 : 0);
   LogLine(LogLevel::kInfo,
           aHolds ? "steward_lease_taken" : "steward_lease_ended")
@@ -120,17 +120,17 @@
       .Add("epoch", static_cast<Json::Int64>(mHolder->Epoch()));
 }
 
-void Stewardship::UpdateWanted(std::span<const EngineReport> aEngines,
+void Stewardship::UpdateTarget(std::span<const EngineReport> aEngines,
                                Millis aNow) {
-  const Configuration& accepted = mContext.Accepted();
-  if (mWantedVersion != accepted.mVersion) {
-    mWantedVersion = accepted.mVersion;
-    mWanted.clear();
-    mPlannedFor.clear();
+  const Configuration& accepted = mContext.AcceptedConfiguration();
+  if (mTargetVersion != accepted.mVersion) {
+    mTargetVersion = accepted.mVersion;
+    mTargetPlacement.clear();
+    mPlannedEngines.clear();
     for (const StagePlacement& stage : accepted.mPlacement) {
       if (stage.mZone == mContext.mOptions.mZone) {
-        mWanted.push_back(stage);
-        mPlannedFor.insert(stage.mEngine);
+        mTargetPlacement.push_back(stage);
+        mPlannedEngines.insert(stage.mEngine);
       }
     }
   }
@@ -145,7 +145,7 @@
     mUsableSince = aNow;
   }
   // Losses that come together are seen a little apart; one plan repairs all.
-  if (usable != mPlannedFor && aNow - mUsableSince >= kRepairDelay) {
+  if (usable != mPlannedEngines && aNow - mUsableSince >= kRepairDelay) {
     Repair(aEngines, usable);
   }
 }
@@ -153,13 +153,14 @@
 void Stewardship::Repair(std::span<const EngineReport> aEngines,
                          const std::set<std::string>& aUsable) {
   Configuration present;
-  present.mPlacement = mWanted;
+  present.mPlacement = mTargetPlacement;
   const std::set<std::string> none;
-  const Plan plan = MakePlan({.mIntent = mContext.Accepted().mIntent,
-                              .mCurrent = present,
-                              .mEngines = aEngines,
-                              .mUnusable = none,
-                              .mHysteresis = kRepairHysteresis});
+  const Plan plan =
+      MakePlan({.mIntent = mContext.AcceptedConfiguration().mIntent,
+                .mCurrent = present,
+                .mEngines = aEngines,
+                .mUnusable = none,
+                .mHysteresis = kRepairHysteresis});
   int moves = 0;
   for (const PlanChange& change : plan.mChanges) {
     moves += change.mAction == "move" || change.mAction == "load" ? 1 : 0;
@@ -167,30 +168,30 @@
   LogLine line(LogLevel::kInfo, "placement");
   line.Add("zone", mContext.mOptions.mZone)
       .Add("reason", "the zone's usable engines changed")
-      .Add("engines_before", static_cast<int>(mPlannedFor.size()))
+      .Add("engines_before", static_cast<int>(mPlannedEngines.size()))
       .Add("engines", static_cast<int>(aUsable.size()))
       .Add("moves", moves)
-      .Add("configuration", static_cast<Json::Int64>(mWantedVersion));
+      .Add("configuration", static_cast<Json::Int64>(mTargetVersion));
   for (const std::string& lack : plan.mWarnings) {
     line.Add("short", lack);
   }
   mContext.mCounters.Add("repairs");
-  mWanted = plan.mPlacement;
-  mPlannedFor = aUsable;
+  mTargetPlacement = plan.mPlacement;
+  mPlannedEngines = aUsable;
 }
 
 void Stewardship::Send(const EngineOrder& aOrder) {
   const Millis now = SteadyNow();
   const std::string& engine = aOrder.mStage.mEngine;
-  const auto last = mOrderedAt.find(engine);
-  if (last != mOrderedAt.end() && now - last->second < kOrderAgain) {
+  const auto last = mLastOrderAt.find(engine);
+  if (last != mLastOrderAt.end() && now - last->second < kOrderRetryInterval) {
     return;
   }
   const Upstream* upstream = mContext.mView.Find(engine);
   if (upstream == nullptr) {
     return;
   }
-  mOrderedAt[engine] = now;
+  mLastOrderAt[engine] = now;
   LogLine(LogLevel::kInfo, "order")
       .Add("engine", engine)
       .Add("kind", aOrder.mKind == OrderKind::kLoad ? "load" : "drop")
@@ -200,12 +201,12 @@
       .Add("gain_tokens_per_second", aOrder.mGain)
       .Add("epoch", static_cast<Json::Int64>(mHolder->Epoch()))
       .Add("configuration",
-           static_cast<Json::Int64>(mContext.Accepted().mVersion));
+           static_cast<Json::Int64>(mContext.AcceptedConfiguration().mVersion));
   mContext.mCounters.Add("orders");
   mContext.mEngines.SendOrder(
       upstream->mAddress, aOrder, mHolder->Epoch(),
-      [this, engine](bool aTaken) {
-        if (!aTaken) {
+      [this, engine](bool aAccepted) {
+        if (!aAccepted) {
           mContext.mCounters.Add("orders_refused");
           LogLine(LogLevel::kWarning, "order_refused").Add("engine", engine);
         }
--- a/daemons/router/stewardship.h
+++ b/daemons/router/stewardship.h
@@ -26,9 +26,9 @@
  private:
   void Start(const EntryVms& aVms);
   void Broadcast(const LeaseRequest& aRequest);
-  void Work();
+  void Tick();
   void LogLease(bool aHolds);
-  void UpdateWanted(std::span<const EngineReport> aEngines, Millis aNow);
+  void UpdateTarget(std::span<const EngineReport> aEngines, Millis aNow);
   void Repair(std::span<const EngineReport> aEngines,
               const std::set<std::string>& aUsable);
   void Send(const EngineOrder& aOrder);
@@ -38,13 +38,13 @@
   std::unique_ptr<LeaseHolder> mHolder;
   std::size_t mVoters = 0;
   std::int64_t mStarts = 0;  ///< Of the holder, within this process.
-  bool mHeld = false;
-  std::map<std::string, Millis> mOrderedAt;  ///< By engine.
+  bool mLeaseHeld = false;
+  std::map<std::string, Millis> mLastOrderAt;  ///< By engine.
   /// The zone's placement that orders lead to: the accepted one, or the one
   /// that repairs it.
-  std::vector<StagePlacement> mWanted;
-  std::int64_t mWantedVersion = 0;    ///< Of the configuration it is made for.
-  std::set<std::string> mPlannedFor;  ///< Usable engines when it was made.
+  std::vector<StagePlacement> mTargetPlacement;
+  std::int64_t mTargetVersion = 0;  ///< Of the configuration it is made for.
+  std::set<std::string> mPlannedEngines;  ///< Usable engines when it was made.
   std::set<std::string> mLastUsable;
   Millis mUsableSince = 0;  ///< Since when mLastUsable is unchanged.
   std::unique_ptr<Timer> mTimer;
--- a/tests/daemons/deployment.cpp
+++ b/tests/daemons/deployment.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-constexpr Millis kLongest = 30000;
-constexpr Millis kStep = 3;
+constexpr Millis kRunTimeout = 30000;
+constexpr Millis kRunInterval = 3;
 constexpr const char* kOperatorKey = "operator-key";
 constexpr const char* kClusterKey = "cluster-key";
 
@@ -221,12 +221,12 @@
 
 bool Deployment::RunUntil(const std::function<bool()>& aCondition) {
   // The condition is asked outside the loop, so that it may run it too.
-  const Millis end = SteadyNow() + kLongest;
+  const Millis end = SteadyNow() + kRunTimeout;
   while (!aCondition()) {
     if (SteadyNow() > end) {
       return false;
     }
-    RunFor(kStep);
+    RunFor(kRunInterval);
   }
   return true;
 }
@@ -236,7 +236,7 @@
   mLoop.Run();
 }
 
-void Deployment::StandStill(Millis aTime) {
+void Deployment::BlockThread(Millis aTime) {
   std::this_thread::sleep_for(std::chrono::milliseconds(aTime));
 }
 
@@ -333,7 +333,7 @@
   options.mPath = aPath;
   options.mBody = aBody;
   options.mHeaders = std::move(aHeaders);
-  options.mTimeout = kLongest;
+  options.mTimeout = kRunTimeout;
   options.mFresh = true;
   options.mOnDone = [result](const HttpResult& aResult) {
     result->mHttp = aResult;
--- a/tests/daemons/deployment.h
+++ b/tests/daemons/deployment.h
@@ -60,7 +60,7 @@
   bool RunUntil(const std::function<bool()>& aCondition);
   void RunFor(Millis aTime);
   /// Nothing runs for so long, as where the machine gives no processor time.
-  static void StandStill(Millis aTime);
+  static void BlockThread(Millis aTime);
 
   /// Starts everything, states the usual intent, confirms it, and waits until
   /// every router answers completions.
--- a/tests/daemons/failure_test.cpp
+++ b/tests/daemons/failure_test.cpp
@@ -28,8 +28,8 @@
 constexpr int kTokens = 40;
 
 /// The last chain that router 0 chose for the answer under way.
-std::vector<std::string> ChainUnderWay(Deployment& aDeployment,
-                                       const CallerResult& aAnswer) {
+std::vector<std::string> ActiveChain(Deployment& aDeployment,
+                                     const CallerResult& aAnswer) {
   std::vector<std::string> engines;
   const std::string request = aAnswer.RequestId();
   for (const auto& [vm, engine] : aDeployment.mEngines) {
@@ -65,14 +65,14 @@
   constexpr int kLong = 150;
   const auto answer = deployment.Chat(0, "champagne", kLong, true);
   REQUIRE(deployment.RunUntil([&] { return HasTokens(*answer, 3); }));
-  const auto chain = ChainUnderWay(deployment, *answer);
+  const auto chain = ActiveChain(deployment, *answer);
   REQUIRE(chain.size() == 3);
   deployment.mEngines.erase(chain[1]);
   // Tokens beyond what was on its way come from the chain that replaced it.
   const std::size_t resumed = TokensOf(*answer) + 5;
   SECTION("and a second one during the resume") {
     REQUIRE(deployment.RunUntil([&] { return HasTokens(*answer, resumed); }));
-    const auto second = ChainUnderWay(deployment, *answer);
+    const auto second = ActiveChain(deployment, *answer);
     REQUIRE(!second.empty());
     deployment.mEngines.erase(second[0]);
   }
@@ -91,7 +91,7 @@
   deployment.Begin();
   const auto answer = deployment.Chat(0, "tobacco", kTokens, true);
   REQUIRE(deployment.RunUntil([&] { return HasTokens(*answer, 3); }));
-  const auto chain = ChainUnderWay(deployment, *answer);
+  const auto chain = ActiveChain(deployment, *answer);
   REQUIRE(chain.size() == 3);
   deployment.Fault(chain[0], R"({"freeze_ms":20000})");
   REQUIRE(deployment.RunUntil([&] { return answer->mDone; }));
@@ -175,7 +175,7 @@
   REQUIRE(deployment.RunUntil([&] { return HasTokens(*answer, 3); }));
   answer->mCall.reset();
   CHECK(deployment.RunUntil([&] {
-    return ChainUnderWay(deployment, *answer).empty() &&
+    return ActiveChain(deployment, *answer).empty() &&
            deployment.Metric(0, "open_requests") == 0;
   }));
 }
@@ -221,7 +221,7 @@
     deployment.Begin();
     for (int i = 0; i < 3; i++) {
       // Longer than a report counts.
-      Deployment::StandStill(3200);
+      Deployment::BlockThread(3200);
       const auto answer = deployment.Chat(0, "x", 1, false);
       REQUIRE(deployment.RunUntil([&] { return answer->mDone; }));
       CHECK(answer->mHttp.mStatus == 200);
@@ -231,7 +231,7 @@
     Millis still = 0;
     Deployment deployment({.mDelay = [&still](std::string_view aMessage) {
       if (aMessage.find("\"ask\":0") != std::string_view::npos) {
-        Deployment::StandStill(std::exchange(still, 0));
+        Deployment::BlockThread(std::exchange(still, 0));
       }
       return Millis{0};
     }});
--- a/tests/daemons/history_checker_test.cpp
+++ b/tests/daemons/history_checker_test.cpp
@@ -11,7 +11,8 @@
 
 constexpr std::int64_t kSecond = 1000000;
 
-Json::Value Made(const char* aWhat, std::int64_t aAt, const char* aWho = "x") {
+Json::Value MakeRecord(const char* aWhat, std::int64_t aAt,
+                       const char* aWho = "x") {
   Json::Value record(Json::objectValue);
   record["what"] = aWhat;
   record["wall_us"] = static_cast<Json::Int64>(aAt);
@@ -19,9 +20,9 @@
   return record;
 }
 
-Json::Value Layers(std::int64_t aAt, const char* aEngine, int aIndex,
-                   int aFirst, int aLast) {
-  Json::Value record = Made("layers", aAt, aEngine);
+Json::Value MakeLayersRecord(std::int64_t aAt, const char* aEngine, int aIndex,
+                             int aFirst, int aLast) {
+  Json::Value record = MakeRecord("layers", aAt, aEngine);
   record["request"] = "r1";
   record["attempt"] = 1;
   record["index"] = aIndex;
@@ -31,24 +32,24 @@
 }
 
 /// A run in which everything holds.
-std::vector<Json::Value> GoodRun() {
+std::vector<Json::Value> ValidRun() {
   std::vector<Json::Value> run;
   for (int index = 0; index < 2; index++) {
-    run.push_back(Layers(10 + index * 10, "e1", index, 0, 4));
-    run.push_back(Layers(15 + index * 10, "e2", index, 4, 8));
+    run.push_back(MakeLayersRecord(10 + index * 10, "e1", index, 0, 4));
+    run.push_back(MakeLayersRecord(15 + index * 10, "e2", index, 4, 8));
   }
-  Json::Value answer = Made("answer", 100);
+  Json::Value answer = MakeRecord("answer", 100);
   answer["request"] = "r1";
   answer["router"] = "router-0";
   answer["outcome"] = "whole";
   answer["tokens"] = 2;
   answer["matches"] = true;
   run.push_back(answer);
-  Json::Value service = Made("run", 50, "kaunter");
+  Json::Value service = MakeRecord("run", 50, "kaunter");
   service["key"] = "k1";
   service["request"] = "r2";
   run.push_back(service);
-  Json::Value call = Made("call", 60);
+  Json::Value call = MakeRecord("call", 60);
   call["key"] = "k1";
   call["request"] = "r2";
   call["router"] = "router-0";
@@ -56,15 +57,15 @@
   call["body"] = "paid";
   run.push_back(call);
   for (int version = 1; version <= 2; version++) {
-    Json::Value accepted = Made("accepted", version * kSecond);
+    Json::Value accepted = MakeRecord("accepted", version * kSecond);
     accepted["version"] = version;
     run.push_back(accepted);
-    Json::Value read = Made("read", version * kSecond + 20);
+    Json::Value read = MakeRecord("read", version * kSecond + 20);
     read["begin_us"] = static_cast<Json::Int64>(version * kSecond + 10);
     read["version"] = version;
     read["hash"] = "h" + std::to_string(version);
     run.push_back(read);
-    Json::Value force = Made("in_force", version * kSecond + 30);
+    Json::Value force = MakeRecord("in_force", version * kSecond + 30);
     force["router"] = "router-0";
     force["incarnation"] = "1";
     force["version"] = version;
@@ -82,20 +83,20 @@
 }
 
 /// Changes the first record of a kind.
-std::vector<Json::Value> Spoiled(
-    const char* aWhat, const std::function<void(Json::Value&)>& aSpoil) {
-  std::vector<Json::Value> run = GoodRun();
+std::vector<Json::Value> WithChangedRecord(
+    const char* aWhat, const std::function<void(Json::Value&)>& aChange) {
+  std::vector<Json::Value> run = ValidRun();
   for (Json::Value& record : run) {
     if (record["what"] == aWhat) {
-      aSpoil(record);
+      aChange(record);
       break;
     }
   }
   return run;
 }
 
-std::vector<Json::Value> With(const Json::Value& aRecord) {
-  std::vector<Json::Value> run = GoodRun();
+std::vector<Json::Value> WithAddedRecord(const Json::Value& aRecord) {
+  std::vector<Json::Value> run = ValidRun();
   run.push_back(aRecord);
   return run;
 }
@@ -103,86 +104,87 @@
 }  // namespace
 
 Test(history_checker, passes_a_good_run) {
-  CHECK(ViolationsOf(GoodRun()) == 0);
+  CHECK(ViolationsOf(ValidRun()) == 0);
 }
 
 Test(history_checker, catches_each_planted_defect) {
   SECTION("a layer run twice") {
-    CHECK(ViolationsOf(With(Layers(40, "e3", 0, 4, 8))) > 0);
+    CHECK(ViolationsOf(WithAddedRecord(MakeLayersRecord(40, "e3", 0, 4, 8))) >
+          0);
   }
   SECTION("layers out of order") {
-    CHECK(ViolationsOf(Spoiled("layers", [](Json::Value& aRecord) {
+    CHECK(ViolationsOf(WithChangedRecord("layers", [](Json::Value& aRecord) {
             aRecord["wall_us"] = 500;
           })) > 0);
   }
   SECTION("a layer left out") {
-    CHECK(ViolationsOf(Spoiled("layers", [](Json::Value& aRecord) {
+    CHECK(ViolationsOf(WithChangedRecord("layers", [](Json::Value& aRecord) {
             aRecord["first"] = 1;
           })) > 0);
   }
   SECTION("another's answer") {
-    CHECK(ViolationsOf(Spoiled("answer", [](Json::Value& aRecord) {
+    CHECK(ViolationsOf(WithChangedRecord("answer", [](Json::Value& aRecord) {
             aRecord["matches"] = false;
           })) > 0);
   }
   SECTION("refused as not run, and ran") {
-    CHECK(ViolationsOf(Spoiled("answer", [](Json::Value& aRecord) {
+    CHECK(ViolationsOf(WithChangedRecord("answer", [](Json::Value& aRecord) {
             aRecord["outcome"] = "error";
             aRecord["ran"] = "no";
           })) > 0);
   }
   SECTION("a key that ran twice") {
-    Json::Value again = Made("run", 70, "kaunter");
+    Json::Value again = MakeRecord("run", 70, "kaunter");
     again["key"] = "k1";
     again["request"] = "r3";
-    CHECK(ViolationsOf(With(again)) > 0);
+    CHECK(ViolationsOf(WithAddedRecord(again)) > 0);
   }
   SECTION("a resend with another answer") {
-    Json::Value again = Made("call", 80);
+    Json::Value again = MakeRecord("call", 80);
     again["key"] = "k1";
     again["outcome"] = "whole";
     again["body"] = "paid again";
-    CHECK(ViolationsOf(With(again)) > 0);
+    CHECK(ViolationsOf(WithAddedRecord(again)) > 0);
   }
   SECTION("an answer to a call that never ran") {
-    CHECK(ViolationsOf(Spoiled("run", [](Json::Value& aRecord) {
+    CHECK(ViolationsOf(WithChangedRecord("run", [](Json::Value& aRecord) {
             aRecord["key"] = "other";
           })) > 0);
   }
   SECTION("new work for a leaving upstream") {
-    Json::Value word = Made("leaving", 10 - 4 * kSecond);
+    Json::Value word = MakeRecord("leaving", 10 - 4 * kSecond);
     word["vm"] = "e1";
-    CHECK(ViolationsOf(With(word)) > 0);
+    CHECK(ViolationsOf(WithAddedRecord(word)) > 0);
   }
   SECTION("an answer cut off without a kill") {
-    const auto cut = Spoiled(
+    const auto cut = WithChangedRecord(
         "answer", [](Json::Value& aRecord) { aRecord["outcome"] = "cut"; });
     CHECK(ViolationsOf(cut) > 0);
     auto explained = cut;
-    Json::Value kill = Made("kill", 90);
+    Json::Value kill = MakeRecord("kill", 90);
     kill["name"] = "router-0";
     explained.push_back(kill);
     CHECK(ViolationsOf(explained) == 0);
   }
   SECTION("a read that goes back") {
-    Json::Value stale = Made("read", 3 * kSecond + 20);
+    Json::Value stale = MakeRecord("read", 3 * kSecond + 20);
     stale["begin_us"] = static_cast<Json::Int64>(3 * kSecond);
     stale["version"] = 1;
     stale["hash"] = "h1";
-    CHECK(ViolationsOf(With(stale)) > 0);
+    CHECK(ViolationsOf(WithAddedRecord(stale)) > 0);
   }
   SECTION("two contents of one version") {
-    Json::Value fork = Made("read", 1 * kSecond + 25);
+    Json::Value fork = MakeRecord("read", 1 * kSecond + 25);
     fork["begin_us"] = static_cast<Json::Int64>(1 * kSecond + 15);
     fork["version"] = 1;
     fork["hash"] = "other";
-    CHECK(ViolationsOf(With(fork)) > 0);
+    CHECK(ViolationsOf(WithAddedRecord(fork)) > 0);
   }
   SECTION("a router that goes back") {
-    Json::Value back = Made("in_force", 4 * kSecond);
+    Json::Value back = MakeRecord("in_force", 4 * kSecond);
     back["router"] = "router-0";
     back["incarnation"] = "1";
     back["version"] = 1;
-    CHECK(ViolationsOf(With(back)) > 0);
+    CHECK(ViolationsOf(WithAddedRecord(back)) > 0);
   }
 }
