--- a/daemons/router/caller_api.h
+++ b/daemons/router/caller_api.h
@@ -4,8 +4,8 @@
 #include <memory>
 #include <string>
 
-#include "daemons/router/caller_work.h"
-#include "daemons/router/claim_gate.h"
+#include "daemons/router/claim_client.h"
+#include "daemons/router/request_handler.h"
 #include "daemons/router/router_context.h"
 
 namespace spindleweir {
--- a/daemons/router/claim_gate.cpp
+++ b/daemons/router/claim_client.cpp
@@ -1,4 +1,4 @@
-#include "daemons/router/claim_gate.h"
+#include "daemons/router/claim_client.h"
 
 #include <utility>
 
--- a/daemons/router/completion.h
+++ b/daemons/router/completion.h
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "daemons/router/caller_work.h"
 #include "daemons/router/completion_body.h"
+#include "daemons/router/request_handler.h"
 #include "spindleweir/servers/routing/token_filter.h"
 
 namespace spindleweir {
--- a/daemons/router/caller_work.cpp
+++ b/daemons/router/request_handler.cpp
@@ -1,4 +1,4 @@
-#include "daemons/router/caller_work.h"
+#include "daemons/router/request_handler.h"
 
 #include "spindleweir/core/log.h"
 #include "spindleweir/daemons/answers.h"
--- a/daemons/router/caller_work.h
+++ b/daemons/router/request_handler.h
@@ -6,7 +6,7 @@
 #include <memory>
 #include <string>
 
-#include "daemons/router/claim_gate.h"
+#include "daemons/router/claim_client.h"
 #include "daemons/router/router_context.h"
 #include "spindleweir/drivers/http_server.h"
 
--- a/daemons/router/service_call.h
+++ b/daemons/router/service_call.h
@@ -5,7 +5,7 @@
 #include <set>
 #include <string>
 
-#include "daemons/router/caller_work.h"
+#include "daemons/router/request_handler.h"
 
 namespace spindleweir {
 
