--- a/daemons/router/claim_client.cpp
+++ b/daemons/router/claim_client.cpp
@@ -15,15 +15,15 @@
 constexpr Millis kReportTimeout = 2000;
 constexpr Millis kReportRetryDelay = 500;
 constexpr int kMaxReportAttempts = 240;
-/// An answer waits no longer for keepers to hold it. A round to them and their
-/// disks takes some 5 ms; where no majority of them is left, the caller's
-/// answer goes before what a resend of it would be told.
+/// Maximum delay of an answer while the keepers store it; a round trip with
+/// the disk write takes about 5 ms. If no majority of the keepers is reachable,
+/// the answer is sent although a resend would not get it yet.
 constexpr Millis kStorageTimeout = 1000;
 constexpr std::size_t kMaxStoredAnswerBytes = 64 * 1024;
-/// Longer than any call may take: a claim held for longer has lost its owner.
+/// Longer than any call may take: the owner of an older claim has crashed.
 constexpr Millis kStaleClaimAge = 120 * 1000;
 
-/// One round, shared by the replies that it waits for.
+/// A claim round that is shared by the callbacks of its pending replies.
 struct PendingRound {
   ClaimRound mRound;
   std::function<void(const ClaimOutcome&)> mDone;
@@ -40,7 +40,8 @@
         aPending->mRound.Earlier()});
 }
 
-/// Counts the keepers that have an outcome, and calls back once.
+/// Counts the keepers that have stored an outcome, and calls back once a
+/// majority has, or when Settle() is called.
 class StorageQuorum {
  public:
   StorageQuorum(std::size_t aKeepers, std::function<void()> aOnStored)
@@ -55,9 +56,9 @@
 
   void Settle() {
     mTimer.reset();
-    const std::function<void()> kept = std::exchange(mOnStored, nullptr);
-    if (kept) {
-      kept();
+    const std::function<void()> callback = std::exchange(mOnStored, nullptr);
+    if (callback) {
+      callback();
     }
   }
 
@@ -92,30 +93,30 @@
 void ClaimClient::Acquire(const std::string& aKey, const std::string& aOwner,
                           const std::string& aBody,
                           std::function<void(const ClaimOutcome&)> aDone) {
-  ClaimRecord asked;
-  asked.mKey = aKey;
-  asked.mDigest = Sha256Hex(aBody);
-  asked.mOwner = aOwner;
+  ClaimRecord request;
+  request.mKey = aKey;
+  request.mDigest = Sha256Hex(aBody);
+  request.mOwner = aOwner;
   const std::vector<EntryVm> keepers =
       mContext.mEntryVms.Current().OfRole(EntryRole::kControl);
   if (keepers.empty()) {
-    aDone({ClaimVerdict::kNoQuorum, asked, {}});
+    aDone({ClaimVerdict::kNoQuorum, request, {}});
     return;
   }
-  const auto open = std::make_shared<PendingRound>(PendingRound{
-      ClaimRound(asked, keepers.size(), WallNow() - kStaleClaimAge),
+  const auto pending = std::make_shared<PendingRound>(PendingRound{
+      ClaimRound(request, keepers.size(), WallNow() - kStaleClaimAge),
       std::move(aDone)});
-  const ClaimMessage message{ClaimOperation::kAcquire, asked};
+  const ClaimMessage message{ClaimOperation::kAcquire, request};
   for (const EntryVm& keeper : keepers) {
     mContext.mRpc.Call(
         keeper.mAddress, kClaimMethod, ToJson(message), kAcquireTimeout,
-        [open, id = keeper.mId](const RpcResult& aResult) {
+        [pending, id = keeper.mId](const RpcResult& aResult) {
           if (aResult.mOk) {
-            open->mRound.OnReply(id, FromJson<ClaimReply>(aResult.mAnswer));
+            pending->mRound.OnReply(id, FromJson<ClaimReply>(aResult.mAnswer));
           } else {
-            open->mRound.OnNoReply(id);
+            pending->mRound.OnNoReply(id);
           }
-          Settle(open);
+          Settle(pending);
         });
   }
 }
@@ -140,19 +141,19 @@
   const ClaimMessage message{ClaimOperation::kFinish, aRecord};
   const std::vector<EntryVm> keepers =
       mContext.mEntryVms.Current().OfRole(EntryRole::kControl);
-  const auto count =
+  const auto quorum =
       std::make_shared<StorageQuorum>(keepers.size(), std::move(aOnStored));
   for (const EntryVm& keeper : keepers) {
     SendUntilAcknowledged(keeper, message, kMaxReportAttempts,
-                          [count] { count->OnAcknowledged(); });
+                          [quorum] { quorum->OnAcknowledged(); });
   }
   if (keepers.empty()) {
-    count->Settle();
+    quorum->Settle();
     return;
   }
-  // The messages under way hold the count, its timer does not.
-  count->mTimer = mContext.mLoop.AfterRunning(
-      kStorageTimeout, [this, weak = std::weak_ptr<StorageQuorum>(count)] {
+  // The pending messages own the quorum object; its timer must not.
+  quorum->mTimer = mContext.mLoop.AfterRunning(
+      kStorageTimeout, [this, weak = std::weak_ptr<StorageQuorum>(quorum)] {
         mContext.mCounters.Add("claim_outcomes_late");
         if (const auto late = weak.lock()) {
           late->Settle();
@@ -179,11 +180,11 @@
           }
           return;
         }
-        const auto again = std::make_shared<std::unique_ptr<Timer>>();
-        *again = mContext.mLoop.After(
+        const auto timer = std::make_shared<std::unique_ptr<Timer>>();
+        *timer = mContext.mLoop.After(
             kReportRetryDelay,
-            [this, again, aKeeper, aMessage, aAttemptsLeft, aOnAcknowledged] {
-              again->reset();
+            [this, timer, aKeeper, aMessage, aAttemptsLeft, aOnAcknowledged] {
+              timer->reset();
               SendUntilAcknowledged(aKeeper, aMessage, aAttemptsLeft - 1,
                                     aOnAcknowledged);
             });
--- a/daemons/router/claim_client.h
+++ b/daemons/router/claim_client.h
@@ -1,4 +1,5 @@
-/// A router's side of claims: asks the keepers, and tells them the outcome.
+/// The router's client of the claim keepers: acquires claims and reports their
+/// outcomes.
 #pragma once
 
 #include <functional>
@@ -10,33 +11,34 @@
 
 namespace spindleweir {
 
-/// What an requester is told.
+/// The result of ClaimClient::Acquire().
 struct ClaimOutcome {
   ClaimVerdict mVerdict = ClaimVerdict::kNoQuorum;
-  ClaimRecord mRequested;  ///< To be given back with Release or Finish.
-  ClaimRecord mEarlier;    ///< With kDone: the earlier call's.
+  ClaimRecord mRequested;  ///< To be passed to Release() or Finish().
+  ClaimRecord mEarlier;    ///< With kDone: the earlier call's record.
 };
 
-/// Every control process is a claim keeper, since it has a disk.
+/// Every control process is a claim keeper, because it has a disk.
 class ClaimClient {
  public:
   explicit ClaimClient(RouterContext& aContext) : mContext(aContext) {}
 
-  /// Takes the key for aOwner. The body is what a resend must equal.
+  /// Claims the key for aOwner. A resend must have the same aBody.
   void Acquire(const std::string& aKey, const std::string& aOwner,
                const std::string& aBody,
                std::function<void(const ClaimOutcome&)> aDone);
-  /// The call was not dispatched and will not be.
+  /// Frees the key: the call was not dispatched and will not be.
   void Release(const ClaimRecord& aRecord);
-  /// The call ended; told again to each keeper until it has answered. aOnStored
-  /// (it may be empty) is called once: when a majority of the keepers has the
-  /// outcome, so that every later Acquire() learns it, or after a second.
+  /// Reports the outcome of an ended call to each keeper, and repeats it until
+  /// the keeper answers. aOnStored (may be empty) is called once: when a
+  /// majority of the keepers has the outcome, so that every later Acquire()
+  /// gets it, or after one second.
   void Finish(ClaimRecord aRecord, ClaimState aState,
               const StoredAnswer& aAnswer,
               std::function<void()> aOnStored = nullptr);
 
  private:
-  /// aOnAcknowledged (it may be empty) is called once the keeper has answered.
+  /// aOnAcknowledged (may be empty) is called once the keeper has answered.
   void SendUntilAcknowledged(const EntryVm& aKeeper,
                              const ClaimMessage& aMessage, int aAttemptsLeft,
                              const std::function<void()>& aOnAcknowledged);
@@ -44,7 +46,7 @@
   RouterContext& mContext;
 };
 
-/// The result code of a verdict that refuses a call.
+/// The result code for a verdict that rejects a call.
 ResultCode CodeOf(ClaimVerdict aVerdict);
 
 }  // namespace spindleweir
--- a/daemons/router/peer_link.cpp
+++ b/daemons/router/peer_link.cpp
@@ -95,7 +95,8 @@
   if (mContext.mReady) {
     return;
   }
-  // Before it serves, it hears each peer of its zone and each control once.
+  // The router becomes ready only after it has probed each peer of its zone
+  // and each control process once.
   for (const EntryVm& vm : aVms.All()) {
     const bool wanted =
         vm.mZone == mContext.mOptions.mZone || vm.mRole == EntryRole::kControl;
@@ -120,11 +121,11 @@
 
 void PeerLink::ApplyPeerState(const PeerState& aState) {
   mMembers.ApplyUpdates(aState.mUpdates, SteadyNow());
-  bool news = false;
-  for (const LeaveNotice& word : aState.mLeaving) {
-    news = mContext.AddLeaveNotice(word, aState.mFrom) || news;
+  bool added = false;
+  for (const LeaveNotice& notice : aState.mLeaving) {
+    added = mContext.AddLeaveNotice(notice, aState.mFrom) || added;
   }
-  if (news) {
+  if (added) {
     mContext.RefreshLeaving();
   }
   const EntryVm* peer = mContext.mEntryVms.Current().Find(aState.mFrom);
@@ -238,8 +239,9 @@
   for (const EntryVm& vm :
        mContext.mEntryVms.Current().OfRole(EntryRole::kRouter)) {
     routers++;
-    // A peer of the own zone that is gone has crashed: its share is free. One
-    // of another zone may be cut off and go on with its last share.
+    // A local-zone peer that does not answer has crashed, so its share is
+    // free. A peer in another zone may only be partitioned and still use its
+    // last share.
     const bool crashed = vm.mZone == mContext.mOptions.mZone &&
                          vm.mId != mContext.mOptions.mId &&
                          !mMembers.IsUsable(vm.mId);
--- a/daemons/router/peer_link.h
+++ b/daemons/router/peer_link.h
@@ -1,5 +1,5 @@
-/// A router's dealings with our other processes: probes, gossip, the
-/// configuration, and the handing over of receipts.
+/// A router's messages with other routers and control: membership probes,
+/// gossip, configuration updates and receipts.
 #pragma once
 
 #include <memory>
@@ -12,7 +12,7 @@
 
 namespace spindleweir {
 
-/// Registers its methods with the dispatcher and runs by its own timers.
+/// Registers its RPC methods with the dispatcher and runs on its own timers.
 class PeerLink {
  public:
   PeerLink(RouterContext& aContext, RpcDispatcher& aDispatcher);
@@ -24,22 +24,29 @@
   void SetPeers(const EntryVms& aVms);
   PeerState LocalState();
   void ApplyPeerState(const PeerState& aState);
+  /// Pings aTarget, or asks aVia to ping it if aVia is not empty.
   void Probe(const std::string& aTarget, const std::string& aVia);
+  /// Pings a target for a peer and reports to the peer if it answers.
   void ProbeFor(const IndirectProbe& aProbe);
   void OnConfigurationUpdate(const ConfigurationUpdate& aUpdate);
+  /// Fetches newer configuration changes from a process; one pull at a time.
   void Pull(const std::string& aFrom);
   void PullFromControl();
   void UpdateReadiness();
+  /// Divides limits among the routers that are not known to have crashed.
   void ShareLimits();
+  /// Sends a batch of receipts to a control process, the local zone's first.
   void SendReceipts();
   Json::Value StateForOperators() const;
 
   RouterContext& mContext;
   MemberTable mMembers;
-  std::set<std::string> mUnprobedPeers;  ///< Before the router is ready.
-  std::int64_t mNewestKnownVersion = 0;  ///< Heard of.
+  /// Peers still to be probed before the router becomes ready.
+  std::set<std::string> mUnprobedPeers;
+  std::int64_t mNewestKnownVersion =
+      0;  ///< Highest version that any process sent.
   bool mPulling = false;
-  bool mPullPending = false;  ///< A push came that does not follow.
+  bool mPullPending = false;  ///< A pushed update left a gap.
   std::unique_ptr<Timer> mTickTimer;
   std::unique_ptr<Timer> mShareTimer;
   std::unique_ptr<Timer> mReceiptTimer;
--- a/daemons/router/request_handler.cpp
+++ b/daemons/router/request_handler.cpp
@@ -25,12 +25,12 @@
 
 void RequestHandler::RequestAdmission(
     double aServiceMillis, std::function<void(const AdmissionOutcome&)> aDone) {
-  AdmissionRequest ask;
-  ask.mWorkspace = mRequest.mWorkspace.mName;
-  ask.mPriority = mRequest.mPriority;
-  ask.mDeadline = mRequest.mDeadline;
-  ask.mServiceMillis = aServiceMillis;
-  mTicket = mContext.SubmitForAdmission(ask, std::move(aDone));
+  AdmissionRequest admission;
+  admission.mWorkspace = mRequest.mWorkspace.mName;
+  admission.mPriority = mRequest.mPriority;
+  admission.mDeadline = mRequest.mDeadline;
+  admission.mServiceMillis = aServiceMillis;
+  mTicket = mContext.SubmitForAdmission(admission, std::move(aDone));
 }
 
 void RequestHandler::ReplyWithError(ResultCode aCode,
@@ -90,7 +90,7 @@
     mContext.ReleaseSlot(mRequest.mWorkspace.mName);
   }
   mContext.mOpenRequests--;
-  // Whoever called this is still on the stack.
+  // A member function of this object is still on the stack.
   mContext.mLoop.Post([self = std::move(mSelf)] {});
 }
 
--- a/daemons/router/request_handler.h
+++ b/daemons/router/request_handler.h
@@ -1,5 +1,5 @@
-/// What a caller's request carries, and what a completion and a service call
-/// do alike with it: its place, its claim, its receipt, its end.
+/// A caller's request, and the handling that completions and service calls
+/// share: admission, claim, receipt and end.
 #pragma once
 
 #include <functional>
@@ -22,16 +22,18 @@
   Millis mDeadline = 0;  ///< Absolute, steady; 0: none.
   Millis mStarted = 0;   ///< Steady.
 
-  /// What its idempotency key claims on a route.
+  /// The claim key of the idempotency key on a route, which is scoped to the
+  /// workspace.
   std::string ClaimKey(const std::string& aRoute) const {
     return mWorkspace.mName + "\n" + aRoute + "\n" + mIdempotencyKey;
   }
 };
 
-/// Tick for one request. It holds itself from Open() until after Close().
+/// Base class for the handling of one request. The object owns itself from
+/// Open() until after Close().
 class RequestHandler {
  protected:
-  /// aTarget: the model or service.
+  /// aTarget: name of the model or service.
   RequestHandler(RouterContext& aContext, ClaimClient& aClaims,
                  CallerRequest aRequest, const std::string& aTarget);
   ~RequestHandler() = default;
@@ -39,20 +41,21 @@
   RequestHandler& operator=(const RequestHandler&) = delete;
 
   void Open(std::shared_ptr<void> aSelf);
-  /// Asks for a place; aDone is called once, unless the work ends before.
+  /// Requests a slot from the limiter; aDone is called once, unless Close() is
+  /// called before. aServiceMillis is the expected duration.
   void RequestAdmission(double aServiceMillis,
                         std::function<void(const AdmissionOutcome&)> aDone);
-  /// Sends an error as the whole answer.
+  /// Sends an error as the complete HTTP response.
   void ReplyWithError(ResultCode aCode, const std::string& aMessage,
                       Millis aRetryAfter);
-  /// Ends the claim, if it is held: released where nothing can have run, else
-  /// its outcome is unknown.
+  /// Ends a held claim without an answer: releases it if nothing can have run,
+  /// or else stores an unknown outcome.
   void SettleClaim(bool aMayHaveRun);
-  /// Ends the claim with the answer, and calls aThen once resends learn it: at
-  /// once where no claim is held.
+  /// Ends the claim with the answer. Calls aThen once a resend would get this
+  /// answer, or immediately if no claim is held.
   void FinishClaim(const StoredAnswer& aAnswer, std::function<void()> aThen);
-  /// Writes receipt, counter and log line, and gives the place back. The
-  /// object goes in the next turn of the loop.
+  /// Writes the receipt, counter and log line, and releases the slot. The
+  /// object is destroyed in the next iteration of the event loop.
   void Close(ResultCode aCode, Ran aRan, int aTokens, int aAttempts);
 
   RouterContext& mContext;
@@ -61,7 +64,7 @@
   Receipt mReceipt;
   ClaimRecord mClaim;
   bool mClaimHeld = false;
-  bool mHoldsSlot = false;  ///< Holds a place of the limiter.
+  bool mHoldsSlot = false;  ///< Holds a slot of the limiter.
 
  private:
   std::uint64_t mTicket = 0;
--- a/daemons/router/router_context.cpp
+++ b/daemons/router/router_context.cpp
@@ -9,7 +9,8 @@
 constexpr std::size_t kMaxOutboxReceipts = 4096;
 constexpr Millis kLimiterInterval = 20;
 constexpr Millis kLeavingPruneInterval = 500;
-/// Until links are measured: what the users' pages say of their zones.
+/// Assumed link latencies, as the user documentation states them for zones;
+/// links are not measured.
 constexpr double kSameZoneMillis = 0.1;
 constexpr double kOtherZoneMillis = 0.9;
 
@@ -39,18 +40,18 @@
 
 ConfigurationUpdateResult RouterContext::ApplyUpdate(
     const ConfigurationUpdate& aUpdate) {
-  const ConfigurationUpdateResult verdict = mHistory.ApplyUpdate(aUpdate);
-  if (verdict == ConfigurationUpdateResult::kFork ||
-      verdict == ConfigurationUpdateResult::kHashMismatch) {
-    const bool fork = verdict == ConfigurationUpdateResult::kFork;
+  const ConfigurationUpdateResult result = mHistory.ApplyUpdate(aUpdate);
+  if (result == ConfigurationUpdateResult::kFork ||
+      result == ConfigurationUpdateResult::kHashMismatch) {
+    const bool fork = result == ConfigurationUpdateResult::kFork;
     mCounters.Add(fork ? "configuration_forks" : "configuration_bad_hashes");
     LogLine(LogLevel::kError,
             fork ? "configuration_fork" : "configuration_bad_hash")
         .Add("version",
              static_cast<Json::Int64>(AcceptedConfiguration().mVersion));
   }
-  if (verdict != ConfigurationUpdateResult::kApplied) {
-    return verdict;
+  if (result != ConfigurationUpdateResult::kApplied) {
+    return result;
   }
   const Configuration& accepted = AcceptedConfiguration();
   mLeaving.SetDrained(accepted.mDrained);
@@ -64,7 +65,7 @@
   if (mOptions.mOnConfiguration) {
     mOptions.mOnConfiguration(accepted.mVersion);
   }
-  return verdict;
+  return result;
 }
 
 void RouterContext::ShareLimits(std::size_t aRouters) {
@@ -107,9 +108,9 @@
     if (it == mPendingAdmissions.end()) {
       continue;
     }
-    const auto call = std::move(it->second);
+    const auto callback = std::move(it->second);
     mPendingAdmissions.erase(it);
-    call(outcome);
+    callback(outcome);
   }
 }
 
@@ -121,7 +122,7 @@
     }
     mLeaving.OnSeen(vm, report.mIncarnation);
     if (report.mLeaving) {
-      AddLeaveNotice({vm, report.mIncarnation}, "its own word");
+      AddLeaveNotice({vm, report.mIncarnation}, "its own report");
     }
   }
   for (const std::string& vm : mView.TakeNewlyLeaving()) {
@@ -136,13 +137,13 @@
 
 bool RouterContext::AddLeaveNotice(const LeaveNotice& aNotice,
                                    const std::string& aSource) {
-  const bool news = mLeaving.Add(aNotice);
-  if (news) {
+  const bool added = mLeaving.Add(aNotice);
+  if (added) {
     LogLine(LogLevel::kInfo, "upstream_leaving")
         .Add("vm", aNotice.mVm)
         .Add("by", aSource);
   }
-  return news;
+  return added;
 }
 
 std::string RouterContext::NextRequestId() {
--- a/daemons/router/router_context.h
+++ b/daemons/router/router_context.h
@@ -1,4 +1,4 @@
-/// What the parts of a router share.
+/// State and services that all parts of a router share.
 #pragma once
 
 #include <functional>
@@ -27,28 +27,32 @@
  public:
   RouterContext(EventLoop& aLoop, RouterOptions aOptions);
 
-  /// Takes what is newer of the accepted configuration.
+  /// Applies an update if it is newer than the accepted configuration, and
+  /// updates drained VMs and limits from it.
   ConfigurationUpdateResult ApplyUpdate(const ConfigurationUpdate& aUpdate);
   const Configuration& AcceptedConfiguration() const {
     return mHistory.Current();
   }
-  /// Gives the limiter this router's part of each workspace's limits, with
-  /// aRouters sharing them.
+  /// Sets this router's share of each workspace's limits in the limiter;
+  /// aRouters is the number of routers that share them.
   void ShareLimits(std::size_t aRouters);
-  /// Asks for a place; aDone is called once, maybe at once.
+  /// Submits a request to the limiter and returns its ticket. aDone is called
+  /// exactly once unless the ticket is withdrawn, possibly before this returns.
   std::uint64_t SubmitForAdmission(
       AdmissionRequest aRequest,
       std::function<void(const AdmissionOutcome&)> aDone);
   void WithdrawTicket(std::uint64_t aTicket);
   void ReleaseSlot(const std::string& aWorkspace);
-  /// Brings who leaves from all sources into the view.
+  /// Collects leaving VMs from engine reports, the platform and notices, and
+  /// marks them in the upstream view.
   void RefreshLeaving();
-  /// Takes a word; true where it is news.
+  /// Records that a VM is leaving; returns true if this was not known. aSource
+  /// is logged.
   bool AddLeaveNotice(const LeaveNotice& aNotice, const std::string& aSource);
 
   std::string NextRequestId();
   double Random();
-  /// Milliseconds that a token takes between two zones.
+  /// Transfer time of one token between two zones, in milliseconds.
   double LinkMillis(const std::string& aFrom, const std::string& aTo) const;
 
   EventLoop& mLoop;
@@ -67,11 +71,13 @@
   LeavingSet mLeaving;
   ReceiptOutbox mOutbox;
   bool mReady = false;
-  bool mStopping = false;           ///< Not ready any more, for the balancer.
-  bool mRejectingRequests = false;  ///< Takes no new request any more.
+  bool mStopping =
+      false;  ///< /readyz fails, so that the load balancer moves away.
+  bool mRejectingRequests = false;  ///< New requests fail with kStopping.
   int mOpenRequests = 0;
 
  private:
+  /// Calls the callback of each request that the limiter admitted or rejected.
   void DeliverOutcomes(const std::vector<AdmissionOutcome>& aOutcomes);
 
   std::map<std::uint64_t, std::function<void(const AdmissionOutcome&)>>
