--- a/daemons/router/caller_api.cpp
+++ b/daemons/router/caller_api.cpp
@@ -21,7 +21,8 @@
 constexpr int kMaxPriority = 10;
 constexpr Millis kNotReadyRetryAfter = 1000;
 
-/// A whole number in a header, within bounds.
+/// Parses an integer header. Throws kBadHeader if it is malformed or out of
+/// bounds.
 std::int64_t ParseNumberHeader(std::string_view aText, const char* aHeader,
                                std::int64_t aMin, std::int64_t aMax) {
   std::int64_t number = 0;
@@ -29,7 +30,7 @@
   const auto [stop, ec] = std::from_chars(aText.data(), end, number);
   if (ec != std::errc() || stop != end || number < aMin || number > aMax) {
     throw Error(ResultCode::kBadHeader,
-                std::string(aHeader) + " must be a whole number from " +
+                std::string(aHeader) + " must be an integer from " +
                     std::to_string(aMin) + " to " + std::to_string(aMax));
   }
   return number;
@@ -56,18 +57,19 @@
   } catch (const Error& error) {
     mContext.mCounters.Add(
         "requests", "code=\"" + std::string(InfoOf(error.Code()).mName) + "\"");
-    const bool later = error.Code() == ResultCode::kNotReady ||
-                       error.Code() == ResultCode::kStopping;
-    ReplyError(*aExchange, {.mCode = error.Code(),
-                            .mMessage = error.what(),
-                            .mRetryAfter = later ? kNotReadyRetryAfter : 0});
+    const bool temporary = error.Code() == ResultCode::kNotReady ||
+                           error.Code() == ResultCode::kStopping;
+    ReplyError(*aExchange,
+               {.mCode = error.Code(),
+                .mMessage = error.what(),
+                .mRetryAfter = temporary ? kNotReadyRetryAfter : 0});
   }
 }
 
 void CallerApi::Route(const std::shared_ptr<HttpExchange>& aExchange) {
   if (aExchange->Body().size() > kMaxBodyBytes) {
     throw Error(ResultCode::kBodyTooLarge,
-                "a body must have at most 1048576 bytes");
+                "request body must be at most 1048576 bytes");
   }
   const std::string& path = aExchange->Path();
   if (path == "/healthz") {
@@ -76,7 +78,7 @@
   } else if (path == "/readyz") {
     RequireMethod(*aExchange, "GET");
     if (mContext.mStopping) {
-      throw Error(ResultCode::kStopping, "stopping");
+      throw Error(ResultCode::kStopping, "router is stopping");
     }
     if (!mContext.mReady) {
       throw Error(ResultCode::kNotReady, "no accepted configuration yet");
@@ -100,14 +102,14 @@
   } else if (path.starts_with(kServicePrefix)) {
     StartService(aExchange);
   } else {
-    throw Error(ResultCode::kNotFound, "no path " + path);
+    throw Error(ResultCode::kNotFound, "unknown path " + path);
   }
 }
 
 CallerRequest CallerApi::CheckRequest(
     const std::shared_ptr<HttpExchange>& aExchange) {
   if (mContext.mRejectingRequests) {
-    throw Error(ResultCode::kStopping, "this router is stopping");
+    throw Error(ResultCode::kStopping, "router is stopping");
   }
   if (!mContext.mReady && !mContext.mStopping) {
     throw Error(ResultCode::kNotReady, "no accepted configuration yet");
@@ -116,7 +118,7 @@
       FindWorkspaceByKey(mContext.AcceptedConfiguration().mIntent,
                          Sha256Hex(aExchange->BearerKey()));
   if (workspace == nullptr) {
-    throw Error(ResultCode::kUnauthorized, "the bearer key is not known");
+    throw Error(ResultCode::kUnauthorized, "bearer key is unknown");
   }
   CallerRequest request;
   request.mWorkspace = *workspace;
@@ -146,7 +148,7 @@
   const ModelSpec* model =
       FindModel(mContext.AcceptedConfiguration().mIntent, body.mModel);
   if (model == nullptr) {
-    throw Error(ResultCode::kUnknownModel, "no model " + body.mModel);
+    throw Error(ResultCode::kUnknownModel, "unknown model " + body.mModel);
   }
   if (!Allows(request.mWorkspace.mModels, body.mModel)) {
     throw Error(ResultCode::kForbidden, "workspace " +
@@ -167,7 +169,7 @@
   const ServiceSpec* service =
       FindService(mContext.AcceptedConfiguration().mIntent, name);
   if (service == nullptr) {
-    throw Error(ResultCode::kNotFound, "no service " + name);
+    throw Error(ResultCode::kNotFound, "unknown service " + name);
   }
   if (!Allows(request.mWorkspace.mServices, name)) {
     throw Error(
--- a/daemons/router/caller_api.h
+++ b/daemons/router/caller_api.h
@@ -1,4 +1,4 @@
-/// The paths that callers use, and the checks before a request starts.
+/// The HTTP paths of the caller port, and the checks before a request starts.
 #pragma once
 
 #include <memory>
@@ -10,7 +10,7 @@
 
 namespace spindleweir {
 
-/// Takes every request of the callers' port.
+/// Handles every request that arrives on the caller port.
 class CallerApi {
  public:
   explicit CallerApi(RouterContext& aContext);
@@ -19,6 +19,8 @@
 
  private:
   void Route(const std::shared_ptr<HttpExchange>& aExchange);
+  /// Checks readiness, bearer key and headers. Throws kStopping, kNotReady,
+  /// kUnauthorized or kBadHeader.
   CallerRequest CheckRequest(const std::shared_ptr<HttpExchange>& aExchange);
   void StartCompletion(const std::shared_ptr<HttpExchange>& aExchange,
                        bool aChat);
--- a/daemons/router/completion.cpp
+++ b/daemons/router/completion.cpp
@@ -87,10 +87,10 @@
 void Completion::OnClaim(const ClaimOutcome& aOutcome) {
   mClaim = aOutcome.mRequested;
   if (aOutcome.mVerdict != ClaimVerdict::kGranted) {
-    const bool kept = aOutcome.mEarlier.mAnswer.mBodyStored;
-    // Grants of a minority must not block a later resend.
+    const bool stored = aOutcome.mEarlier.mAnswer.mBodyStored;
+    // Grants by a minority of the keepers must not block a later resend.
     mClaims.Release(mClaim);
-    if (aOutcome.mVerdict == ClaimVerdict::kDone && kept &&
+    if (aOutcome.mVerdict == ClaimVerdict::kDone && stored &&
         mPhase != Phase::kEnded) {
       ReplayStored(aOutcome.mEarlier.mAnswer);
       return;
@@ -114,11 +114,11 @@
     End(ResultCode::kOk, Ran::kYes);
     return;
   }
-  const Json::Value whole = ParseJson(aAnswer.mBody);
-  const Json::Value& choice = whole["choices"][0];
+  const Json::Value full = ParseJson(aAnswer.mBody);
+  const Json::Value& choice = full["choices"][0];
   const std::string text = mBody.mChat ? choice["message"]["content"].asString()
                                        : choice["text"].asString();
-  mReply.mRequest = whole["id"].asString();
+  mReply.mRequest = full["id"].asString();
   mReply.mFinish = choice["finish_reason"].asString();
   mRequest.mExchange->StartStream(kHttpOk, "text/event-stream");
   mRequest.mExchange->Write(StreamEvent(mBody, mReply, text, true));
@@ -159,14 +159,14 @@
          "no chain of usable engines covers all layers", kNoUpstreamRetryAfter);
     return;
   }
-  // A stream under way waits for a stage to come back, in small steps; engines
-  // given up before may be the only ones left.
+  // A started stream retries until a stage is usable again. Excluded engines
+  // are allowed again, because they may be the only ones left.
   mExcluded.clear();
   if (mNoChainSince == 0) {
     mNoChainSince = SteadyNow();
   }
   if (SteadyNow() - mNoChainSince > kChainWaitTimeout) {
-    Fail(ResultCode::kStreamBroken, "no chain of usable engines is left");
+    Fail(ResultCode::kStreamBroken, "no chain of usable engines remains");
     return;
   }
   mChainRetries++;
@@ -200,7 +200,8 @@
       .Add("request", mRequest.mId)
       .Add("why", NameOf(verdict))
       .Add("engine", mStages.back().mEngine);
-  // A duplicate harms nobody; anything else makes the whole stream doubtful.
+  // A duplicate is harmless; any other verdict makes the rest of the stream
+  // unreliable.
   if (verdict != TokenVerdict::kDuplicate) {
     ReplaceChain(std::string("frame refused: ") + NameOf(verdict),
                  {mStages.back().mEngine});
@@ -211,8 +212,8 @@
   if (mPhase == Phase::kEnded) {
     return;
   }
-  // Whoever answered with an error is there; a lost connection is a failure
-  // of the engine that was asked, the last one.
+  // Both an error status and a lost connection count as a failure of the
+  // chain's last engine, to which the request was sent.
   const bool refused = aResult.mComplete && aResult.mStatus != kHttpOk;
   ReplaceChain(refused ? "refused with " + std::to_string(aResult.mStatus)
                        : "connection lost",
@@ -235,9 +236,9 @@
 void Completion::ReplaceChain(const std::string& aWhy,
                               const std::set<std::string>& aFailed) {
   EndAttempt("failed");
-  bool known = false;
+  bool leaving = false;
   for (const std::string& engine : aFailed) {
-    known = known || mContext.mView.IsLeaving(engine);
+    leaving = leaving || mContext.mView.IsLeaving(engine);
     mContext.mView.Failed(engine, mContext.mLoop.RunningNow());
     mExcluded.insert(engine);
   }
@@ -252,9 +253,9 @@
       .Add("why", aWhy)
       .Add("failed", failed)
       .Add("delivered", mTokenFilter.Delivered());
-  // A failure of a VM known to be leaving spends nothing of the budget.
+  // A failure of a VM that is known to be leaving costs no retry budget.
   const bool allowed = mTokenFilter.Attempt() < kMaxAttempts &&
-                       (known || mContext.mRetryBudget.TrySpend());
+                       (leaving || mContext.mRetryBudget.TrySpend());
   if (!allowed) {
     Fail(ResultCode::kStreamBroken, "too many attempts failed: " + aWhy);
     return;
@@ -324,12 +325,12 @@
   for (const std::string& token : mTokens) {
     text += token;
   }
-  const std::string whole = DumpJson(FullReply(mBody, mReply, text));
+  const std::string answer = DumpJson(FullReply(mBody, mReply, text));
   mPhase = Phase::kStoring;
   mDeadlineTimer.reset();
   FinishClaim(
-      {.mStatus = kHttpOk, .mType = "application/json", .mBody = whole},
-      [self = shared_from_this(), whole] { self->SendFinalAnswer(whole); });
+      {.mStatus = kHttpOk, .mType = "application/json", .mBody = answer},
+      [self = shared_from_this(), answer] { self->SendFinalAnswer(answer); });
 }
 
 void Completion::SendFinalAnswer(const std::string& aFullAnswer) {
@@ -368,7 +369,7 @@
   }
   mContext.mCounters.Add("callers_left");
   if (mPhase == Phase::kStoring) {
-    // It ran; the keepers are being told so.
+    // The completion ran; its outcome is being stored at the claim keepers.
     return;
   }
   EndAttempt("cancelled");
--- a/daemons/router/completion.h
+++ b/daemons/router/completion.h
@@ -1,4 +1,5 @@
-/// One completion on its way: admission, claim, chain, stream, resume, end.
+/// The handling of one completion: admission, claim, chain selection,
+/// streaming, resume after a failure, and end.
 #pragma once
 
 #include <memory>
@@ -13,7 +14,8 @@
 
 namespace spindleweir {
 
-/// A typed state machine; it holds itself while anything of it is open.
+/// A state machine that owns itself until the completion has ended and no
+/// callback is pending.
 class Completion : private RequestHandler,
                    public std::enable_shared_from_this<Completion> {
  public:
@@ -26,7 +28,8 @@
   void Begin();
 
  private:
-  /// kStoring: all tokens came, and the claim keepers are told.
+  /// kStoring: all tokens have arrived, and the claim keepers store the
+  /// outcome.
   enum class Phase { kQueued, kClaiming, kRunning, kStoring, kEnded };
 
   void OnAdmission(const AdmissionOutcome& aOutcome);
@@ -40,26 +43,34 @@
   ChainJob MakeJob() const;
   void HandleFrame(const TokenFrame& aFrame);
   void HandleChainEnd(const HttpResult& aResult);
+  /// Ends the current attempt; aEnding is its outcome in the receipt.
   void EndAttempt(const char* aEnding);
+  /// Ends the attempt, excludes aFailed, and dispatches to another chain.
   void ReplaceChain(const std::string& aWhy,
                     const std::set<std::string>& aFailed);
+  /// Fails, or retries later if a token may already have been produced.
   void HandleMissingChain();
 
+  /// How long a chain may produce no token before its engines are probed.
   Millis StallTimeout() const;
   void StartStallTimer();
   void OnStallTimer();
   void ProbeStages();
+  /// aSilent: engines that did not answer the probe.
   void OnProbesDone(const std::set<std::string>& aSilent);
 
   void Deliver(const TokenFrame& aFrame);
+  /// Pauses the chain while the caller reads too slowly.
   void ApplyBackpressure();
-  /// Ends the answer once resends learn it.
+  /// Stores the full answer at the claim keepers, then sends its end.
   void FinishCompletion();
   void SendFinalAnswer(const std::string& aFullAnswer);
   void Fail(ResultCode aCode, const std::string& aMessage,
             Millis aRetryAfter = 0);
   void OnCallerDisconnected();
   void End(ResultCode aCode, Ran aRan);
+  /// Highest expected step time of an engine that runs the model's first
+  /// stage; 0 if there is none.
   double ExpectedMillis() const;
 
   CompletionBody mBody;
@@ -67,18 +78,18 @@
   CompletionReply mReply;
   TokenFilter mTokenFilter;
   Phase mPhase = Phase::kQueued;
-  bool mDispatched = false;  ///< Something may have run.
-  /// Set once the first event is written.
+  bool mDispatched = false;  ///< An engine may have started work.
+  /// Set once the first stream event is written.
   std::optional<StreamEventWriter> mEventWriter;
-  bool mStreaming = false;           ///< The answer's head was sent.
-  std::vector<std::string> mTokens;  ///< Delivered, for a resume.
+  bool mStreaming = false;           ///< The response headers were sent.
+  std::vector<std::string> mTokens;  ///< Delivered tokens, for a resume.
   std::vector<StagePlacement> mStages;
   double mChainCost = 0;
   std::set<std::string> mExcluded;
-  Millis mLastProgressAt = 0;  ///< The last token, or the dispatch.
-  int mConsecutiveStalls = 0;  ///< In a row, without a token.
-  int mChainRetries = 0;       ///< For any chain at all.
-  Millis mNoChainSince = 0;    ///< When no chain was left; 0: there is one.
+  Millis mLastProgressAt = 0;  ///< Last token or dispatch.
+  int mConsecutiveStalls = 0;  ///< Since the last token.
+  int mChainRetries = 0;       ///< While no chain is usable.
+  Millis mNoChainSince = 0;    ///< 0: a chain is usable.
   std::unique_ptr<HttpCall> mCall;
   std::unique_ptr<Timer> mStallTimer;
   std::unique_ptr<Timer> mDeadlineTimer;
--- a/daemons/router/completion_body.cpp
+++ b/daemons/router/completion_body.cpp
@@ -9,7 +9,7 @@
 constexpr int kMaxTokens = 65536;
 constexpr Millis kMillisPerSecond = 1000;
 
-/// One message of a chat.
+/// One message of a chat request.
 struct ChatMessage {
   std::string mRole;
   Json::Value mContent;
@@ -21,7 +21,7 @@
   }
 };
 
-/// The part of stream_options that is known here.
+/// The supported part of stream_options.
 struct StreamOptions {
   bool mIncludeUsage = false;
 
@@ -31,8 +31,8 @@
   }
 };
 
-/// The fields of both bodies that are used; ordinary clients send others,
-/// which are for the engines and do not concern a router.
+/// The fields of both bodies that the router uses. Clients send others, which
+/// are meant for the engines and are ignored here.
 struct RawBody {
   std::string mModel;
   std::vector<ChatMessage> mMessages;
@@ -60,18 +60,19 @@
   throw Error(ResultCode::kBadField, aMessage);
 }
 
-/// The text of a message: a string, or an array of text parts.
-std::string TextOf(const Json::Value& aContent, const std::string& aWhere) {
+/// The text of a message: a string or an array of text parts. Throws kBadField
+/// for any other value of the field aField.
+std::string TextOf(const Json::Value& aContent, const std::string& aField) {
   if (aContent.isString()) {
     return aContent.asString();
   }
   if (!aContent.isArray()) {
-    ThrowBadField(aWhere + " must be a string or an array of text parts");
+    ThrowBadField(aField + " must be a string or an array of text parts");
   }
   std::string text;
   for (const Json::Value& part : aContent) {
     if (!part.isObject() || !part["text"].isString()) {
-      ThrowBadField(aWhere + " may hold text parts only");
+      ThrowBadField(aField + " may hold text parts only");
     }
     text += part["text"].asString();
   }
@@ -91,16 +92,16 @@
 }
 
 int MaxTokensOf(const RawBody& aRaw) {
-  const int asked = aRaw.mMaximumCompletionTokens != -1
-                        ? aRaw.mMaximumCompletionTokens
-                        : aRaw.mMaximumTokens;
-  if (asked == -1) {
+  const int requested = aRaw.mMaximumCompletionTokens != -1
+                            ? aRaw.mMaximumCompletionTokens
+                            : aRaw.mMaximumTokens;
+  if (requested == -1) {
     return CompletionBody{}.mMaximumTokens;
   }
-  if (asked < 1 || asked > kMaxTokens) {
+  if (requested < 1 || requested > kMaxTokens) {
     ThrowBadField("max_tokens must be 1 to 65536");
   }
-  return asked;
+  return requested;
 }
 
 Json::Value Frame(const CompletionBody& aBody, const CompletionReply& aReply,
@@ -195,7 +196,7 @@
 
 StreamEventWriter::StreamEventWriter(const CompletionBody& aBody,
                                      const CompletionReply& aReply) {
-  // A text that JSON writes as it is, and that no name of a model can hold.
+  // JSON writes this text without escapes, and a model name can't contain it.
   constexpr std::string_view kPlaceholder = "<text>";
   const std::string event = StreamEvent(aBody, aReply, kPlaceholder, false);
   const std::size_t at = event.find("\"<text>\"");
--- a/daemons/router/completion_body.h
+++ b/daemons/router/completion_body.h
@@ -1,4 +1,4 @@
-/// The bodies of /v1/chat/completions and /v1/completions: in and out.
+/// Request and response bodies of /v1/chat/completions and /v1/completions.
 #pragma once
 
 #include <json/value.h>
@@ -11,37 +11,38 @@
 
 namespace spindleweir {
 
-/// A completion as a caller asks for it.
+/// The parameters of a requested completion.
 struct CompletionBody {
-  bool mChat = true;  ///< Of which of the two paths it came by.
+  bool mChat = true;  ///< Request came to the chat path.
   std::string mModel;
   std::string mPrompt;
   int mMaximumTokens = 16;
   bool mStream = false;
-  bool mIncludeUsage = false;  ///< A usage chunk at the end of a stream.
+  bool mIncludeUsage = false;  ///< Send a usage event before a stream ends.
 };
 
-/// Reads a body; throws kMalformedJson or kBadField.
+/// Parses a request body. Throws kMalformedJson or kBadField.
 CompletionBody ReadCompletion(std::string_view aText, bool aChat);
 
-/// What an answer's parts are made from.
+/// Data of an answer from which bodies and events are built.
 struct CompletionReply {
   std::string mRequest;
   Millis mCreatedWall = 0;
   int mPromptTokens = 0;
   int mTokens = 0;
-  std::string mFinish;  ///< "stop" or "length"; empty while it goes on.
+  std::string mFinish;  ///< "stop" or "length"; empty until finished.
 };
 
-/// The whole answer.
+/// The body of an answer that isn't streamed.
 Json::Value FullReply(const CompletionBody& aBody,
                       const CompletionReply& aReply, const std::string& aText);
-/// One event of a stream, "data: {...}\n\n".
+/// One server-sent event of a stream, "data: {...}\n\n". aFirst: first event,
+/// which also holds the role.
 std::string StreamEvent(const CompletionBody& aBody,
                         const CompletionReply& aReply, std::string_view aText,
                         bool aFirst);
-/// Writes the events between the first and the last, of which there are many:
-/// what is the same in all of them is made once.
+/// Writes the events between the first and the last. Their common parts are
+/// serialized once, because a stream has many of them.
 class StreamEventWriter {
  public:
   StreamEventWriter(const CompletionBody& aBody, const CompletionReply& aReply);
@@ -52,14 +53,14 @@
   std::string mSuffix;
 };
 
-/// The usage event of a stream that asked for one.
+/// The usage event of a stream with mIncludeUsage.
 std::string UsageEvent(const CompletionBody& aBody,
                        const CompletionReply& aReply);
 
-/// An event with any JSON value.
+/// A server-sent event that holds a JSON value.
 std::string ToEvent(const Json::Value& aValue);
 
-/// How every stream ends.
+/// The last event of every stream that ends without an error.
 inline constexpr std::string_view kStreamDone = "data: [DONE]\n\n";
 
 }  // namespace spindleweir
--- a/daemons/router/completion_chain.cpp
+++ b/daemons/router/completion_chain.cpp
@@ -1,4 +1,4 @@
-/// The parts of a completion that choose its chain and watch it for silence.
+/// The parts of Completion that choose a chain and detect stalls.
 #include <algorithm>
 
 #include "daemons/router/completion.h"
@@ -18,11 +18,11 @@
 bool Completion::ChooseStages() {
   const std::vector<ChainCandidate> candidates =
       mContext.mView.Candidates(mContext.mLoop.RunningNow());
-  // What the workspace and the model both allow.
+  // Zones and hardware that both the workspace and the model allow.
   std::vector<std::string> zones = mModel.mZones;
   std::vector<std::string> hardware = mModel.mHardware;
-  const auto narrow = [](std::vector<std::string>& aList,
-                         const std::vector<std::string>& aAllowed) {
+  const auto intersect = [](std::vector<std::string>& aList,
+                            const std::vector<std::string>& aAllowed) {
     if (aList.empty()) {
       aList = aAllowed;
     } else {
@@ -32,8 +32,8 @@
     }
     return !aList.empty() || aAllowed.empty();
   };
-  const bool possible = narrow(zones, mRequest.mWorkspace.mZones) &&
-                        narrow(hardware, mRequest.mWorkspace.mHardware);
+  const bool possible = intersect(zones, mRequest.mWorkspace.mZones) &&
+                        intersect(hardware, mRequest.mWorkspace.mHardware);
   ChainQuery query;
   query.mModel = mModel.mName;
   query.mVersion = mModel.mVersion;
@@ -74,12 +74,12 @@
     chain.append(engine.mEngine + "[" + std::to_string(engine.mFirst) + "," +
                  std::to_string(engine.mLast) + ")");
   }
-  Json::Value refused(Json::objectValue);
-  refused["model"] = aChoice.mRejected.mOtherModel;
-  refused["unusable"] = aChoice.mRejected.mUnusable;
-  refused["zone"] = aChoice.mRejected.mZone;
-  refused["hardware"] = aChoice.mRejected.mHardware;
-  refused["excluded"] = aChoice.mRejected.mExcluded;
+  Json::Value rejected(Json::objectValue);
+  rejected["model"] = aChoice.mRejected.mOtherModel;
+  rejected["unusable"] = aChoice.mRejected.mUnusable;
+  rejected["zone"] = aChoice.mRejected.mZone;
+  rejected["hardware"] = aChoice.mRejected.mHardware;
+  rejected["excluded"] = aChoice.mRejected.mExcluded;
   LogLine(LogLevel::kInfo, "route")
       .Add("request", mRequest.mId)
       .Add("workspace", mRequest.mWorkspace.mName)
@@ -87,7 +87,7 @@
       .Add("attempt", mTokenFilter.Attempt() + 1)
       .Add("from_token", mTokenFilter.Delivered())
       .Add("candidates", aChoice.mConsidered)
-      .Add("refused", refused)
+      .Add("refused", rejected)
       .Add("chain", chain)
       .Add("cost_ms", aChoice.mCostMillis)
       .Add("configuration",
@@ -126,7 +126,7 @@
 }
 
 void Completion::OnStallTimer() {
-  // Tokens only note their time; the timer finds out whether one came.
+  // A token only updates mLastProgressAt, so the timer may fire too early.
   const Millis left = mLastProgressAt + StallTimeout() - SteadyNow();
   if (left > 0) {
     mStallTimer = mContext.mLoop.After(left, [this] { OnStallTimer(); });
@@ -141,9 +141,9 @@
 }
 
 void Completion::ProbeStages() {
-  /// The answers still to come, and who did not answer.
+  /// Number of pending probes, and the engines that did not answer.
   struct Probes {
-    std::size_t mLeft;
+    std::size_t mPending;
     std::set<std::string> mSilent;
   };
   const auto probes = std::make_shared<Probes>(Probes{mStages.size(), {}});
@@ -151,7 +151,7 @@
   for (const StagePlacement& stage : mStages) {
     const Upstream* engine = mContext.mView.Find(stage.mEngine);
     if (engine == nullptr) {
-      probes->mLeft--;
+      probes->mPending--;
       probes->mSilent.insert(stage.mEngine);
       continue;
     }
@@ -162,13 +162,14 @@
           if (aReport == nullptr) {
             probes->mSilent.insert(name);
           }
-          probes->mLeft--;
-          if (probes->mLeft == 0 && self->mTokenFilter.Attempt() == attempt) {
+          probes->mPending--;
+          if (probes->mPending == 0 &&
+              self->mTokenFilter.Attempt() == attempt) {
             self->OnProbesDone(probes->mSilent);
           }
         });
   }
-  if (probes->mLeft == 0) {
+  if (probes->mPending == 0) {
     OnProbesDone(probes->mSilent);
   }
 }
@@ -178,7 +179,7 @@
     return;
   }
   if (mConsecutiveStalls == 0) {
-    // A token came meanwhile.
+    // A token arrived while the probes were pending.
     StartStallTimer();
     return;
   }
@@ -186,12 +187,13 @@
     ReplaceChain("silent", aSilent);
     return;
   }
-  // All answer: a long queue or prefill, or a link that is cut between two of
-  // them. After some rounds the chain is given up, without blame.
-  // Before the first token a queue is the likelier cause.
-  const int most = mTokenFilter.Delivered() > 0 ? kMaxStallsMidStream
-                                                : kMaxStallsBeforeFirstToken;
-  if (mConsecutiveStalls >= most) {
+  // All engines answer, so the cause is a long queue, a long prefill, or a
+  // broken link between two engines. The chain is replaced after several stalls
+  // without marking an engine as failed. The limit is higher before the first
+  // token, when a queue is the more likely cause.
+  const int limit = mTokenFilter.Delivered() > 0 ? kMaxStallsMidStream
+                                                 : kMaxStallsBeforeFirstToken;
+  if (mConsecutiveStalls >= limit) {
     ReplaceChain("no token though all engines answer", {});
     return;
   }
--- a/daemons/router/router_daemon.cpp
+++ b/daemons/router/router_daemon.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-/// Above what CallerApi takes, so that it answers with a number; beyond this
-/// the connection gets evhttp's own 413.
+/// Above the limit of CallerApi, so that a body between the limits gets an
+/// error with a result code; a larger one gets the plain 413 of evhttp.
 constexpr std::size_t kMaxCallerBodyBytes = 8 * 1024 * 1024;
 constexpr std::size_t kMaxRpcBodyBytes = 64 * 1024 * 1024;
 constexpr Millis kStopCheckInterval = 200;
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-/// The parts of a router, in the order in which they are made.
+/// The parts of a router, in the order of their construction.
 struct RouterDaemon::Parts {
   Parts(EventLoop& aLoop, RouterOptions aOptions)
       : mContext(aLoop, std::move(aOptions)),
@@ -47,9 +47,11 @@
                mApi.Handle(aExchange);
              }}) {}
 
-  /// One look at a planned stop, after the balancer's time to see it.
+  /// Continues a planned stop, once new requests are rejected: waits for open
+  /// requests and receipts, stops listening, then ends the event loop.
   void ContinueStop();
-  /// Receipts are waited for in vain where all of control is stopped too.
+  /// True if receipts are pending and kReceiptsTimeout has not passed. The
+  /// timeout is for the case that all control processes are stopped too.
   bool AwaitsReceipts();
 
   RouterContext mContext;
@@ -63,27 +65,27 @@
   std::unique_ptr<Timer> mStopTimer;
   std::unique_ptr<Timer> mDrainTimer;
   std::unique_ptr<Timer> mRejectTimer;
-  Millis mIdleSince = 0;  ///< At a stop: the last request ended; 0: not yet.
+  Millis mIdleSince = 0;  ///< At a stop: end of the last request; 0: not yet.
   bool mListening = true;
 };
 
 bool RouterDaemon::Parts::AwaitsReceipts() {
   mIdleSince = mIdleSince == 0 ? SteadyNow() : mIdleSince;
-  const bool late = SteadyNow() - mIdleSince > kReceiptsTimeout;
-  return mContext.mOutbox.Size() > 0 && !late;
+  const bool expired = SteadyNow() - mIdleSince > kReceiptsTimeout;
+  return mContext.mOutbox.Size() > 0 && !expired;
 }
 
 void RouterDaemon::Parts::ContinueStop() {
   if (!mContext.mRejectingRequests) {
     return;
   }
-  // A call on a connection that ends with the process would get no answer.
+  // A request on an idle connection would get no answer once the process ends.
   mCallerServer.CloseIdle();
   if (mContext.mOpenRequests > 0 || AwaitsReceipts()) {
     return;
   }
   if (mListening) {
-    // Who connected until now is answered within another period.
+    // Connections accepted until now are served before the next check.
     mListening = !mCallerServer.StopListening();
     return;
   }
@@ -132,12 +134,12 @@
       .Add("open_requests", context.mOpenRequests);
   mParts->mStewardship.Stop();
   mParts->mCallerServer.SetClosing();
-  // Until the balancer has seen that this router is not ready, what it still
-  // sends is served.
+  // Requests are served until the load balancer has noticed that this router
+  // is not ready.
   mParts->mRejectTimer =
       context.mLoop.After(context.mOptions.mStopUnready,
                           [&context] { context.mRejectingRequests = true; });
-  // What is in flight ends, and its receipts are handed over.
+  // Open requests are completed, and their receipts are sent to control.
   mParts->mDrainTimer = context.mLoop.Every(kStopCheckInterval,
                                             [this] { mParts->ContinueStop(); });
   mParts->mStopTimer =
--- a/daemons/router/service_call.cpp
+++ b/daemons/router/service_call.cpp
@@ -16,7 +16,8 @@
 constexpr Millis kNoUpstreamRetryAfter = 1000;
 constexpr int kHttpServerError = 500;
 constexpr int kHttpUnavailable = 503;
-/// With this header a service proves that it did not start the call.
+/// A 503 with this header set to true proves that the service did not start
+/// the call.
 constexpr const char* kNotRunHeader = "Not-Run";
 
 std::string HeaderOf(const HttpResult& aResult, const std::string& aName) {
@@ -89,7 +90,8 @@
     Dispatch();
     return;
   }
-  // Grants of a minority, or to a caller that left, must not block a resend.
+  // Grants by a minority of the keepers, or to a caller that disconnected, must
+  // not block a resend.
   mClaims.Release(mClaim);
   if (mEnded) {
     return;
@@ -115,7 +117,7 @@
            !Allows(mService.mZones, aUpstream->mZone) ||
            !Allows(mRequest.mWorkspace.mZones, aUpstream->mZone);
   });
-  // Of the least loaded the own zone's goes first.
+  // Least loaded first; at equal load, the local zone's instances first.
   std::stable_sort(instances.begin(), instances.end(),
                    [this](const Upstream* aLeft, const Upstream* aRight) {
                      const std::string& home = mContext.mOptions.mZone;
@@ -127,7 +129,7 @@
                    });
   if (instances.empty()) {
     Fail(mMayHaveRun ? ResultCode::kOutcomeUnknown : ResultCode::kNoUpstream,
-         "no instance of " + mService.mName + " can take the call",
+         "no instance of " + mService.mName + " is usable",
          kNoUpstreamRetryAfter);
     return;
   }
@@ -264,8 +266,8 @@
   }
   mContext.mCounters.Add("callers_left");
   if (mHasRun || (mCall != nullptr && !IsRepeatable())) {
-    // It may run whether the caller waits or not: its outcome is awaited and
-    // kept for a resend.
+    // The call may run although the caller disconnected, so its outcome is
+    // awaited and stored for a resend.
     return;
   }
   mMayHaveRun = mMayHaveRun || mCall != nullptr;
--- a/daemons/router/service_call.h
+++ b/daemons/router/service_call.h
@@ -1,4 +1,4 @@
-/// One call to a plain service on its way.
+/// The handling of one call to a service.
 #pragma once
 
 #include <memory>
@@ -9,12 +9,12 @@
 
 namespace spindleweir {
 
-/// A call that may not be repeated is dispatched at most once; with an
-/// Idempotency-Key it is claimed first, so that this holds over all routers.
+/// A call that isn't repeatable is dispatched at most once. With an
+/// Idempotency-Key it is claimed first, so that this holds across all routers.
 class ServiceCall : private RequestHandler,
                     public std::enable_shared_from_this<ServiceCall> {
  public:
-  /// aPath: what follows the service's name, with its leading slash.
+  /// aPath: the path after the service's name, with its leading slash.
   ServiceCall(RouterContext& aContext, ClaimClient& aClaims,
               CallerRequest aRequest, ServiceSpec aService, std::string aPath);
   ~ServiceCall();
@@ -29,8 +29,9 @@
   void Dispatch();
   void LogRouting(const std::string& aChosen, std::size_t aCandidates) const;
   void HandleResult(const HttpResult& aResult);
+  /// aProvenNotRun: the instance cannot have started the call.
   void RetryOrFail(const std::string& aWhy, bool aProvenNotRun);
-  /// Gives the answer once resends learn it.
+  /// Stores the answer at the claim keepers, then sends it to the caller.
   void SendAnswer(const HttpResult& aResult);
   void Fail(ResultCode aCode, const std::string& aMessage,
             Millis aRetryAfter = 0);
@@ -43,10 +44,10 @@
   ServiceSpec mService;
   std::string mPath;
   bool mEnded = false;
-  bool mHasRun = false;      ///< Its answer waits for the claim keepers.
-  bool mMayHaveRun = false;  ///< An attempt left this process unanswered.
+  bool mHasRun = false;      ///< Answer is being stored at the claim keepers.
+  bool mMayHaveRun = false;  ///< An attempt was sent and got no answer.
   int mAttempt = 0;
-  std::string mVm;  ///< Of the attempt under way.
+  std::string mVm;  ///< VM of the current attempt.
   std::set<std::string> mTried;
   std::unique_ptr<HttpCall> mCall;
   std::unique_ptr<Timer> mTimer;
--- a/daemons/router/stewardship.cpp
+++ b/daemons/router/stewardship.cpp
@@ -10,17 +10,18 @@
 namespace {
 
 constexpr Millis kTickInterval = 100;
-/// Rounds that no start can reach within a millisecond of its run.
+/// The first round is the incarnation in ms times this. A process makes fewer
+/// rounds per millisecond, so that a restart never reuses a round.
 constexpr std::int64_t kRoundsPerMilli = 1000;
 constexpr Millis kLeaseTimeout = 500;
-/// An order that shows no effect in a report is given again after this.
+/// An order that shows no effect in a report is sent again after this time.
 constexpr Millis kOrderRetryInterval = 2000;
-/// An engine whose reports stop for so long is repaired around.
+/// An engine without a report for this time is left out of the placement.
 constexpr Millis kEngineTimeout = 1200;
 constexpr Millis kRepairDelay = 200;
-/// A repair moves what runs only for twice the throughput: every move takes an
-/// engine out of service while it loads. Smaller gains are an operator's to
-/// plan.
+/// A repair moves loaded stages only for twice the throughput, because each
+/// move takes an engine out of service while it loads. Operators can plan moves
+/// for smaller gains.
 constexpr double kRepairHysteresis = 0.5;
 
 }  // namespace
@@ -29,7 +30,7 @@
     : mContext(aContext) {
   aDispatcher.On(rpc_method::kLease, [this](const Json::Value& aMessage) {
     if (mVoter == nullptr) {
-      throw Error(ResultCode::kNotReady, "no list of entry VMs yet");
+      throw Error(ResultCode::kNotReady, "list of entry VMs is not loaded yet");
     }
     return ToJson(
         mVoter->Handle(FromJson<LeaseRequest>(aMessage), SteadyNow()));
@@ -111,7 +112,7 @@
     return;
   }
   mLeaseHeld = aHolds;
-  // What was planned under an earlier lease may be out of date.
+  // A target that was planned under an earlier lease may be out of date.
   mTargetVersion = 0;
   mContext.mCounters.Set("steward", aHolds ? 1 : 0);
   LogLine(LogLevel::kInfo,
@@ -144,7 +145,8 @@
     mLastUsable = usable;
     mUsableSince = aNow;
   }
-  // Losses that come together are seen a little apart; one plan repairs all.
+  // Simultaneous losses are detected at slightly different times. The delay
+  // lets one plan repair them all.
   if (usable != mPlannedEngines && aNow - mUsableSince >= kRepairDelay) {
     Repair(aEngines, usable);
   }
@@ -152,12 +154,12 @@
 
 void Stewardship::Repair(std::span<const EngineReport> aEngines,
                          const std::set<std::string>& aUsable) {
-  Configuration present;
-  present.mPlacement = mTargetPlacement;
+  Configuration current;
+  current.mPlacement = mTargetPlacement;
   const std::set<std::string> none;
   const Plan plan =
       MakePlan({.mIntent = mContext.AcceptedConfiguration().mIntent,
-                .mCurrent = present,
+                .mCurrent = current,
                 .mEngines = aEngines,
                 .mUnusable = none,
                 .mHysteresis = kRepairHysteresis});
@@ -172,8 +174,8 @@
       .Add("engines", static_cast<int>(aUsable.size()))
       .Add("moves", moves)
       .Add("configuration", static_cast<Json::Int64>(mTargetVersion));
-  for (const std::string& lack : plan.mWarnings) {
-    line.Add("short", lack);
+  for (const std::string& warning : plan.mWarnings) {
+    line.Add("short", warning);
   }
   mContext.mCounters.Add("repairs");
   mTargetPlacement = plan.mPlacement;
--- a/daemons/router/stewardship.h
+++ b/daemons/router/stewardship.h
@@ -1,5 +1,5 @@
-/// The steward's work on a router: holds the zone's lease and gives its
-/// engines the orders that the accepted placement needs.
+/// The steward role of a router: holds the zone's lease and sends its engines
+/// the orders that lead to the accepted placement.
 #pragma once
 
 #include <map>
@@ -15,12 +15,12 @@
 
 namespace spindleweir {
 
-/// Every router runs it; one in each zone holds the lease.
+/// Runs on every router; one router in each zone holds the lease.
 class Stewardship {
  public:
   Stewardship(RouterContext& aContext, RpcDispatcher& aDispatcher);
 
-  /// Gives the lease back.
+  /// Releases the lease.
   void Stop();
 
  private:
@@ -28,6 +28,8 @@
   void Broadcast(const LeaseRequest& aRequest);
   void Tick();
   void LogLease(bool aHolds);
+  /// Sets the target placement after a new configuration or a change of the
+  /// usable engines.
   void UpdateTarget(std::span<const EngineReport> aEngines, Millis aNow);
   void Repair(std::span<const EngineReport> aEngines,
               const std::set<std::string>& aUsable);
@@ -37,16 +39,16 @@
   std::unique_ptr<LeaseVoter> mVoter;
   std::unique_ptr<LeaseHolder> mHolder;
   std::size_t mVoters = 0;
-  std::int64_t mStarts = 0;  ///< Of the holder, within this process.
+  std::int64_t mStarts = 0;  ///< Times that a holder was created here.
   bool mLeaseHeld = false;
-  std::map<std::string, Millis> mLastOrderAt;  ///< By engine.
-  /// The zone's placement that orders lead to: the accepted one, or the one
-  /// that repairs it.
+  std::map<std::string, Millis> mLastOrderAt;  ///< By engine name.
+  /// The placement of the zone that orders lead to: the accepted placement, or
+  /// its repair after losses.
   std::vector<StagePlacement> mTargetPlacement;
-  std::int64_t mTargetVersion = 0;  ///< Of the configuration it is made for.
-  std::set<std::string> mPlannedEngines;  ///< Usable engines when it was made.
+  std::int64_t mTargetVersion = 0;        ///< Its configuration's version.
+  std::set<std::string> mPlannedEngines;  ///< Engines it was planned for.
   std::set<std::string> mLastUsable;
-  Millis mUsableSince = 0;  ///< Since when mLastUsable is unchanged.
+  Millis mUsableSince = 0;  ///< Last change of mLastUsable.
   std::unique_ptr<Timer> mTimer;
 };
 
