--- a/tests/daemons/caller_test.cpp
+++ b/tests/daemons/caller_test.cpp
@@ -1,13 +1,13 @@
-/// What callers see of a deployment without faults.
+/// Requests of callers to a deployment without faults.
 #include "spindleweir/core/json_codec.h"
 #include "tests/daemons/deployment.h"
 
 using namespace spindleweir;
 
-Test(callers, get_their_own_whole_answer) {
+Test(callers, get_the_complete_answer_to_their_own_request) {
   Deployment deployment;
   deployment.Begin();
-  SECTION("whole") {
+  SECTION("not streamed") {
     const auto answer = deployment.Chat(0, "perfume", 10, false);
     REQUIRE(deployment.RunUntil([&] { return answer->mDone; }));
     CHECK(answer->Text() == Deployment::Expected("perfume", 10));
@@ -22,7 +22,7 @@
     CHECK(answer->Text() == Deployment::Expected("watches", 10));
     CHECK(answer->mStream.ends_with("data: [DONE]\n\n"));
   }
-  SECTION("many at a time, each its own") {
+  SECTION("40 concurrent requests each get their own answer") {
     std::vector<std::shared_ptr<CallerResult>> answers;
     for (int i = 0; i < 40; i++) {
       answers.push_back(
@@ -35,7 +35,7 @@
             Deployment::Expected("order " + std::to_string(i), 8));
     }
   }
-  SECTION("with a key of theirs, a resend is answered from what is kept") {
+  SECTION("a resend with an idempotency key gets the stored answer") {
     const auto first =
         deployment.Chat(0, "gin", 5, false, {{"Idempotency-Key", "tribute-1"}});
     REQUIRE(deployment.RunUntil([&] { return first->mDone; }));
@@ -50,13 +50,15 @@
   }
 }
 
-Test(callers, a_resend_right_after_the_answer_is_answered_alike) {
-  // The keepers hear of outcomes later than the first answer could go out.
+// Guards against an answer that is sent before the claim keepers have stored
+// the outcome, so that an immediate resend fails.
+Test(callers, a_resend_right_after_the_answer_gets_the_same_answer) {
+  // Outcomes reach the keepers later than the answer could be sent.
   Millis delay = 300;
   Deployment deployment({.mDelay = [&delay](std::string_view aMessage) {
-    const bool tellsOutcome =
+    const bool reportsOutcome =
         aMessage.find("\"ask\":2") != std::string_view::npos;
-    return tellsOutcome ? delay : 0;
+    return reportsOutcome ? delay : 0;
   }});
   deployment.Begin();
   const auto answered = [&](const std::shared_ptr<CallerResult>& aAnswer) {
@@ -81,29 +83,29 @@
     CHECK(second->Text() == first->Text());
     CHECK(second->mStream.ends_with("data: [DONE]\n\n"));
   }
-  const auto reserve = [&](int aRouter, const char* aKey) {
+  const auto pay = [&](int aRouter, const char* aKey) {
     return answered(deployment.Send(aRouter, "POST",
                                     "/v1/services/kaunter-api/pay", "{}",
                                     {{"Authorization", "Bearer traveller-key"},
                                      {"Idempotency-Key", aKey}}));
   };
-  SECTION("a call that may not be repeated") {
-    const HttpResult first = reserve(0, "order-3");
-    const HttpResult second = reserve(1, "order-3");
+  SECTION("a call that isn't repeatable") {
+    const HttpResult first = pay(0, "order-3");
+    const HttpResult second = pay(1, "order-3");
     CHECK(first.mStatus == 200 && second.mStatus == 200);
     CHECK(second.mBody == first.mBody && deployment.ServiceRuns() == 1);
   }
-  SECTION("keepers that cannot be told hold no answer back for long") {
+  SECTION("unreachable keepers delay an answer only briefly") {
     delay = 600000;
-    const Millis began = SteadyNow();
-    CHECK(reserve(0, "order-4").mStatus == 200);
-    CHECK(SteadyNow() - began < 10000);
-    CHECK(reserve(1, "order-4").mStatus == 409);
+    const Millis start = SteadyNow();
+    CHECK(pay(0, "order-4").mStatus == 200);
+    CHECK(SteadyNow() - start < 10000);
+    CHECK(pay(1, "order-4").mStatus == 409);
     CHECK(deployment.ServiceRuns() == 2);
   }
 }
 
-Test(callers, bad_requests_get_a_number) {
+Test(callers, invalid_requests_get_a_result_code) {
   Deployment deployment({.mZones = 1});
   deployment.Begin();
   const auto code = [&](const std::string& aMethod, const std::string& aPath,
@@ -116,10 +118,10 @@
   };
   const std::string chat = "/v1/chat/completions";
   const HttpHeader key{"Authorization", "Bearer traveller-key"};
-  const std::string good =
+  const std::string valid =
       R"({"model":"pembantu-lm","messages":[{"role":"user","content":"x"}]})";
-  CHECK(code("POST", chat, good, {}) == ResultCode::kUnauthorized);
-  CHECK(code("POST", chat, good, {{"Authorization", "Bearer wrong"}}) ==
+  CHECK(code("POST", chat, valid, {}) == ResultCode::kUnauthorized);
+  CHECK(code("POST", chat, valid, {{"Authorization", "Bearer wrong"}}) ==
         ResultCode::kUnauthorized);
   CHECK(code("POST", chat, "{", {key}) == ResultCode::kMalformedJson);
   CHECK(code("POST", chat, std::string(2000000, 'x'), {key}) ==
@@ -138,11 +140,11 @@
   CHECK(code("GET", "/nothing", "", {key}) == ResultCode::kNotFound);
   CHECK(code("POST", "/v1/services/none/x", "", {key}) ==
         ResultCode::kNotFound);
-  CHECK(code("POST", chat, good, {key, {"X-Deadline-Ms", "soon"}}) ==
+  CHECK(code("POST", chat, valid, {key, {"X-Deadline-Ms", "soon"}}) ==
         ResultCode::kBadHeader);
-  CHECK(code("POST", chat, good, {key, {"X-Priority", "99"}}) ==
+  CHECK(code("POST", chat, valid, {key, {"X-Priority", "99"}}) ==
         ResultCode::kBadHeader);
-  SECTION("and the router goes on") {
+  SECTION("the router still serves valid requests") {
     const auto answer = deployment.Chat(0, "x", 2, false);
     CHECK(deployment.RunUntil([&] { return answer->mDone; }));
     CHECK(answer->mHttp.mStatus == 200);
@@ -152,44 +154,44 @@
   }
 }
 
-Test(callers, a_call_that_may_not_be_repeated_runs_once) {
+Test(callers, a_call_that_is_not_repeatable_runs_once) {
   Deployment deployment({.mServiceDelay = 200});
   deployment.Begin();
-  const auto reserve = [&](int aRouter, const std::string& aBody) {
+  const auto pay = [&](int aRouter, const std::string& aBody) {
     return deployment.Send(aRouter, "POST", "/v1/services/kaunter-api/pay",
                            aBody,
                            {{"Authorization", "Bearer traveller-key"},
                             {"Idempotency-Key", "order-1"}});
   };
-  SECTION("sent through three routers at a time") {
+  SECTION("sent through three routers concurrently") {
     std::vector<std::shared_ptr<CallerResult>> answers;
     for (int i = 0; i < 3; i++) {
-      answers.push_back(reserve(i, "{\"slot\":1}"));
+      answers.push_back(pay(i, "{\"slot\":1}"));
     }
-    int good = 0;
+    int succeeded = 0;
     for (const auto& answer : answers) {
       REQUIRE(deployment.RunUntil([&] { return answer->mDone; }));
-      good += answer->mHttp.mStatus == 200 ? 1 : 0;
+      succeeded += answer->mHttp.mStatus == 200 ? 1 : 0;
       CHECK(answer->mHttp.mStatus == 200 || answer->mHttp.mStatus == 409);
     }
-    CHECK(good == 1 && deployment.ServiceRuns() == 1);
+    CHECK(succeeded == 1 && deployment.ServiceRuns() == 1);
   }
-  SECTION("a resend gets the same answer, from any router") {
+  SECTION("a resend gets the same answer from any router") {
     for (int i = 0; i < 3; i++) {
-      const auto answer = reserve(i, "{\"slot\":1}");
+      const auto answer = pay(i, "{\"slot\":1}");
       REQUIRE(deployment.RunUntil([&] { return answer->mDone; }));
       CHECK(answer->mHttp.mStatus == 200);
       CHECK(answer->mHttp.mBody.find("\"run\":1") != std::string::npos);
     }
     CHECK(deployment.ServiceRuns() == 1);
   }
-  SECTION("the key with another body is refused") {
-    const auto answer = reserve(1, "{\"slot\":2}");
+  SECTION("the same key with another body is rejected") {
+    const auto answer = pay(1, "{\"slot\":2}");
     REQUIRE(deployment.RunUntil([&] { return answer->mDone; }));
     CHECK(answer->mHttp.mStatus == 422 && answer->Ran() == "no");
     CHECK(deployment.ServiceRuns() == 1);
   }
-  SECTION("without a majority of keepers it is not run") {
+  SECTION("without a majority of keepers the call does not run") {
     deployment.mControls[0].reset();
     deployment.mControls[1].reset();
     const auto answer =
--- a/tests/daemons/deployment.cpp
+++ b/tests/daemons/deployment.cpp
@@ -24,7 +24,7 @@
   return {"127.0.0.1", 0};
 }
 
-/// Every JSON object in the text of a stream of events.
+/// Parses the JSON objects in the text of an event stream.
 std::vector<Json::Value> Events(const std::string& aStream) {
   std::vector<Json::Value> events;
   std::size_t at = 0;
@@ -220,7 +220,7 @@
 }
 
 bool Deployment::RunUntil(const std::function<bool()>& aCondition) {
-  // The condition is asked outside the loop, so that it may run it too.
+  // The condition is evaluated outside the loop, so that it may run the loop.
   const Millis end = SteadyNow() + kRunTimeout;
   while (!aCondition()) {
     if (SteadyNow() > end) {
@@ -273,9 +273,9 @@
       }
       result = Fetch(control->OperatorAddress(), aMethod, aPath, aBody,
                      kOperatorKey);
-      const bool other =
+      const bool unhandled =
           !result.mComplete || result.mStatus == 307 || result.mStatus == 503;
-      if (!other) {
+      if (!unhandled) {
         return result;
       }
     }
@@ -314,7 +314,7 @@
       return answer->mHttp.mStatus == 200;
     }));
   }
-  // Every engine is loaded, so that a test can count on spare ones.
+  // All engines are loaded before a test starts, so that spare engines exist.
   cr_assert(RunUntil([this] {
     const std::string state = Operator("GET", "/v1/state").mBody;
     return state.find("\"model\":\"\"") == std::string::npos &&
--- a/tests/daemons/deployment.h
+++ b/tests/daemons/deployment.h
@@ -1,5 +1,5 @@
 /// A small deployment in one event loop: routers, control processes and
-/// stand-ins, each with sockets of its own on loopback.
+/// stand-ins, each with its own sockets on the loopback interface.
 #pragma once
 
 #include <functional>
@@ -19,29 +19,29 @@
 
 namespace spindleweir {
 
-/// What to start.
+/// The processes to start.
 struct DeploymentOptions {
   int mZones = 3;
-  int mEngines = 6;  ///< A zone.
-  int mRouters = 1;  ///< A zone.
+  int mEngines = 6;  ///< Per zone.
+  int mRouters = 1;  ///< Per zone.
   Millis mServiceDelay = 5;
   Millis mStopUnready = 100;
-  /// Where set, all messages to controls pass it.
+  /// If set, all RPC messages to control processes pass through it.
   RpcDelayHook mDelay;
 };
 
-/// What became of a caller's request.
+/// The state and result of a caller's request.
 struct CallerResult {
   bool mDone = false;
   HttpResult mHttp;
-  std::string mStream;  ///< What was streamed so far.
+  std::string mStream;  ///< Stream data received so far.
   std::unique_ptr<HttpCall> mCall;
 
-  /// The text of the answer, streamed or whole.
+  /// The text of the answer, streamed or not.
   std::string Text() const;
-  /// The number in an error answer or error event; 0 where there is none.
+  /// The result code in an error answer or error event; 0 if there is none.
   int ErrorCode() const;
-  /// What an error says of running.
+  /// The "ran" field of an error: yes, no or unknown; empty without an error.
   std::string Ran() const;
   std::string RequestId() const;
 };
@@ -56,28 +56,30 @@
   Deployment(const Deployment&) = delete;
   Deployment& operator=(const Deployment&) = delete;
 
-  /// Runs the loop until the condition holds; false after a long time.
+  /// Runs the loop until the condition holds; returns false after 30 s.
   bool RunUntil(const std::function<bool()>& aCondition);
   void RunFor(Millis aTime);
-  /// Nothing runs for so long, as where the machine gives no processor time.
+  /// Blocks the thread and so all processes of the deployment, as a machine
+  /// does that grants them no processor time.
   static void BlockThread(Millis aTime);
 
-  /// Starts everything, states the usual intent, confirms it, and waits until
-  /// every router answers completions.
+  /// Submits and confirms the default intent, and waits until every router
+  /// answers completions and every engine has loaded a model.
   void Begin();
-  /// aFirst: the first start of the deployment.
+  /// aFirst: first start of the deployment, which sets the initial voters.
   void StartControl(int aIndex, bool aFirst = false);
   void StartRouter(int aIndex);
   void StartEngine(const std::string& aVm, const std::string& aZone);
   void WritePlatform();
   void WriteEntryVms();
-  /// VMs that the platform's list calls leaving.
+  /// VMs that the platform's list reports as leaving.
   std::vector<std::string> mListedLeaving;
 
-  /// An operator's request, sent to one control and redirected to the leader.
+  /// Sends an operator's request to the control processes in turn until one
+  /// handles it.
   HttpResult Operator(const std::string& aMethod, const std::string& aPath,
                       const std::string& aBody = "");
-  /// The usual intent as a request body.
+  /// The default intent as a request body.
   static std::string IntentBody(const std::string& aCommandId);
 
   std::shared_ptr<CallerResult> Chat(int aRouter, const std::string& aPrompt,
@@ -87,19 +89,19 @@
                                      const std::string& aPath,
                                      const std::string& aBody,
                                      std::vector<HttpHeader> aHeaders);
-  /// What the answer to a prompt of Chat() must be.
+  /// The correct answer to a prompt of Chat().
   static std::string Expected(const std::string& aPrompt, int aTokens);
   HttpResult Fetch(const Endpoint& aServer, const std::string& aMethod,
                    const std::string& aPath, const std::string& aBody = "",
                    const std::string& aKey = "");
   void Fault(const std::string& aEngine, const std::string& aBody);
-  /// A counter or gauge of a router, as /metrics shows it.
+  /// A counter or gauge of a router from /metrics; 0 if it is not listed.
   int Metric(int aRouter, const std::string& aName);
   int ServiceRuns();
   static std::string Zone(int aIndex) {
     return "zone-" + std::to_string(aIndex);
   }
-  /// Engines that worked on the request, in the order of its attempts.
+  /// Engines that ran the request's stages, in the order of its attempts.
   std::vector<std::string> EnginesOf(const std::string& aRequest);
 
   EventLoop mLoop;
@@ -112,7 +114,8 @@
   std::map<std::string, std::unique_ptr<ServiceStandin>> mServices;
   std::vector<std::unique_ptr<ControlDaemon>> mControls;
   std::vector<std::unique_ptr<RouterDaemon>> mRouters;
-  std::vector<std::unique_ptr<RpcDelay>> mDelays;  ///< By control.
+  std::vector<std::unique_ptr<RpcDelay>>
+      mDelays;  ///< By index of the control process.
 };
 
 }  // namespace spindleweir
--- a/tests/daemons/failure_test.cpp
+++ b/tests/daemons/failure_test.cpp
@@ -1,4 +1,4 @@
-/// What callers see of a deployment under failures.
+/// Requests of callers to a deployment in which processes fail.
 #include <arpa/inet.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -13,6 +13,7 @@
 
 namespace {
 
+/// True if aServer accepts a TCP connection.
 bool Connects(const Endpoint& aServer) {
   const int fd = socket(AF_INET, SOCK_STREAM, 0);
   sockaddr_in address{};
@@ -27,7 +28,7 @@
 
 constexpr int kTokens = 40;
 
-/// The last chain that router 0 chose for the answer under way.
+/// The engines that have work queued: the chain of the only open request.
 std::vector<std::string> ActiveChain(Deployment& aDeployment,
                                      const CallerResult& aAnswer) {
   std::vector<std::string> engines;
@@ -58,19 +59,21 @@
 
 }  // namespace
 
-Test(failures, a_stage_that_dies_in_mid_stream_is_replaced) {
+Test(failures, a_stage_that_crashes_in_mid_stream_is_replaced) {
   Deployment deployment;
   deployment.Begin();
-  // Long enough that both faults come before its end on a busy machine.
+  // Long enough that both faults occur before the end of the answer, also on a
+  // busy machine.
   constexpr int kLong = 150;
   const auto answer = deployment.Chat(0, "champagne", kLong, true);
   REQUIRE(deployment.RunUntil([&] { return HasTokens(*answer, 3); }));
   const auto chain = ActiveChain(deployment, *answer);
   REQUIRE(chain.size() == 3);
   deployment.mEngines.erase(chain[1]);
-  // Tokens beyond what was on its way come from the chain that replaced it.
+  // More tokens than were in flight at the crash, so that the last ones come
+  // from the replacement chain.
   const std::size_t resumed = TokensOf(*answer) + 5;
-  SECTION("and a second one during the resume") {
+  SECTION("a second stage crashes during the resume") {
     REQUIRE(deployment.RunUntil([&] { return HasTokens(*answer, resumed); }));
     const auto second = ActiveChain(deployment, *answer);
     REQUIRE(!second.empty());
@@ -79,14 +82,14 @@
   REQUIRE(deployment.RunUntil([&] { return answer->mDone; }));
   CHECK(answer->Text() == Deployment::Expected("champagne", kLong));
   CHECK(answer->mStream.ends_with("data: [DONE]\n\n"));
-  SECTION("the receipt names every engine that worked on it") {
+  SECTION("the receipt names every engine that ran a stage") {
     const auto engines = deployment.EnginesOf(answer->RequestId());
     CHECK(engines.size() >= 9);
     CHECK(std::find(engines.begin(), engines.end(), chain[1]) != engines.end());
   }
 }
 
-Test(failures, a_stage_that_falls_silent_is_replaced) {
+Test(failures, a_stage_that_becomes_silent_is_replaced) {
   Deployment deployment;
   deployment.Begin();
   const auto answer = deployment.Chat(0, "tobacco", kTokens, true);
@@ -103,7 +106,7 @@
   deployment.Begin();
   for (const char* fault : {"swap", "skip", "old", "layers", "double"}) {
     SECTION(fault) {
-      // One engine of each range lies, so that the other can replace it.
+      // One engine of each layer range is faulty; the other one can replace it.
       for (const char* engine : {"gpu-0-0", "gpu-0-1", "gpu-0-2"}) {
         deployment.Fault(engine,
                          std::string(R"({"corrupt":")") + fault + "\"}");
@@ -113,8 +116,8 @@
         const auto answer = deployment.Chat(0, prompt, 12, true);
         REQUIRE(deployment.RunUntil([&] { return answer->mDone; }));
         const std::string expected = Deployment::Expected(prompt, 12);
-        // Whatever came is a beginning of the right answer, and an answer
-        // that ends well is whole.
+        // The received text is a prefix of the correct answer, and an answer
+        // that ends without an error is complete.
         CHECK(expected.starts_with(answer->Text()));
         const bool ended = answer->mStream.ends_with("data: [DONE]\n\n");
         CHECK(ended == (answer->Text() == expected));
@@ -124,7 +127,7 @@
   }
 }
 
-Test(failures, nothing_to_route_to_is_not_run_and_said_at_once) {
+Test(failures, a_request_without_any_usable_engine_fails_as_not_run) {
   Deployment deployment({.mZones = 1});
   deployment.Begin();
   deployment.mEngines.clear();
@@ -137,7 +140,7 @@
   }));
 }
 
-Test(failures, a_zone_repairs_itself_without_control) {
+Test(failures, a_zone_repairs_its_placement_without_control) {
   Deployment deployment({.mZones = 1});
   deployment.Begin();
   deployment.mControls.clear();
@@ -152,11 +155,11 @@
     }
     CHECK(deployment.RunUntil(works));
   }
-  SECTION("a second loss right after") {
+  SECTION("one more engine is lost right after") {
     deployment.mEngines.erase("gpu-0-1");
     CHECK(deployment.RunUntil(works));
   }
-  SECTION("a new VM joins and is put to use") {
+  SECTION("a new VM joins and loads the model") {
     deployment.StartEngine("gpu-0-9", Deployment::Zone(0));
     deployment.WritePlatform();
     CHECK(deployment.RunUntil([&] {
@@ -168,7 +171,7 @@
   }
 }
 
-Test(failures, a_caller_that_leaves_frees_the_engines) {
+Test(failures, a_caller_that_disconnects_frees_the_engines) {
   Deployment deployment({.mZones = 1});
   deployment.Begin();
   const auto answer = deployment.Chat(0, "x", 4000, true);
@@ -202,7 +205,7 @@
                  .mBody.find("\"leaving\":[\"" + aEngine) != std::string::npos;
     });
   };
-  SECTION("by the platform's list") {
+  SECTION("reported by the platform's list") {
     deployment.mListedLeaving = {"gpu-0-0"};
     deployment.WritePlatform();
     REQUIRE(leaves("gpu-0-0"));
@@ -210,35 +213,38 @@
     deployment.mListedLeaving.clear();
     deployment.WritePlatform();
     deployment.RunFor(1500);
-    // The list takes its word back, but the VM is the same: it still leaves.
+    // The list no longer reports the VM, but its incarnation is unchanged, so
+    // it still counts as leaving.
     CHECK(!works("gpu-0-0"));
   }
 }
 
-Test(failures, a_process_that_stood_still_takes_nobody_for_silent) {
-  SECTION("engines, whose reports grew old meanwhile") {
+// Guards against a process that was paused and then judges the silence of
+// others by data that waited unread in its sockets.
+Test(failures, a_paused_process_does_not_count_others_as_silent) {
+  SECTION("engines whose reports expired during the pause") {
     Deployment deployment({.mZones = 1});
     deployment.Begin();
     for (int i = 0; i < 3; i++) {
-      // Longer than a report counts.
+      // Longer than the lifetime of a report.
       Deployment::BlockThread(3200);
       const auto answer = deployment.Chat(0, "x", 1, false);
       REQUIRE(deployment.RunUntil([&] { return answer->mDone; }));
       CHECK(answer->mHttp.mStatus == 200);
     }
   }
-  SECTION("claim keepers, whose answers lay there unread") {
-    Millis still = 0;
-    Deployment deployment({.mDelay = [&still](std::string_view aMessage) {
+  SECTION("claim keepers whose answers were unread during the pause") {
+    Millis pause = 0;
+    Deployment deployment({.mDelay = [&pause](std::string_view aMessage) {
       if (aMessage.find("\"ask\":0") != std::string_view::npos) {
-        Deployment::BlockThread(std::exchange(still, 0));
+        Deployment::BlockThread(std::exchange(pause, 0));
       }
       return Millis{0};
     }});
     deployment.Begin();
     for (int i = 0; i < 3; i++) {
-      // Longer than a keeper is waited for.
-      still = 1300;
+      // Longer than the timeout of a request to a keeper.
+      pause = 1300;
       const auto answer =
           deployment.Send(0, "POST", "/v1/services/kaunter-api/pay", "{}",
                           {{"Authorization", "Bearer traveller-key"},
@@ -266,42 +272,43 @@
   }
 }
 
-Test(failures, a_planned_stop_of_a_router_cuts_nothing) {
+Test(failures, a_planned_stop_of_a_router_breaks_no_request) {
   Deployment deployment({.mZones = 1});
   deployment.Begin();
-  const auto underWay = deployment.Chat(0, "whisky", kTokens, true);
-  REQUIRE(deployment.RunUntil([&] { return HasTokens(*underWay, 2); }));
+  const auto started = deployment.Chat(0, "whisky", kTokens, true);
+  REQUIRE(deployment.RunUntil([&] { return HasTokens(*started, 2); }));
   deployment.mRouters[0]->Stop();
   const HttpResult ready = deployment.Fetch(
       deployment.mRouters[0]->CallerAddress(), "GET", "/readyz");
   CHECK(ready.mStatus == 503);
-  // Sent before the balancer has noticed.
+  // Sent before the load balancer has noticed the stop.
   const auto late = deployment.Chat(0, "late", 3, false);
-  // The loop stops by itself once all is served.
+  // The loop stops once all requests are served.
   deployment.mLoop.Run();
-  CHECK(underWay->mDone && late->mDone);
-  CHECK(underWay->Text() == Deployment::Expected("whisky", kTokens));
+  CHECK(started->mDone && late->mDone);
+  CHECK(started->Text() == Deployment::Expected("whisky", kTokens));
   CHECK(late->Text() == Deployment::Expected("late", 3));
 }
 
-// Callers that keep a stopping router among their targets until it is gone had
-// calls cut that its process had just taken: it ended while it still listened.
-Test(failures, a_router_that_ends_does_not_listen_any_more) {
+// Guards against a stopping router that ends while it still listens: callers
+// that still have it as a target lose the connections that it has just
+// accepted.
+Test(failures, a_router_stops_listening_before_it_ends) {
   Deployment deployment({.mZones = 1});
   deployment.Begin();
   const Endpoint address = deployment.mRouters[0]->CallerAddress();
   deployment.mRouters[0]->Stop();
-  SECTION("it does as long as it may be sent requests") {
+  SECTION("it listens while requests may still arrive") {
     CHECK(Connects(address));
   }
-  // The loop stops by itself, and the process would end.
+  // The loop stops at the point where the process would end.
   deployment.mLoop.Run();
-  SECTION("who comes at its end is not taken in to be cut") {
+  SECTION("connections at its end are refused") {
     CHECK(!Connects(address));
   }
 }
 
-Test(failures, a_router_that_dies_after_dispatch_causes_no_second_run) {
+Test(failures, a_router_crash_after_dispatch_causes_no_second_run) {
   Deployment deployment({.mServiceDelay = 400});
   deployment.Begin();
   const auto pay = [&](int aRouter) {
@@ -321,7 +328,7 @@
   CHECK(deployment.ServiceRuns() == 1);
 }
 
-Test(failures, a_keeper_that_lost_its_disk_lets_nothing_run_twice) {
+Test(failures, a_keeper_that_lost_its_disk_causes_no_second_run) {
   Deployment deployment;
   deployment.Begin();
   const auto pay = [&] {
@@ -332,10 +339,11 @@
     cr_assert(deployment.RunUntil([&] { return answer->mDone; }));
     return answer;
   };
-  // Only the keepers 0 and 1 know of the call.
+  // Only keepers 0 and 1 store the claim of the call.
   deployment.mControls[2].reset();
   CHECK(pay()->mHttp.mStatus == 200);
-  // Keeper 1 loses its disk, keeper 0 is out of reach, keeper 2 is back.
+  // Keeper 1 restarts with an empty disk, keeper 0 is down, and keeper 2 is
+  // back.
   deployment.mControls[1].reset();
   deployment.mControls[0].reset();
   std::filesystem::remove_all(deployment.mFolder.Path("control-1"));
@@ -346,7 +354,7 @@
   const auto refused = pay();
   CHECK(refused->ErrorCode() == static_cast<int>(ResultCode::kNoClaimQuorum));
   CHECK(deployment.ServiceRuns() == 1);
-  SECTION("once keeper 0 is back, the empty one takes over its claims") {
+  SECTION("once keeper 0 is back, the empty keeper copies its claims") {
     deployment.StartControl(0);
     deployment.WriteEntryVms();
     CHECK(deployment.RunUntil([&] {
@@ -361,7 +369,7 @@
   }
 }
 
-Test(failures, an_unanswered_call_is_unknown_and_never_sent_again) {
+Test(failures, an_unanswered_call_has_an_unknown_outcome_and_is_not_resent) {
   Deployment deployment({.mZones = 1, .mServiceDelay = 600000});
   deployment.Begin();
   const auto pay = [&](std::vector<HttpHeader> aHeaders) {
@@ -376,7 +384,7 @@
           static_cast<int>(ResultCode::kDeadlineExceeded));
     CHECK(answer->Ran() == "unknown" && deployment.ServiceRuns() == 1);
   }
-  SECTION("the service dies") {
+  SECTION("the service crashes") {
     const auto answer = pay({});
     REQUIRE(deployment.RunUntil([&] { return deployment.ServiceRuns() == 2; }));
     deployment.mServices.clear();
--- a/tests/daemons/history_checker_test.cpp
+++ b/tests/daemons/history_checker_test.cpp
@@ -1,4 +1,4 @@
-/// The history checker must be able to fail: each planted defect is caught.
+/// The history checker accepts a valid run and detects each injected defect.
 #include "bench/history_checker.h"
 
 #include <functional>
@@ -31,7 +31,7 @@
   return record;
 }
 
-/// A run in which everything holds.
+/// The records of a run without any violation.
 std::vector<Json::Value> ValidRun() {
   std::vector<Json::Value> run;
   for (int index = 0; index < 2; index++) {
@@ -82,7 +82,7 @@
   return checker.Violations().size();
 }
 
-/// Changes the first record of a kind.
+/// A valid run in which the first record of a kind is changed.
 std::vector<Json::Value> WithChangedRecord(
     const char* aWhat, const std::function<void(Json::Value&)>& aChange) {
   std::vector<Json::Value> run = ValidRun();
@@ -103,43 +103,43 @@
 
 }  // namespace
 
-Test(history_checker, passes_a_good_run) {
+Test(history_checker, accepts_a_valid_run) {
   CHECK(ViolationsOf(ValidRun()) == 0);
 }
 
-Test(history_checker, catches_each_planted_defect) {
-  SECTION("a layer run twice") {
+Test(history_checker, detects_each_injected_defect) {
+  SECTION("a layer that runs twice") {
     CHECK(ViolationsOf(WithAddedRecord(MakeLayersRecord(40, "e3", 0, 4, 8))) >
           0);
   }
-  SECTION("layers out of order") {
+  SECTION("layers that run out of order") {
     CHECK(ViolationsOf(WithChangedRecord("layers", [](Json::Value& aRecord) {
             aRecord["wall_us"] = 500;
           })) > 0);
   }
-  SECTION("a layer left out") {
+  SECTION("a layer that does not run") {
     CHECK(ViolationsOf(WithChangedRecord("layers", [](Json::Value& aRecord) {
             aRecord["first"] = 1;
           })) > 0);
   }
-  SECTION("another's answer") {
+  SECTION("the answer to another request") {
     CHECK(ViolationsOf(WithChangedRecord("answer", [](Json::Value& aRecord) {
             aRecord["matches"] = false;
           })) > 0);
   }
-  SECTION("refused as not run, and ran") {
+  SECTION("a request that ran but was reported as not run") {
     CHECK(ViolationsOf(WithChangedRecord("answer", [](Json::Value& aRecord) {
             aRecord["outcome"] = "error";
             aRecord["ran"] = "no";
           })) > 0);
   }
-  SECTION("a key that ran twice") {
+  SECTION("two runs with one idempotency key") {
     Json::Value again = MakeRecord("run", 70, "kaunter");
     again["key"] = "k1";
     again["request"] = "r3";
     CHECK(ViolationsOf(WithAddedRecord(again)) > 0);
   }
-  SECTION("a resend with another answer") {
+  SECTION("a resend with a different answer") {
     Json::Value again = MakeRecord("call", 80);
     again["key"] = "k1";
     again["outcome"] = "whole";
@@ -152,11 +152,11 @@
           })) > 0);
   }
   SECTION("new work for a leaving upstream") {
-    Json::Value word = MakeRecord("leaving", 10 - 4 * kSecond);
-    word["vm"] = "e1";
-    CHECK(ViolationsOf(WithAddedRecord(word)) > 0);
+    Json::Value notice = MakeRecord("leaving", 10 - 4 * kSecond);
+    notice["vm"] = "e1";
+    CHECK(ViolationsOf(WithAddedRecord(notice)) > 0);
   }
-  SECTION("an answer cut off without a kill") {
+  SECTION("a broken answer although its router was not killed") {
     const auto cut = WithChangedRecord(
         "answer", [](Json::Value& aRecord) { aRecord["outcome"] = "cut"; });
     CHECK(ViolationsOf(cut) > 0);
@@ -166,21 +166,21 @@
     explained.push_back(kill);
     CHECK(ViolationsOf(explained) == 0);
   }
-  SECTION("a read that goes back") {
+  SECTION("a read of an older version than an earlier read") {
     Json::Value stale = MakeRecord("read", 3 * kSecond + 20);
     stale["begin_us"] = static_cast<Json::Int64>(3 * kSecond);
     stale["version"] = 1;
     stale["hash"] = "h1";
     CHECK(ViolationsOf(WithAddedRecord(stale)) > 0);
   }
-  SECTION("two contents of one version") {
+  SECTION("two configurations with the same version") {
     Json::Value fork = MakeRecord("read", 1 * kSecond + 25);
     fork["begin_us"] = static_cast<Json::Int64>(1 * kSecond + 15);
     fork["version"] = 1;
     fork["hash"] = "other";
     CHECK(ViolationsOf(WithAddedRecord(fork)) > 0);
   }
-  SECTION("a router that goes back") {
+  SECTION("a router that returns to an older version") {
     Json::Value back = MakeRecord("in_force", 4 * kSecond);
     back["router"] = "router-0";
     back["incarnation"] = "1";
--- a/tests/daemons/rpc_delay.h
+++ b/tests/daemons/rpc_delay.h
@@ -1,6 +1,6 @@
-/// Stands between processes and one control's RPC address, and holds chosen
-/// messages back, so that a test plays an order of events that a busy machine
-/// brings by chance.
+/// A proxy in front of the RPC address of one control process that delays
+/// selected messages. Tests use it to reproduce an order of events that occurs
+/// only by chance on a busy machine.
 #pragma once
 
 #include <functional>
@@ -12,12 +12,12 @@
 
 namespace spindleweir {
 
-/// For how long a message is held back, by its body; 0: not at all.
+/// Returns the delay of a message with this body; 0: none.
 using RpcDelayHook = std::function<Millis(std::string_view)>;
 
 class RpcDelay {
  public:
-  /// aDelay is asked for each message that comes.
+  /// aDelay is called for each message.
   RpcDelay(EventLoop& aLoop, Endpoint aControl, RpcDelayHook aDelay);
 
   const Endpoint& Address() const { return mServer.Address(); }
