--- a/daemons/router/caller_api.cpp
+++ b/daemons/router/caller_api.cpp
@@ -78,7 +78,7 @@
   } else if (path == "/readyz") {
     RequireMethod(*aExchange, "GET");
     if (mContext.mStopping) {
-      throw Error(ResultCode::kStopping, "router is stopping");
+      throw Error(ResultCode::kStopping, "stopping");
     }
     if (!mContext.mReady) {
       throw Error(ResultCode::kNotReady, "no accepted configuration yet");
