--- a/daemons/router/completion.cpp
+++ b/daemons/router/completion.cpp
@@ -233,7 +233,7 @@
   }
 }
 
-void Completion::ReplaceChain(const std::string& aWhy,
+void Completion::ReplaceChain(const std::string& aReason,
                               const std::set<std::string>& aFailed) {
   EndAttempt("failed");
   bool leaving = false;
@@ -250,14 +250,14 @@
   LogLine(LogLevel::kWarning, "chain_replaced")
       .Add("request", mRequest.mId)
       .Add("attempt", mTokenFilter.Attempt())
-      .Add("why", aWhy)
+      .Add("why", aReason)
       .Add("failed", failed)
       .Add("delivered", mTokenFilter.Delivered());
   // A failure of a VM that is known to be leaving costs no retry budget.
   const bool allowed = mTokenFilter.Attempt() < kMaxAttempts &&
                        (leaving || mContext.mRetryBudget.TrySpend());
   if (!allowed) {
-    Fail(ResultCode::kStreamBroken, "too many attempts failed: " + aWhy);
+    Fail(ResultCode::kStreamBroken, "too many attempts failed: " + aReason);
     return;
   }
   const Millis delay =
--- a/daemons/router/completion.h
+++ b/daemons/router/completion.h
@@ -46,7 +46,7 @@
   /// Ends the current attempt; aEnding is its outcome in the receipt.
   void EndAttempt(const char* aEnding);
   /// Ends the attempt, excludes aFailed, and dispatches to another chain.
-  void ReplaceChain(const std::string& aWhy,
+  void ReplaceChain(const std::string& aReason,
                     const std::set<std::string>& aFailed);
   /// Fails, or retries later if a token may already have been produced.
   void HandleMissingChain();
--- a/daemons/router/peer_link.h
+++ b/daemons/router/peer_link.h
@@ -43,8 +43,8 @@
   MemberTable mMembers;
   /// Peers still to be probed before the router becomes ready.
   std::set<std::string> mUnprobedPeers;
-  std::int64_t mNewestKnownVersion =
-      0;  ///< Highest version that any process sent.
+  /// Highest configuration version that any process has sent.
+  std::int64_t mNewestKnownVersion = 0;
   bool mPulling = false;
   bool mPullPending = false;  ///< A pushed update left a gap.
   std::unique_ptr<Timer> mTickTimer;
--- a/daemons/router/router_context.h
+++ b/daemons/router/router_context.h
@@ -71,8 +71,8 @@
   LeavingSet mLeaving;
   ReceiptOutbox mOutbox;
   bool mReady = false;
-  bool mStopping =
-      false;  ///< /readyz fails, so that the load balancer moves away.
+  /// A stop has begun: /readyz fails, so that the load balancer moves away.
+  bool mStopping = false;
   bool mRejectingRequests = false;  ///< New requests fail with kStopping.
   int mOpenRequests = 0;
 
--- a/daemons/router/service_call.cpp
+++ b/daemons/router/service_call.cpp
@@ -75,8 +75,8 @@
   const std::string body = mRequest.mExchange->Method() + " " + mPath + "\n" +
                            mRequest.mExchange->Body();
   mClaims.Acquire(mRequest.ClaimKey(mService.mName), mRequest.mId, body,
-                  [self = shared_from_this()](const ClaimOutcome& aOutcome2) {
-                    self->OnClaim(aOutcome2);
+                  [self = shared_from_this()](const ClaimOutcome& aClaim) {
+                    self->OnClaim(aClaim);
                   });
 }
 
@@ -113,7 +113,7 @@
   std::vector<const Upstream*> instances = mContext.mView.ServiceInstances(
       mService.mName, mContext.mLoop.RunningNow());
   std::erase_if(instances, [this](const Upstream* aUpstream) {
-    return mTried.contains(aUpstream->mVm) ||
+    return mTriedVms.contains(aUpstream->mVm) ||
            !Allows(mService.mZones, aUpstream->mZone) ||
            !Allows(mRequest.mWorkspace.mZones, aUpstream->mZone);
   });
@@ -135,7 +135,7 @@
   }
   const Upstream& upstream = *instances.front();
   mVm = upstream.mVm;
-  mTried.insert(mVm);
+  mTriedVms.insert(mVm);
   mAttempt++;
   LogRouting(mVm, instances.size());
   mReceipt.mAttempts.push_back(
@@ -192,7 +192,7 @@
                        HeaderOf(aResult, kNotRunHeader) == "true";
   if (refused) {
     EndAttempt("failed");
-    RetryOrFail("the instance did not start it", true);
+    RetryOrFail("the instance did not start the call", true);
     return;
   }
   mContext.mView.Succeeded(mVm);
@@ -208,19 +208,19 @@
   SendAnswer(aResult);
 }
 
-void ServiceCall::RetryOrFail(const std::string& aWhy, bool aProvenNotRun) {
+void ServiceCall::RetryOrFail(const std::string& aReason, bool aProvenNotRun) {
   LogLine(LogLevel::kWarning, "service_call_failed")
       .Add("request", mRequest.mId)
       .Add("vm", mVm)
-      .Add("why", aWhy)
+      .Add("why", aReason)
       .Add("proven_not_run", aProvenNotRun);
   if (!aProvenNotRun && !IsRepeatable()) {
-    Fail(ResultCode::kOutcomeUnknown, aWhy + " after dispatch");
+    Fail(ResultCode::kOutcomeUnknown, aReason + " after dispatch");
     return;
   }
   if (mAttempt >= kMaxAttempts || !mContext.mRetryBudget.TrySpend()) {
     Fail(mMayHaveRun ? ResultCode::kOutcomeUnknown : ResultCode::kNoUpstream,
-         aWhy, kNoUpstreamRetryAfter);
+         aReason, kNoUpstreamRetryAfter);
     return;
   }
   mRetryTimer = mContext.mLoop.After(
--- a/daemons/router/service_call.h
+++ b/daemons/router/service_call.h
@@ -30,7 +30,7 @@
   void LogRouting(const std::string& aChosen, std::size_t aCandidates) const;
   void HandleResult(const HttpResult& aResult);
   /// aProvenNotRun: the instance cannot have started the call.
-  void RetryOrFail(const std::string& aWhy, bool aProvenNotRun);
+  void RetryOrFail(const std::string& aReason, bool aProvenNotRun);
   /// Stores the answer at the claim keepers, then sends it to the caller.
   void SendAnswer(const HttpResult& aResult);
   void Fail(ResultCode aCode, const std::string& aMessage,
@@ -48,7 +48,7 @@
   bool mMayHaveRun = false;  ///< An attempt was sent and got no answer.
   int mAttempt = 0;
   std::string mVm;  ///< VM of the current attempt.
-  std::set<std::string> mTried;
+  std::set<std::string> mTriedVms;
   std::unique_ptr<HttpCall> mCall;
   std::unique_ptr<Timer> mTimer;
   std::unique_ptr<Timer> mRetryTimer;
--- a/daemons/router/stewardship.cpp
+++ b/daemons/router/stewardship.cpp
@@ -50,7 +50,8 @@
   LeaseOptions options;
   options.mId = mContext.mOptions.mId;
   options.mVoters = voters;
-  options.mFirstRound = mContext.mIncarnation * kRoundsPerMilli + mStarts++;
+  options.mFirstRound =
+      mContext.mIncarnation * kRoundsPerMilli + mHoldersCreated++;
   options.mFirstEpoch = WallNow();
   options.mRandom = [this] { return mContext.Random(); };
   const Millis now = SteadyNow();
--- a/daemons/router/stewardship.h
+++ b/daemons/router/stewardship.h
@@ -39,7 +39,7 @@
   std::unique_ptr<LeaseVoter> mVoter;
   std::unique_ptr<LeaseHolder> mHolder;
   std::size_t mVoters = 0;
-  std::int64_t mStarts = 0;  ///< Times that a holder was created here.
+  std::int64_t mHoldersCreated = 0;  ///< Times that a holder was created here.
   bool mLeaseHeld = false;
   std::map<std::string, Millis> mLastOrderAt;  ///< By engine name.
   /// The placement of the zone that orders lead to: the accepted placement, or
--- a/tests/daemons/deployment.cpp
+++ b/tests/daemons/deployment.cpp
@@ -177,8 +177,8 @@
     vm["zone"] = aZone;
     vm["service"] = aService;
     vm["address"] = aAddress.Text();
-    vm["leaving"] = std::find(mListedLeaving.begin(), mListedLeaving.end(),
-                              aVm) != mListedLeaving.end();
+    vm["leaving"] = std::find(mListedAsLeaving.begin(), mListedAsLeaving.end(),
+                              aVm) != mListedAsLeaving.end();
     list["vms"].append(vm);
   };
   for (const auto& [vm, engine] : mEngines) {
@@ -367,7 +367,8 @@
   return ExpectedAnswer("user: " + aPrompt + "\n", kTestLayers, aTokens);
 }
 
-void Deployment::Fault(const std::string& aEngine, const std::string& aBody) {
+void Deployment::InjectFault(const std::string& aEngine,
+                             const std::string& aBody) {
   cr_assert(Fetch(mEngines.at(aEngine)->Address(), "POST", "/v1/faults", aBody)
                 .mStatus == 200);
 }
--- a/tests/daemons/deployment.h
+++ b/tests/daemons/deployment.h
@@ -73,7 +73,7 @@
   void WritePlatform();
   void WriteEntryVms();
   /// VMs that the platform's list reports as leaving.
-  std::vector<std::string> mListedLeaving;
+  std::vector<std::string> mListedAsLeaving;
 
   /// Sends an operator's request to the control processes in turn until one
   /// handles it.
@@ -94,7 +94,7 @@
   HttpResult Fetch(const Endpoint& aServer, const std::string& aMethod,
                    const std::string& aPath, const std::string& aBody = "",
                    const std::string& aKey = "");
-  void Fault(const std::string& aEngine, const std::string& aBody);
+  void InjectFault(const std::string& aEngine, const std::string& aBody);
   /// A counter or gauge of a router from /metrics; 0 if it is not listed.
   int Metric(int aRouter, const std::string& aName);
   int ServiceRuns();
--- a/tests/daemons/failure_test.cpp
+++ b/tests/daemons/failure_test.cpp
@@ -43,7 +43,7 @@
   return engines;
 }
 
-std::size_t TokensOf(const CallerResult& aAnswer) {
+std::size_t CountTokens(const CallerResult& aAnswer) {
   std::size_t count = 0;
   for (std::size_t at = aAnswer.mStream.find("\"content\"");
        at != std::string::npos;
@@ -54,7 +54,7 @@
 }
 
 bool HasTokens(const CallerResult& aAnswer, std::size_t aCount) {
-  return TokensOf(aAnswer) >= aCount;
+  return CountTokens(aAnswer) >= aCount;
 }
 
 }  // namespace
@@ -64,15 +64,15 @@
   deployment.Begin();
   // Long enough that both faults occur before the end of the answer, also on a
   // busy machine.
-  constexpr int kLong = 150;
-  const auto answer = deployment.Chat(0, "champagne", kLong, true);
+  constexpr int kLongAnswerTokens = 150;
+  const auto answer = deployment.Chat(0, "champagne", kLongAnswerTokens, true);
   REQUIRE(deployment.RunUntil([&] { return HasTokens(*answer, 3); }));
   const auto chain = ActiveChain(deployment, *answer);
   REQUIRE(chain.size() == 3);
   deployment.mEngines.erase(chain[1]);
   // More tokens than were in flight at the crash, so that the last ones come
   // from the replacement chain.
-  const std::size_t resumed = TokensOf(*answer) + 5;
+  const std::size_t resumed = CountTokens(*answer) + 5;
   SECTION("a second stage crashes during the resume") {
     REQUIRE(deployment.RunUntil([&] { return HasTokens(*answer, resumed); }));
     const auto second = ActiveChain(deployment, *answer);
@@ -80,7 +80,7 @@
     deployment.mEngines.erase(second[0]);
   }
   REQUIRE(deployment.RunUntil([&] { return answer->mDone; }));
-  CHECK(answer->Text() == Deployment::Expected("champagne", kLong));
+  CHECK(answer->Text() == Deployment::Expected("champagne", kLongAnswerTokens));
   CHECK(answer->mStream.ends_with("data: [DONE]\n\n"));
   SECTION("the receipt names every engine that ran a stage") {
     const auto engines = deployment.EnginesOf(answer->RequestId());
@@ -96,7 +96,7 @@
   REQUIRE(deployment.RunUntil([&] { return HasTokens(*answer, 3); }));
   const auto chain = ActiveChain(deployment, *answer);
   REQUIRE(chain.size() == 3);
-  deployment.Fault(chain[0], R"({"freeze_ms":20000})");
+  deployment.InjectFault(chain[0], R"({"freeze_ms":20000})");
   REQUIRE(deployment.RunUntil([&] { return answer->mDone; }));
   CHECK(answer->Text() == Deployment::Expected("tobacco", kTokens));
 }
@@ -108,8 +108,8 @@
     SECTION(fault) {
       // One engine of each layer range is faulty; the other one can replace it.
       for (const char* engine : {"gpu-0-0", "gpu-0-1", "gpu-0-2"}) {
-        deployment.Fault(engine,
-                         std::string(R"({"corrupt":")") + fault + "\"}");
+        deployment.InjectFault(engine,
+                               std::string(R"({"corrupt":")") + fault + "\"}");
       }
       for (int i = 0; i < 4; i++) {
         const std::string prompt = fault + std::to_string(i);
@@ -144,7 +144,7 @@
   Deployment deployment({.mZones = 1});
   deployment.Begin();
   deployment.mControls.clear();
-  const auto works = [&] {
+  const auto serves = [&] {
     const auto answer = deployment.Chat(0, "x", 2, false);
     deployment.RunUntil([&] { return answer->mDone; });
     return answer->mHttp.mStatus == 200;
@@ -153,11 +153,11 @@
     for (const char* engine : {"gpu-0-0", "gpu-0-3"}) {
       deployment.mEngines.erase(engine);
     }
-    CHECK(deployment.RunUntil(works));
+    CHECK(deployment.RunUntil(serves));
   }
   SECTION("one more engine is lost right after") {
     deployment.mEngines.erase("gpu-0-1");
-    CHECK(deployment.RunUntil(works));
+    CHECK(deployment.RunUntil(serves));
   }
   SECTION("a new VM joins and loads the model") {
     deployment.StartEngine("gpu-0-9", Deployment::Zone(0));
@@ -186,7 +186,7 @@
 Test(failures, a_leaving_engine_gets_no_new_work) {
   Deployment deployment({.mZones = 1});
   deployment.Begin();
-  const auto works = [&](const std::string& aEngine) {
+  const auto isUsed = [&](const std::string& aEngine) {
     bool used = false;
     for (int i = 0; i < 12; i++) {
       const auto answer = deployment.Chat(0, "x", 1, false);
@@ -199,23 +199,23 @@
     }
     return used;
   };
-  const auto leaves = [&](const std::string& aEngine) {
+  const auto isReportedLeaving = [&](const std::string& aEngine) {
     return deployment.RunUntil([&] {
       return deployment.Operator("GET", "/v1/state")
                  .mBody.find("\"leaving\":[\"" + aEngine) != std::string::npos;
     });
   };
   SECTION("reported by the platform's list") {
-    deployment.mListedLeaving = {"gpu-0-0"};
+    deployment.mListedAsLeaving = {"gpu-0-0"};
     deployment.WritePlatform();
-    REQUIRE(leaves("gpu-0-0"));
-    CHECK(!works("gpu-0-0"));
-    deployment.mListedLeaving.clear();
+    REQUIRE(isReportedLeaving("gpu-0-0"));
+    CHECK(!isUsed("gpu-0-0"));
+    deployment.mListedAsLeaving.clear();
     deployment.WritePlatform();
     deployment.RunFor(1500);
     // The list no longer reports the VM, but its incarnation is unchanged, so
     // it still counts as leaving.
-    CHECK(!works("gpu-0-0"));
+    CHECK(!isUsed("gpu-0-0"));
   }
 }
 
