--- a/daemons/control/answer_parts.cpp
+++ b/daemons/control/answer_parts.cpp
@@ -8,11 +8,11 @@
 namespace {
 
 /// Measuring an answer writes it and each of its parts anew.
-constexpr std::uint64_t kMeasuredOneOf = 128;
-constexpr Millis kLogPeriod = 10000;
+constexpr std::uint64_t kAnswersPerSample = 128;
+constexpr Millis kLogInterval = 10000;
 
 /// The answer with one part alone.
-std::map<std::string, SyncAnswer> PartsOf(const SyncAnswer& aAnswer) {
+std::map<std::string, SyncAnswer> SplitIntoParts(const SyncAnswer& aAnswer) {
   std::map<std::string, SyncAnswer> parts;
   parts["loads"].mPackedLoads = aAnswer.mPackedLoads;
   parts["upstreams"].mNewsOfUpstreams = aAnswer.mNewsOfUpstreams;
@@ -23,42 +23,42 @@
   return parts;
 }
 
-std::int64_t BytesOf(const SyncAnswer& aAnswer) {
+std::int64_t EncodedBytes(const SyncAnswer& aAnswer) {
   return static_cast<std::int64_t>(DumpJson(ToJson(aAnswer)).size());
 }
 
 }  // namespace
 
-AnswerParts::AnswerParts(EventLoop& aLoop, Counters& aCounters)
+AnswerSizeMeter::AnswerSizeMeter(EventLoop& aLoop, Counters& aCounters)
     : mCounters(aCounters),
-      mTimer(aLoop.Every(kLogPeriod, [this] { Log(); })) {}
+      mTimer(aLoop.Every(kLogInterval, [this] { Log(); })) {}
 
-void AnswerParts::Count(const SyncQuestion& aQuestion,
-                        const SyncAnswer& aAnswer) {
-  if (mAnswers++ % kMeasuredOneOf != 0) {
+void AnswerSizeMeter::Count(const SyncQuestion& aRequest,
+                            const SyncAnswer& aAnswer) {
+  if (mAnswers++ % kAnswersPerSample != 0) {
     return;
   }
-  const std::string asker = !aQuestion.mControl.mId.empty() ? "control"
-                            : aQuestion.mTellsLoads > 0     ? "near"
+  const std::string poller = !aRequest.mControl.mId.empty() ? "control"
+                             : aRequest.mTellsLoads > 0     ? "near"
                                                             : "far";
-  const std::int64_t empty = BytesOf({});
-  const auto add = [this, &asker](const std::string& aPart,
-                                  std::int64_t aBytes) {
-    const auto all = aBytes * static_cast<std::int64_t>(kMeasuredOneOf);
+  const std::int64_t empty = EncodedBytes({});
+  const auto add = [this, &poller](const std::string& aPart,
+                                   std::int64_t aBytes) {
+    const auto all = aBytes * static_cast<std::int64_t>(kAnswersPerSample);
     mCounters.Add("sync_answer_bytes",
-                  "part=\"" + aPart + "\",asker=\"" + asker + "\"", all);
-    mBytes[asker + " " + aPart] += all;
+                  "part=\"" + aPart + "\",asker=\"" + poller + "\"", all);
+    mBytes[poller + " " + aPart] += all;
   };
-  std::int64_t rest = BytesOf(aAnswer);
-  for (const auto& [part, alone] : PartsOf(aAnswer)) {
-    const std::int64_t bytes = BytesOf(alone) - empty;
+  std::int64_t rest = EncodedBytes(aAnswer);
+  for (const auto& [part, alone] : SplitIntoParts(aAnswer)) {
+    const std::int64_t bytes = EncodedBytes(alone) - empty;
     rest -= bytes;
     add(part, bytes);
   }
   add("rest", rest);
 }
 
-void AnswerParts::Log() const {
+void AnswerSizeMeter::Log() const {
   Json::Value bytes(Json::objectValue);
   for (const auto& [part, n] : mBytes) {
     bytes[part] = static_cast<Json::Int64>(n);
--- a/daemons/control/answer_parts.h
+++ b/daemons/control/answer_parts.h
@@ -13,21 +13,21 @@
 namespace spindleweir {
 
 /// Counter "sync_answer_bytes", by part (loads, upstreams, beats, controls,
-/// configurations, not_silent) and asker (control, near, far); a log line with
+/// configurations, not_silent) and poller (control, near, far); a log line with
 /// the sums each 10 s. One answer of 16 is measured and counts for all:
 /// writing each a second time would take a control 0.2 ms of 0.15 cores.
-class AnswerParts {
+class AnswerSizeMeter {
  public:
-  AnswerParts(EventLoop& aLoop, Counters& aCounters);
+  AnswerSizeMeter(EventLoop& aLoop, Counters& aCounters);
 
-  void Count(const SyncQuestion& aQuestion, const SyncAnswer& aAnswer);
+  void Count(const SyncQuestion& aRequest, const SyncAnswer& aAnswer);
 
  private:
   void Log() const;
 
   Counters& mCounters;
   std::uint64_t mAnswers = 0;
-  std::map<std::string, std::int64_t> mBytes;  ///< By "asker part".
+  std::map<std::string, std::int64_t> mBytes;  ///< By "poller part".
   std::unique_ptr<Timer> mTimer;
 };
 
--- a/daemons/control/claim_service.cpp
+++ b/daemons/control/claim_service.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr Millis kCompactPeriod = 60 * 1000;
-constexpr Millis kTakeOverPeriod = 500;
+constexpr Millis kCompactInterval = 60 * 1000;
+constexpr Millis kCopyInterval = 500;
 constexpr Millis kPageTimeout = 5000;
 /// The file is written anew once it is this large and mostly dead.
 constexpr std::size_t kCompactBytes = 16 * 1024 * 1024;
@@ -45,53 +45,53 @@
   // A marker, since a keeper that is whole may well have no claim yet.
   const bool first = !mContext.mOptions.mInitialVoters.empty();
   if (first && mLog->Bytes() == 0) {
-    MarkWhole();
+    MarkComplete();
   }
   if (!ReadFile(MarkerPath()).has_value()) {
     mKeeper.Abstain();
     LogLine(LogLevel::kWarning, "claims_abstain")
         .Add("why", "an empty folder, and not the first start");
-    mTakeOverTimer =
-        mContext.mLoop.Every(kTakeOverPeriod, [this] { TakeOver(); });
+    mCopyTimer =
+        mContext.mLoop.Every(kCopyInterval, [this] { CopyFromPeers(); });
   }
-  mCompactTimer = mContext.mLoop.Every(kCompactPeriod, [this] { Compact(); });
+  mCompactTimer = mContext.mLoop.Every(kCompactInterval, [this] { Compact(); });
 }
 
 std::string ClaimService::MarkerPath() const {
   return mContext.mOptions.mData + "/claims.whole";
 }
 
-void ClaimService::MarkWhole() {
+void ClaimService::MarkComplete() {
   ReplaceFile(MarkerPath(), "this keeper lacks no claims\n");
 }
 
-void ClaimService::TakeOver() {
+void ClaimService::CopyFromPeers() {
   bool all = true;
   for (const EntryVm& keeper :
        mContext.mEntryVms.Current().OfRole(EntryRole::kControl)) {
     if (keeper.mId == mContext.mOptions.mId ||
-        mTakenOver.contains(keeper.mId)) {
+        mCopiedKeepers.contains(keeper.mId)) {
       continue;
     }
     all = false;
-    if (mAsking.insert(keeper.mId).second) {
-      AskPage(keeper.mId, "");
+    if (mPendingKeepers.insert(keeper.mId).second) {
+      RequestPage(keeper.mId, "");
     }
   }
-  if (all && !mTakenOver.empty()) {
-    MarkWhole();
+  if (all && !mCopiedKeepers.empty()) {
+    MarkComplete();
     mKeeper.EndAbstention();
-    mTakeOverTimer.reset();
+    mCopyTimer.reset();
     LogLine(LogLevel::kInfo, "claims_taken_over")
         .Add("claims", static_cast<int>(mKeeper.Size()));
   }
 }
 
-void ClaimService::AskPage(const std::string& aKeeper,
-                           const std::string& aAfter) {
+void ClaimService::RequestPage(const std::string& aKeeper,
+                               const std::string& aAfter) {
   const EntryVm* keeper = mContext.mEntryVms.Current().Find(aKeeper);
   if (keeper == nullptr) {
-    mAsking.erase(aKeeper);
+    mPendingKeepers.erase(aKeeper);
     return;
   }
   mContext.mRpc.Call(keeper->mAddress, rpc_method::kClaimPage,
@@ -99,7 +99,7 @@
                      [this, aKeeper](const RpcResult& aResult) {
                        // Of a keeper that lacks records itself, or went away,
                        // all is asked again.
-                       mAsking.erase(aKeeper);
+                       mPendingKeepers.erase(aKeeper);
                        if (!aResult.mOk) {
                          return;
                        }
@@ -111,11 +111,11 @@
                          mKeeper.MergeRecord(record);
                        }
                        if (page.mIsLast) {
-                         mTakenOver.insert(aKeeper);
+                         mCopiedKeepers.insert(aKeeper);
                          return;
                        }
-                       mAsking.insert(aKeeper);
-                       AskPage(aKeeper, page.mRecords.back().mKey);
+                       mPendingKeepers.insert(aKeeper);
+                       RequestPage(aKeeper, page.mRecords.back().mKey);
                      });
 }
 
--- a/daemons/control/claim_service.h
+++ b/daemons/control/claim_service.h
@@ -22,16 +22,17 @@
  private:
   void Compact();
   std::string MarkerPath() const;
-  void MarkWhole();
-  void TakeOver();
-  void AskPage(const std::string& aKeeper, const std::string& aAfter);
+  void MarkComplete();
+  void CopyFromPeers();
+  void RequestPage(const std::string& aKeeper, const std::string& aAfter);
 
   ControlContext& mContext;
   std::unique_ptr<DiskLog> mLog;
   ClaimKeeper mKeeper;
-  std::set<std::string> mTakenOver;  ///< Keepers whose records are all here.
-  std::set<std::string> mAsking;
-  std::unique_ptr<Timer> mTakeOverTimer;
+  std::set<std::string>
+      mCopiedKeepers;  ///< Keepers whose records are all here.
+  std::set<std::string> mPendingKeepers;
+  std::unique_ptr<Timer> mCopyTimer;
   std::unique_ptr<Timer> mCompactTimer;
 };
 
--- a/daemons/control/control_daemon.cpp
+++ b/daemons/control/control_daemon.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-constexpr std::size_t kMaximumRpcBytes = 64 * 1024 * 1024;
+constexpr std::size_t kMaxRpcBytes = 64 * 1024 * 1024;
 
 /// Makes the data folder ready before any part opens a file in it.
-ControlOptions Prepared(ControlOptions aOptions) {
+ControlOptions PrepareDataFolder(ControlOptions aOptions) {
   PrepareFolder(aOptions.mData);
   return aOptions;
 }
@@ -22,7 +22,7 @@
 /// The parts of a control process, in the order in which they are made.
 struct ControlDaemon::Parts {
   Parts(EventLoop& aLoop, ControlOptions aOptions)
-      : mContext(aLoop, Prepared(std::move(aOptions))),
+      : mContext(aLoop, PrepareDataFolder(std::move(aOptions))),
         mLog(mContext),
         mClaims(mContext),
         mReceipts(mContext),
@@ -31,7 +31,7 @@
         mApi(mContext, mLog, mInventory, mReceipts, mClaims),
         mRpcServer(aLoop,
                    {.mListen = mContext.mOptions.mRpcListen,
-                    .mMaximumBodyBytes = kMaximumRpcBytes,
+                    .mMaximumBodyBytes = kMaxRpcBytes,
                     .mHandle =
                         [this](const std::shared_ptr<HttpExchange>& aExchange) {
                           mContext.mDispatcher.Handle(*aExchange);
@@ -39,7 +39,7 @@
         mOperatorServer(
             aLoop,
             {.mListen = mContext.mOptions.mOperatorListen,
-             .mMaximumBodyBytes = kMaximumRpcBytes,
+             .mMaximumBodyBytes = kMaxRpcBytes,
              .mHandle = [this](const std::shared_ptr<HttpExchange>& aExchange) {
                mApi.Handle(aExchange);
              }}) {}
--- a/daemons/control/crash_store.cpp
+++ b/daemons/control/crash_store.cpp
@@ -12,11 +12,11 @@
 
 namespace {
 
-constexpr Millis kTryAgain = 2000;
-constexpr char kAfterDigest = ' ';
+constexpr Millis kRetryInterval = 2000;
+constexpr char kDigestSeparator = ' ';
 
 /// What the file holds.
-struct KeptCrashes {
+struct StoredCrashes {
   std::vector<Json::Value> mRows;
 
   template <class Codec>
@@ -29,7 +29,7 @@
   return std::to_string(FastHash(aText));
 }
 
-void Warn(const char* aEvent, const Error& aError) {
+void LogWarning(const char* aEvent, const Error& aError) {
   LogLine(LogLevel::kWarning, aEvent)
       .Add("code", static_cast<int>(aError.Code()))
       .Add("why", aError.what());
@@ -38,47 +38,47 @@
 }  // namespace
 
 void CrashStore::Load(CrashLedger& aLedger, Millis aNow,
-                      const InvalidRowHook& aOnBad) {
-  const std::string kept = ReadFile(mPath).value_or("");
-  const std::size_t n = kept.find(kAfterDigest);
+                      const InvalidRowHook& aOnInvalidRow) {
+  const std::string stored = ReadFile(mPath).value_or("");
+  const std::size_t n = stored.find(kDigestSeparator);
   if (n == std::string::npos ||
-      kept.substr(0, n) != DigestOf(std::string_view(kept).substr(n + 1))) {
+      stored.substr(0, n) != DigestOf(std::string_view(stored).substr(n + 1))) {
     return;
   }
   try {
-    const auto rows =
-        FromJson<KeptCrashes>(ParseJson(std::string_view(kept).substr(n + 1)));
-    for (const CrashRecord& record : ReadCrashes(rows.mRows, aOnBad)) {
+    const auto rows = FromJson<StoredCrashes>(
+        ParseJson(std::string_view(stored).substr(n + 1)));
+    for (const CrashRecord& record : ReadCrashes(rows.mRows, aOnInvalidRow)) {
       aLedger.Merge(record, aNow);
     }
   } catch (const Error& error) {
     // Of another build.
-    Warn("barred_unreadable", error);
+    LogWarning("barred_unreadable", error);
   }
-  mSaved = aLedger.BarredRevision();
+  mSavedRevision = aLedger.BarredRevision();
   LogLine(LogLevel::kInfo, "barred_read")
       .Add("requests", static_cast<Json::UInt64>(aLedger.BarredRequests()));
 }
 
 void CrashStore::Save(const CrashLedger& aLedger, Millis aNow) {
-  const bool refused = mRefusedAt >= 0 && aNow - mRefusedAt < kTryAgain;
-  if (aLedger.BarredRevision() == mSaved || refused) {
+  const bool delayed = mFailedAt >= 0 && aNow - mFailedAt < kRetryInterval;
+  if (aLedger.BarredRevision() == mSavedRevision || delayed) {
     return;
   }
-  KeptCrashes kept;
+  StoredCrashes stored;
   const CrashLedger::Changes all = aLedger.ChangesSince(
       0, true, std::numeric_limits<std::size_t>::max(), aNow);
   for (const CrashRecord& record : all.mRecords) {
-    kept.mRows.push_back(ToJson(record));
+    stored.mRows.push_back(ToJson(record));
   }
-  const std::string text = DumpJson(ToJson(kept));
+  const std::string text = DumpJson(ToJson(stored));
   try {
-    ReplaceFile(mPath, DigestOf(text) + kAfterDigest + text);
-    mSaved = aLedger.BarredRevision();
-    mRefusedAt = -1;
+    ReplaceFile(mPath, DigestOf(text) + kDigestSeparator + text);
+    mSavedRevision = aLedger.BarredRevision();
+    mFailedAt = -1;
   } catch (const Error& error) {
-    mRefusedAt = aNow;
-    Warn("barred_not_kept", error);
+    mFailedAt = aNow;
+    LogWarning("barred_not_kept", error);
   }
 }
 
--- a/daemons/control/crash_store.h
+++ b/daemons/control/crash_store.h
@@ -16,15 +16,17 @@
   explicit CrashStore(std::string aPath) : mPath(std::move(aPath)) {}
 
   /// Takes what the file has; one that is torn, or none, is nothing.
-  void Load(CrashLedger& aLedger, Millis aNow, const InvalidRowHook& aOnBad);
+  void Load(CrashLedger& aLedger, Millis aNow,
+            const InvalidRowHook& aOnInvalidRow);
   /// Writes the file where other requests are barred than it says. A disk that
   /// refuses is tried again two seconds later.
   void Save(const CrashLedger& aLedger, Millis aNow);
 
  private:
   std::string mPath;
-  std::int64_t mSaved = 0;  ///< The revision of the verdicts that it has.
-  Millis mRefusedAt = -1;
+  std::int64_t mSavedRevision =
+      0;  ///< The revision of the verdicts that it has.
+  Millis mFailedAt = -1;
 };
 
 }  // namespace spindleweir
--- a/daemons/control/inventory.cpp
+++ b/daemons/control/inventory.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-constexpr Millis kAskPeriod = 1000;
-constexpr Millis kAskTimeout = 900;
-constexpr Millis kReportLifetime = 3000;
+constexpr Millis kPollInterval = 1000;
+constexpr Millis kPollTimeout = 900;
+constexpr Millis kMaxReportAge = 3000;
 
 }  // namespace
 
@@ -24,37 +24,37 @@
                           [this](const Json::Value& aMessage) {
                             const auto state = FromJson<PeerState>(aMessage);
                             for (const LeaveNotice& word : state.mLeaving) {
-                              mWords.Add(word);
+                              mLeaving.Add(word);
                             }
-                            return ToJson(OwnState());
+                            return ToJson(LocalState());
                           });
-  mTimer = mContext.mLoop.Every(kAskPeriod, [this] { AskRouters(); });
+  mTimer = mContext.mLoop.Every(kPollInterval, [this] { PollRouters(); });
 }
 
-PeerState Inventory::OwnState() const {
+PeerState Inventory::LocalState() const {
   PeerState state;
   state.mFrom = mContext.mOptions.mId;
   state.mZone = mContext.mOptions.mZone;
   state.mVersion = mVersion();
   state.mReady = true;
-  state.mLeaving = mWords.Notices();
+  state.mLeaving = mLeaving.Notices();
   return state;
 }
 
-void Inventory::AskRouters() {
+void Inventory::PollRouters() {
   for (const EntryVm& router :
        mContext.mEntryVms.Current().OfRole(EntryRole::kRouter)) {
     mContext.mRpc.Call(router.mAddress, rpc_method::kRouterState,
-                       Json::Value(Json::objectValue), kAskTimeout,
+                       Json::Value(Json::objectValue), kPollTimeout,
                        [this, id = router.mId](const RpcResult& aResult) {
                          if (aResult.mOk) {
                            mRouters[id] = {aResult.mAnswer, SteadyNow()};
                          }
                        });
   }
-  mWords.Retain(mView.Names(), SteadyNow());
+  mLeaving.Retain(mView.Names(), SteadyNow());
   for (const EngineReport& report : Engines()) {
-    mWords.OnSeen(report.mEngine, report.mIncarnation);
+    mLeaving.OnSeen(report.mEngine, report.mIncarnation);
   }
 }
 
@@ -63,7 +63,7 @@
 }
 
 std::vector<EngineReport> Inventory::Engines() const {
-  return mView.LiveEngines("", kReportLifetime, mContext.mLoop.RunningNow());
+  return mView.LiveEngines("", kMaxReportAge, mContext.mLoop.RunningNow());
 }
 
 Json::Value Inventory::State() const {
@@ -72,7 +72,7 @@
   for (const auto& [id, word] : mRouters) {
     Json::Value item = word.mState;
     item["heard_ms_ago"] =
-        static_cast<Json::Int64>(SteadyNow() - word.mHeardAt);
+        static_cast<Json::Int64>(SteadyNow() - word.mReceivedAt);
     state["routers"].append(item);
   }
   state["upstreams"] = Json::Value(Json::arrayValue);
--- a/daemons/control/inventory.h
+++ b/daemons/control/inventory.h
@@ -35,20 +35,20 @@
 
  private:
   /// The last word of a router.
-  struct RouterWord {
+  struct RouterReport {
     Json::Value mState;
-    Millis mHeardAt = 0;
+    Millis mReceivedAt = 0;
   };
 
-  PeerState OwnState() const;
-  void AskRouters();
+  PeerState LocalState() const;
+  void PollRouters();
 
   ControlContext& mContext;
   std::function<std::int64_t()> mVersion;
   UpstreamView mView;
   UpstreamWatcher mWatcher;
-  LeavingSet mWords;
-  std::map<std::string, RouterWord> mRouters;
+  LeavingSet mLeaving;
+  std::map<std::string, RouterReport> mRouters;
   std::unique_ptr<Timer> mTimer;
 };
 
--- a/daemons/control/joined_control.cpp
+++ b/daemons/control/joined_control.cpp
@@ -17,44 +17,44 @@
 
 namespace {
 
-constexpr std::size_t kMaximumRpcBytes = 64 * 1024 * 1024;
+constexpr std::size_t kMaxRpcBytes = 64 * 1024 * 1024;
 constexpr int kDiskNameBytes = 8;
-/// How long an operator's call waits for a leader that is heard. One that was
-/// sent on to a leader that had just been killed failed there, and operators
-/// pause longer and longer between such attempts; without an answer they go on
-/// after a second.
-constexpr Millis kLeaderWait = 800;
-constexpr Millis kLeaderPoll = 20;
+/// How long an operator's call waits for a leader that is hasContact. One that
+/// was sent on to a leader that had just been killed failed there, and
+/// operators pause longer and longer between such attempts; without an answer
+/// they go on after a second.
+constexpr Millis kLeaderWaitTimeout = 800;
+constexpr Millis kLeaderPollInterval = 20;
 /// The disks of the first start have this name, so that the first voters know
 /// each other's ids from the seeds alone.
-constexpr const char* kFirstDisk = "first";
+constexpr const char* kInitialDiskName = "first";
 
-/// The name of this disk: kept on it, and new on an empty one.
+/// The name of this disk: stored on it, and new on an empty one.
 std::string DiskName(const ControlOptions& aOptions) {
   const std::string path = aOptions.mData + "/identity";
   const std::string wanted = aOptions.mRpcListen.Text() + "#";
-  const std::string kept = ReadFile(path).value_or("");
-  if (kept.starts_with(wanted)) {
-    return kept.substr(wanted.size());
+  const std::string stored = ReadFile(path).value_or("");
+  if (stored.starts_with(wanted)) {
+    return stored.substr(wanted.size());
   }
-  if (!kept.empty()) {
+  if (!stored.empty()) {
     throw Error(ResultCode::kDataCorrupt,
-                path + " belongs to " + kept + ", not to " + wanted);
+                path + " belongs to " + stored + ", not to " + wanted);
   }
   std::string name =
-      aOptions.mFirstStart ? kFirstDisk : RandomHex(kDiskNameBytes);
+      aOptions.mFirstStart ? kInitialDiskName : RandomHex(kDiskNameBytes);
   ReplaceFile(path, wanted + name);
   return name;
 }
 
 /// Names this control and, at the first start, the first voters.
-ControlOptions Identified(ControlOptions aOptions) {
+ControlOptions PrepareIdentity(ControlOptions aOptions) {
   PrepareFolder(aOptions.mData);
   aOptions.mId = ControlId(aOptions.mRpcListen, DiskName(aOptions));
   aOptions.mInitialVoters.clear();
   if (aOptions.mFirstStart) {
     for (const Endpoint& seed : aOptions.mSeeds) {
-      aOptions.mInitialVoters.push_back(ControlId(seed, kFirstDisk));
+      aOptions.mInitialVoters.push_back(ControlId(seed, kInitialDiskName));
     }
   }
   return aOptions;
@@ -69,7 +69,7 @@
 /// The parts, in the order in which they are made.
 struct JoinedControl::Parts {
   Parts(EventLoop& aLoop, ControlOptions aOptions)
-      : mContext(aLoop, Identified(std::move(aOptions))),
+      : mContext(aLoop, PrepareIdentity(std::move(aOptions))),
         mLog(mContext),
         mSync(mContext, mLog),
         mMeter(aLoop, mContext.mRpc, mContext.mCounters,
@@ -88,63 +88,65 @@
         mRpcServer(
             aLoop,
             {.mListen = mContext.mOptions.mRpcListen,
-             .mMaximumBodyBytes = kMaximumRpcBytes,
+             .mMaximumBodyBytes = kMaxRpcBytes,
              .mHandle = [this](const std::shared_ptr<HttpExchange>& aExchange) {
                mContext.mDispatcher.Handle(*aExchange);
              }}) {}
 
   /// An operator's call that waits until it is known who leads.
-  struct Awaiting {
-    std::function<void()> mGo;
+  struct WaitingCall {
+    std::function<void()> mRun;
     Millis mSince = 0;
   };
 
   /// Whether this control leads, or hears who does.
-  bool HearsLeader() const {
+  bool HasLeaderContact() const {
     const std::vector<std::string>& voters = mLog.Raft().Voters();
     const bool votes = std::find(voters.begin(), voters.end(),
                                  mContext.mOptions.mId) != voters.end();
     return votes ? mLog.Raft().HasLeaderContact(SteadyNow())
-                 : !mSync.LeaderHeardOf().empty();
+                 : !mSync.ReportedLeader().empty();
   }
 
-  /// Calls aGo once this control leads or hears who does, or after some time
+  /// Calls aRun once this control leads or hears who does, or after some time
   /// without.
-  void AwaitLeader(std::function<void()> aGo) {
-    if (HearsLeader()) {
-      aGo();
+  void AwaitLeader(std::function<void()> aRun) {
+    if (HasLeaderContact()) {
+      aRun();
       return;
     }
-    mAwaiting.push_back({std::move(aGo), SteadyNow()});
+    mWaitingCalls.push_back({std::move(aRun), SteadyNow()});
     PollLeader();
   }
 
   void PollLeader() {
     const Millis now = SteadyNow();
-    const bool heard = HearsLeader();
-    const auto over = std::stable_partition(
-        mAwaiting.begin(), mAwaiting.end(), [&](const Awaiting& aItem) {
-          return !heard && now - aItem.mSince < kLeaderWait;
+    const bool hasContact = HasLeaderContact();
+    const auto firstReady = std::stable_partition(
+        mWaitingCalls.begin(), mWaitingCalls.end(),
+        [&](const WaitingCall& aItem) {
+          return !hasContact && now - aItem.mSince < kLeaderWaitTimeout;
         });
-    const std::vector<Awaiting> ready(std::make_move_iterator(over),
-                                      std::make_move_iterator(mAwaiting.end()));
-    mAwaiting.erase(over, mAwaiting.end());
-    mLeaderTimer =
-        mAwaiting.empty()
-            ? nullptr
-            : mContext.mLoop.After(kLeaderPoll, [this] { PollLeader(); });
-    for (const Awaiting& item : ready) {
+    const std::vector<WaitingCall> ready(
+        std::make_move_iterator(firstReady),
+        std::make_move_iterator(mWaitingCalls.end()));
+    mWaitingCalls.erase(firstReady, mWaitingCalls.end());
+    mLeaderTimer = mWaitingCalls.empty()
+                       ? nullptr
+                       : mContext.mLoop.After(kLeaderPollInterval,
+                                              [this] { PollLeader(); });
+    for (const WaitingCall& item : ready) {
       LogLine(LogLevel::kInfo, "operator_waited")
           .Add("took_ms", static_cast<Json::Int64>(now - item.mSince))
           .Add("leader", mLog.Raft().Leader());
-      item.mGo();
+      item.mRun();
     }
   }
 
   /// Where this control does not lead: who does.
   OperatorAnswer NotLeader() const {
     const std::string leader = mLog.Raft().Leader().empty()
-                                   ? mSync.LeaderHeardOf()
+                                   ? mSync.ReportedLeader()
                                    : mLog.Raft().Leader();
     const ControlInfo* info =
         leader.empty() ? nullptr : mSync.Directory().Find(leader);
@@ -167,7 +169,7 @@
   RpcMeter mMeter;
   RetryService mRetries;
   LayerPlacer mPlacer;
-  std::vector<Awaiting> mAwaiting;
+  std::vector<WaitingCall> mWaitingCalls;
   std::unique_ptr<Timer> mLeaderTimer;
   HttpServer mRpcServer;
 };
@@ -248,12 +250,12 @@
 }
 
 void JoinedControl::Beat(const UpstreamRecord& aRecord, const BeatDone& aDone) {
-  mParts->mSync.Upstreams().Beat(aRecord, aDone);
+  mParts->mSync.Upstreams().OnHeartbeat(aRecord, aDone);
 }
 
 void JoinedControl::Leave(const std::string& aInstance, const BeatDone& aDone,
                           std::int64_t aStart) {
-  mParts->mSync.Upstreams().Leave(aInstance, aDone, aStart);
+  mParts->mSync.Upstreams().ApplyLeave(aInstance, aDone, aStart);
 }
 
 void JoinedControl::BadBeat(const std::string& aInstance, const Error& aWhy) {
--- a/daemons/control/layer_placer.cpp
+++ b/daemons/control/layer_placer.cpp
@@ -11,21 +11,21 @@
 
 namespace {
 
-constexpr Millis kStepPeriod = 200;
-/// Engines that start together are planned together.
-constexpr Millis kSettleQuiet = 1300;
-constexpr Millis kSettleMost = 3000;
+constexpr Millis kStepInterval = 200;
+/// Engines that start together are lastInput together.
+constexpr Millis kStableWindow = 1300;
+constexpr Millis kMaxStabilityWait = 3000;
 /// An order that shows no effect for so long is given again.
-constexpr Millis kOrderForgotten = 15000;
+constexpr Millis kOrderEffectTimeout = 15000;
 constexpr int kHttpOk = 200;
 constexpr int kHttpAccepted = 202;
 constexpr int kHttpUnavailable = 503;
 /// With more orders at once than this all controls send a part of them: 3,000
 /// are 0.6 s of a core, 4 s of a leader that has 0.15 of one.
-constexpr std::size_t kOwnOrders = 200;
-constexpr Millis kHandOverTimeout = 1000;
+constexpr std::size_t kMaxLocalOrders = 200;
+constexpr Millis kForwardTimeout = 1000;
 /// A control that was not heard for so long is handed nothing.
-constexpr Millis kHeardWithin = 1500;
+constexpr Millis kControlSeenWindow = 1500;
 
 }  // namespace
 
@@ -38,28 +38,30 @@
     : mContext(aContext),
       mLog(aLog),
       mSync(aSync),
-      mSender(
-          aContext,
-          {.mHolds = [this](
-                         const HandedOrder& aOrder,
-                         std::int64_t aFence) { return Holds(aOrder, aFence); },
-           .mAnswered = [this](const HandedOrder& aOrder,
-                               int aStatus) { Answered(aOrder, aStatus); }}) {
+      mSender(aContext,
+              {.mIsCurrent =
+                   [this](const HandedOrder& aOrder, std::int64_t aFence) {
+                     return IsCurrent(aOrder, aFence);
+                   },
+               .mOnAnswered =
+                   [this](const HandedOrder& aOrder, int aStatus) {
+                     OnOrderAnswered(aOrder, aStatus);
+                   }}) {
   mContext.mDispatcher.On(rpc_method::kOrders,
                           [this](const Json::Value& aMessage) {
-                            TakeOver(FromJson<HandedOrders>(aMessage));
+                            OnForwardedOrders(FromJson<HandedOrders>(aMessage));
                             return Json::Value(Json::objectValue);
                           });
   mContext.mDispatcher.On(
       rpc_method::kOrderRefused, [this](const Json::Value& aMessage) {
         const auto refusal = FromJson<OrderRefusal>(aMessage);
-        Note(refusal.mOrder, refusal.mStatus);
+        RecordStatus(refusal.mOrder, refusal.mStatus);
         return Json::Value(Json::objectValue);
       });
-  mTimer = mContext.mLoop.Every(kStepPeriod, [this] { Step(); });
+  mTimer = mContext.mLoop.Every(kStepInterval, [this] { Step(); });
 }
 
-bool LayerPlacer::Holds(const HandedOrder& aOrder, std::int64_t aFence) {
+bool LayerPlacer::IsCurrent(const HandedOrder& aOrder, std::int64_t aFence) {
   const UpstreamRecord* engine = mSync.Registry().Find(aOrder.mInstance);
   const bool restarted =
       engine != nullptr && aOrder.mStart > 0 && engine->mStart > aOrder.mStart;
@@ -79,25 +81,25 @@
   }
 }
 
-bool LayerPlacer::Settled(const std::string& aService, std::size_t aCount,
-                          Millis aNow) {
-  Settling& settling = mSettling[aService];
-  if (settling.mSince == 0) {
-    settling = {aCount, aNow, aNow};
+bool LayerPlacer::IsStable(const std::string& aService, std::size_t aCount,
+                           Millis aNow) {
+  Stability& stability = mStability[aService];
+  if (stability.mSince == 0) {
+    stability = {aCount, aNow, aNow};
   }
-  if (settling.mCount != aCount) {
-    settling.mCount = aCount;
-    settling.mChangedAt = aNow;
+  if (stability.mCount != aCount) {
+    stability.mCount = aCount;
+    stability.mChangedAt = aNow;
   }
-  return aNow - settling.mChangedAt >= kSettleQuiet ||
-         aNow - settling.mSince >= kSettleMost;
+  return aNow - stability.mChangedAt >= kStableWindow ||
+         aNow - stability.mSince >= kMaxStabilityWait;
 }
 
 void LayerPlacer::PlaceService(const TrafficService& aService) {
   const Millis now = SteadyNow();
   const std::set<std::string> lost = mSync.Unreachable();
   std::vector<const UpstreamRecord*> engines;
-  std::deque<UpstreamRecord> ordered;  // As they will be.
+  std::deque<UpstreamRecord> pendingEngines;  // As they will be.
   for (const UpstreamRecord* record :
        mSync.Registry().OfService(aService.mName)) {
     if (record->mState != UpstreamState::kReady ||
@@ -111,41 +113,41 @@
       continue;
     }
     const bool done = record->mLayers == it->second.mLayers;
-    const bool forgotten = now - it->second.mSentAt > kOrderForgotten;
+    const bool timedOut = now - it->second.mSentAt > kOrderEffectTimeout;
     const bool restarted = record->mStart != it->second.mStart;
-    if (done || it->second.Refused() || forgotten || restarted) {
+    if (done || it->second.Refused() || timedOut || restarted) {
       mPending.erase(it);
       continue;
     }
-    ordered.push_back(*record);
-    ordered.back().mLayers = it->second.mLayers;
-    ordered.back().mBusy = true;
-    engines.back() = &ordered.back();
+    pendingEngines.push_back(*record);
+    pendingEngines.back().mLayers = it->second.mLayers;
+    pendingEngines.back().mBusy = true;
+    engines.back() = &pendingEngines.back();
   }
-  if (engines.empty() || !Settled(aService.mName, engines.size(), now)) {
+  if (engines.empty() || !IsStable(aService.mName, engines.size(), now)) {
     return;
   }
   const std::set<std::string> cutOff = CutOffZones(aService.mName, lost);
   std::erase_if(engines, [&cutOff](const UpstreamRecord* aRecord) {
     return cutOff.contains(aRecord->mZone);
   });
-  Give(Plan(aService, engines));
+  SendOrders(Plan(aService, engines));
 }
 
 std::vector<LayerOrder> LayerPlacer::Plan(
     const TrafficService& aService,
     const std::vector<const UpstreamRecord*>& aViews) {
-  Planned asked{.mVersion = mSync.Traffic().mVersion, .mEngines = {}};
+  PlanInput input{.mVersion = mSync.Traffic().mVersion, .mEngines = {}};
   for (const UpstreamRecord* view : aViews) {
-    asked.mEngines.push_back(
+    input.mEngines.push_back(
         {view->mInstance, view->mStart, view->mLayers, view->mBusy});
   }
-  Planned& planned = mPlanned[aService.mName];
-  if (planned == asked) {
+  PlanInput& lastInput = mLastPlanInputs[aService.mName];
+  if (lastInput == input) {
     return {};
   }
   std::vector<LayerOrder> orders = PlanLayers(aService.mEngine, aViews);
-  planned = orders.empty() ? std::move(asked) : Planned();
+  lastInput = orders.empty() ? std::move(input) : PlanInput();
   return orders;
 }
 
@@ -169,12 +171,12 @@
   return zones;
 }
 
-void LayerPlacer::Give(const std::vector<LayerOrder>& aOrders) {
+void LayerPlacer::SendOrders(const std::vector<LayerOrder>& aOrders) {
   const std::int64_t fence = mLog.Raft().Term();
   std::vector<std::string> controls = {mContext.mOptions.mId};
-  if (aOrders.size() > kOwnOrders) {
+  if (aOrders.size() > kMaxLocalOrders) {
     for (const ControlInfo& info :
-         mSync.Directory().SeenWithin(kHeardWithin, SteadyNow())) {
+         mSync.Directory().SeenWithin(kControlSeenWindow, SteadyNow())) {
       if (info.mId != mContext.mOptions.mId) {
         controls.push_back(info.mId);
       }
@@ -199,53 +201,54 @@
   for (std::size_t i = 1; i < parts.size(); i++) {
     parts[i].mFence = fence;
     parts[i].mLeader = mContext.mOptions.mId;
-    HandOver(AddressOfControl(controls[i]), std::move(parts[i]));
+    ForwardOrders(AddressOfControl(controls[i]), std::move(parts[i]));
   }
 }
 
-void LayerPlacer::HandOver(const Endpoint& aControl, HandedOrders aOrders) {
+void LayerPlacer::ForwardOrders(const Endpoint& aControl,
+                                HandedOrders aOrders) {
   LogLine(LogLevel::kInfo, "orders_handed_over")
       .Add("control", aControl.Text())
       .Add("orders", static_cast<int>(aOrders.mOrders.size()))
       .Add("fence", static_cast<Json::Int64>(aOrders.mFence));
   const Json::Value message = ToJson(aOrders);
   mContext.mRpc.Call(
-      aControl, rpc_method::kOrders, message, kHandOverTimeout,
+      aControl, rpc_method::kOrders, message, kForwardTimeout,
       [this, orders = std::move(aOrders.mOrders)](const RpcResult& aResult) {
         if (aResult.mOk) {
           return;
         }
-        // Planned anew; one that was sent all the same holds already then.
+        // PlanInput anew; one that was sent all the same holds already then.
         for (const HandedOrder& order : orders) {
-          Note(order, kHttpUnavailable);
+          RecordStatus(order, kHttpUnavailable);
         }
       });
 }
 
-void LayerPlacer::TakeOver(const HandedOrders& aOrders) {
+void LayerPlacer::OnForwardedOrders(const HandedOrders& aOrders) {
   if (aOrders.mFence < mLog.Raft().Term()) {
     throw Error(ResultCode::kNotLeader, "orders of an earlier term");
   }
-  mOrderer = aOrders.mLeader;
+  mForwardingLeader = aOrders.mLeader;
   for (const HandedOrder& order : aOrders.mOrders) {
     mSender.Send(order, aOrders.mFence);
   }
 }
 
-void LayerPlacer::Answered(const HandedOrder& aOrder, int aStatus) {
+void LayerPlacer::OnOrderAnswered(const HandedOrder& aOrder, int aStatus) {
   if (mLog.Raft().Leads()) {
-    Note(aOrder, aStatus);
+    RecordStatus(aOrder, aStatus);
     return;
   }
-  const bool taken = aStatus == kHttpOk || aStatus == kHttpAccepted;
-  if (!taken && !mOrderer.empty()) {
-    mContext.mRpc.Call(AddressOfControl(mOrderer), rpc_method::kOrderRefused,
-                       ToJson(OrderRefusal{aOrder, aStatus}), kHandOverTimeout,
-                       nullptr);
+  const bool accepted = aStatus == kHttpOk || aStatus == kHttpAccepted;
+  if (!accepted && !mForwardingLeader.empty()) {
+    mContext.mRpc.Call(
+        AddressOfControl(mForwardingLeader), rpc_method::kOrderRefused,
+        ToJson(OrderRefusal{aOrder, aStatus}), kForwardTimeout, nullptr);
   }
 }
 
-void LayerPlacer::Note(const HandedOrder& aOrder, int aStatus) {
+void LayerPlacer::RecordStatus(const HandedOrder& aOrder, int aStatus) {
   const auto it = mPending.find(aOrder.mInstance);
   if (it != mPending.end() && it->second.mLayers == aOrder.mLayers &&
       it->second.mStart == aOrder.mStart) {
--- a/daemons/control/layer_placer.h
+++ b/daemons/control/layer_placer.h
@@ -30,27 +30,27 @@
     bool Refused() const;
   };
   /// How long a service's engines have been the same.
-  struct Settling {
+  struct Stability {
     std::size_t mCount = 0;
     Millis mChangedAt = 0;
     Millis mSince = 0;
   };
 
   /// What a plan is made of: one engine of it.
-  struct PlannedEngine {
+  struct PlanInputEngine {
     std::string mInstance;
     std::int64_t mStart = 0;
     LayerRange mLayers;
     bool mBusy = false;
 
-    bool operator==(const PlannedEngine&) const = default;
+    bool operator==(const PlanInputEngine&) const = default;
   };
   /// What a plan that had nothing to change was made of.
-  struct Planned {
+  struct PlanInput {
     std::int64_t mVersion = 0;  ///< Of the configuration.
-    std::vector<PlannedEngine> mEngines;
+    std::vector<PlanInputEngine> mEngines;
 
-    bool operator==(const Planned&) const = default;
+    bool operator==(const PlanInput&) const = default;
   };
 
   void Step();
@@ -59,31 +59,32 @@
   /// off rather than its engines lost, and orders would come late.
   std::set<std::string> CutOffZones(const std::string& aService,
                                     const std::set<std::string>& aLost) const;
-  /// Orders for these engines. The same engines are not planned twice in vain:
-  /// judging all moves of a zone costs milliseconds of a small processor.
+  /// Orders for these engines. The same engines are not lastInput twice in
+  /// vain: judging all moves of a zone costs milliseconds of a small processor.
   std::vector<LayerOrder> Plan(
       const TrafficService& aService,
       const std::vector<const UpstreamRecord*>& aViews);
-  bool Settled(const std::string& aService, std::size_t aCount, Millis aNow);
+  bool IsStable(const std::string& aService, std::size_t aCount, Millis aNow);
   /// Sends orders, or hands most of them to the other controls.
-  void Give(const std::vector<LayerOrder>& aOrders);
-  void HandOver(const Endpoint& aControl, HandedOrders aOrders);
+  void SendOrders(const std::vector<LayerOrder>& aOrders);
+  void ForwardOrders(const Endpoint& aControl, HandedOrders aOrders);
   /// Takes the orders of a leader.
-  void TakeOver(const HandedOrders& aOrders);
+  void OnForwardedOrders(const HandedOrders& aOrders);
   /// Whether an order may leave: see OrderSender.
-  bool Holds(const HandedOrder& aOrder, std::int64_t aFence);
-  void Answered(const HandedOrder& aOrder, int aStatus);
+  bool IsCurrent(const HandedOrder& aOrder, std::int64_t aFence);
+  void OnOrderAnswered(const HandedOrder& aOrder, int aStatus);
   /// Notes the answer of an engine, where its order is still the newest.
-  void Note(const HandedOrder& aOrder, int aStatus);
+  void RecordStatus(const HandedOrder& aOrder, int aStatus);
 
   ControlContext& mContext;
   ReplicatedConfiguration& mLog;
   SyncService& mSync;
-  std::map<std::string, Pending> mPending;    ///< By instance.
-  std::map<std::string, Settling> mSettling;  ///< By service.
-  std::map<std::string, Planned> mPlanned;    ///< By service.
+  std::map<std::string, Pending> mPending;           ///< By instance.
+  std::map<std::string, Stability> mStability;       ///< By service.
+  std::map<std::string, PlanInput> mLastPlanInputs;  ///< By service.
   OrderSender mSender;
-  std::string mOrderer;  ///< Id of the leader that handed orders over last.
+  std::string
+      mForwardingLeader;  ///< Id of the leader that handed orders over last.
   std::unique_ptr<Timer> mTimer;
 };
 
--- a/daemons/control/operator_api.cpp
+++ b/daemons/control/operator_api.cpp
@@ -15,7 +15,7 @@
 
 constexpr int kHttpOk = 200;
 constexpr int kCommandIdBytes = 12;
-constexpr std::size_t kMaximumCommandId = 128;
+constexpr std::size_t kMaxCommandIdLength = 128;
 
 /// The body of POST /v1/intents.
 struct IntentBody {
@@ -74,15 +74,15 @@
   if (aId.empty()) {
     aId = RandomHex(kCommandIdBytes);
   }
-  if (aId.size() > kMaximumCommandId) {
+  if (aId.size() > kMaxCommandIdLength) {
     throw Error(ResultCode::kBadField,
                 "command_id must have at most 128 characters");
   }
 }
 
 /// What stands between a prefix and a suffix of a path; empty: no match.
-std::string Between(const std::string& aPath, std::string_view aPrefix,
-                    std::string_view aSuffix) {
+std::string PathSegment(const std::string& aPath, std::string_view aPrefix,
+                        std::string_view aSuffix) {
   const bool match = aPath.starts_with(aPrefix) && aPath.ends_with(aSuffix) &&
                      aPath.size() > aPrefix.size() + aSuffix.size();
   if (!match) {
@@ -135,13 +135,13 @@
   if (aExchange->BearerKey() != mContext.mOptions.mOperatorKey) {
     throw Error(ResultCode::kUnauthorized, "the operator key is not known");
   }
-  const std::string confirmed = Between(path, "/v1/plans/", "/confirm");
-  const std::string shown = Between(path, "/v1/plans/", "");
-  const std::string request = Between(path, "/v1/receipts/", "");
-  const std::string vm = Between(path, "/v1/vms/", "/drain");
+  const std::string confirmed = PathSegment(path, "/v1/plans/", "/confirm");
+  const std::string shown = PathSegment(path, "/v1/plans/", "");
+  const std::string request = PathSegment(path, "/v1/receipts/", "");
+  const std::string vm = PathSegment(path, "/v1/vms/", "/drain");
   if (path == "/v1/intents") {
     RequireMethod(*aExchange, "POST");
-    StateIntent(aExchange);
+    PlanIntent(aExchange);
   } else if (!confirmed.empty()) {
     RequireMethod(*aExchange, "POST");
     ConfirmPlan(aExchange, confirmed);
@@ -190,7 +190,7 @@
   throw Error(ResultCode::kNotLeader, "the leader is " + leader->mId);
 }
 
-void OperatorApi::StateIntent(const Exchange& aExchange) {
+void OperatorApi::PlanIntent(const Exchange& aExchange) {
   RequireLeader(aExchange);
   auto body = FromJson<IntentBody>(ParseJson(aExchange->Body()), true);
   CheckCommandId(body.mCommandId);
--- a/daemons/control/operator_api.h
+++ b/daemons/control/operator_api.h
@@ -28,7 +28,7 @@
 
   void Route(const Exchange& aExchange);
   void RequireLeader(const Exchange& aExchange);
-  void StateIntent(const Exchange& aExchange);
+  void PlanIntent(const Exchange& aExchange);
   void ConfirmPlan(const Exchange& aExchange, const std::string& aPlanId);
   void ShowPlan(const Exchange& aExchange, const std::string& aPlanId);
   void ShowConfiguration(const Exchange& aExchange);
--- a/daemons/control/order_sender.cpp
+++ b/daemons/control/order_sender.cpp
@@ -10,17 +10,17 @@
 constexpr Millis kOrderTimeout = 1000;
 /// An order costs about 0.2 ms of a core: 5 in 20 ms are a third of a small
 /// processor. 1,000 at once kept a leader from answering voters for 1.5 s.
-constexpr Millis kStepPeriod = 20;
-constexpr int kEachStep = 5;
+constexpr Millis kStepInterval = 20;
+constexpr int kOrdersPerStep = 5;
 
 }  // namespace
 
 void OrderSender::Send(const HandedOrder& aOrder, std::int64_t aFence) {
   mWaiting.push_back({aOrder, aFence});
   if (mTimer == nullptr) {
-    mLeft = kEachStep;
-    mTimer = mContext.mLoop.Every(kStepPeriod, [this] {
-      mLeft = kEachStep;
+    mStepBudget = kOrdersPerStep;
+    mTimer = mContext.mLoop.Every(kStepInterval, [this] {
+      mStepBudget = kOrdersPerStep;
       Step();
     });
   }
@@ -28,11 +28,11 @@
 }
 
 void OrderSender::Step() {
-  while (mLeft > 0 && !mWaiting.empty()) {
+  while (mStepBudget > 0 && !mWaiting.empty()) {
     const Waiting next = std::move(mWaiting.front());
     mWaiting.pop_front();
-    if (mHooks.mHolds(next.mOrder, next.mFence)) {
-      mLeft--;
+    if (mHooks.mIsCurrent(next.mOrder, next.mFence)) {
+      mStepBudget--;
       Start(next);
     }
   }
@@ -62,7 +62,7 @@
         .Add("from", order.mLayers.mFrom)
         .Add("to", order.mLayers.mTo)
         .Add("status", aHead.mStatus);
-    mHooks.mAnswered(order, aHead.mStatus);
+    mHooks.mOnAnswered(order, aHead.mStatus);
   };
   options.mOnEnd = [this, instance = order.mInstance](StreamEnd) {
     mRunning[instance].mEnded = true;
--- a/daemons/control/order_sender.h
+++ b/daemons/control/order_sender.h
@@ -19,9 +19,9 @@
   struct Hooks {
     /// Asked right before an order leaves: whether its term still holds, and
     /// the engine has not started again since.
-    std::function<bool(const HandedOrder&, std::int64_t aFence)> mHolds;
+    std::function<bool(const HandedOrder&, std::int64_t aFence)> mIsCurrent;
     /// An engine answered; the status of HTTP.
-    std::function<void(const HandedOrder&, int aStatus)> mAnswered;
+    std::function<void(const HandedOrder&, int aStatus)> mOnAnswered;
   };
 
   OrderSender(ControlContext& aContext, Hooks aHooks)
@@ -46,7 +46,7 @@
   Hooks mHooks;
   std::deque<Waiting> mWaiting;
   std::map<std::string, Running> mRunning;  ///< By instance.
-  int mLeft = 0;                  ///< That may leave before the next step.
+  int mStepBudget = 0;            ///< That may leave before the next step.
   std::unique_ptr<Timer> mTimer;  ///< While any waits or runs.
 };
 
--- a/daemons/control/receipt_service.cpp
+++ b/daemons/control/receipt_service.cpp
@@ -10,20 +10,20 @@
 constexpr Millis kFindTimeout = 1000;
 
 /// A question to the other control processes.
-struct OpenSearch {
-  std::size_t mLeft;
+struct PendingSearch {
+  std::size_t mOutstanding;
   std::function<void(const Receipt*)> mDone;
 };
 
 }  // namespace
 
 ReceiptService::ReceiptService(ControlContext& aContext)
-    : mContext(aContext), mBook(aContext.mOptions.mReceipts) {
+    : mContext(aContext), mStore(aContext.mOptions.mReceipts) {
   mLog = std::make_unique<DiskLog>(
       mContext.mOptions.mData + "/receipts.log",
       [this](std::string_view aRecord) {
         try {
-          mBook.Add(FromJson<Receipt>(ParseJson(aRecord)));
+          mStore.Add(FromJson<Receipt>(ParseJson(aRecord)));
           mRecords++;
         } catch (const Error& error) {
           throw Error(ResultCode::kDataCorrupt,
@@ -38,7 +38,7 @@
                             }
                             mLog->Sync();
                             for (const Receipt& receipt : batch.mReceipts) {
-                              mBook.Add(receipt);
+                              mStore.Add(receipt);
                               mRecords++;
                             }
                             CompactIfLarge();
@@ -47,7 +47,7 @@
   mContext.mDispatcher.On(
       rpc_method::kFindReceipt, [this](const Json::Value& aMessage) {
         const auto asked = FromJson<ReceiptQuestion>(aMessage);
-        const Receipt* receipt = mBook.Find(asked.mRequest);
+        const Receipt* receipt = mStore.Find(asked.mRequest);
         if (receipt == nullptr) {
           throw Error(ResultCode::kReceiptNotFound, "not here");
         }
@@ -60,16 +60,16 @@
     return;
   }
   mLog->Rewrite([this](DiskLog& aLog) {
-    for (const Receipt& receipt : mBook.All()) {
+    for (const Receipt& receipt : mStore.All()) {
       aLog.Append(DumpJson(ToJson(receipt)));
     }
   });
-  mRecords = mBook.Size();
+  mRecords = mStore.Size();
 }
 
 void ReceiptService::Find(const std::string& aRequest,
                           std::function<void(const Receipt*)> aDone) {
-  if (const Receipt* receipt = mBook.Find(aRequest)) {
+  if (const Receipt* receipt = mStore.Find(aRequest)) {
     aDone(receipt);
     return;
   }
@@ -82,13 +82,13 @@
     aDone(nullptr);
     return;
   }
-  const auto search =
-      std::make_shared<OpenSearch>(OpenSearch{others.size(), std::move(aDone)});
+  const auto search = std::make_shared<PendingSearch>(
+      PendingSearch{others.size(), std::move(aDone)});
   for (const EntryVm& vm : others) {
     mContext.mRpc.Call(vm.mAddress, rpc_method::kFindReceipt,
                        ToJson(ReceiptQuestion{aRequest}), kFindTimeout,
                        [search](const RpcResult& aResult) {
-                         search->mLeft--;
+                         search->mOutstanding--;
                          if (!search->mDone) {
                            return;
                          }
@@ -98,7 +98,7 @@
                            const auto done = std::move(search->mDone);
                            search->mDone = nullptr;
                            done(&found);
-                         } else if (search->mLeft == 0) {
+                         } else if (search->mOutstanding == 0) {
                            search->mDone(nullptr);
                          }
                        });
--- a/daemons/control/receipt_service.h
+++ b/daemons/control/receipt_service.h
@@ -19,14 +19,14 @@
   /// Looks here, then asks the other control processes.
   void Find(const std::string& aRequest,
             std::function<void(const Receipt*)> aDone);
-  std::size_t Size() const { return mBook.Size(); }
+  std::size_t Size() const { return mStore.Size(); }
 
  private:
   void Store(const Receipt& aReceipt);
   void CompactIfLarge();
 
   ControlContext& mContext;
-  ReceiptStore mBook;
+  ReceiptStore mStore;
   std::unique_ptr<DiskLog> mLog;
   std::size_t mRecords = 0;  ///< In the file, dead ones too.
 };
--- a/daemons/control/replicated_configuration.cpp
+++ b/daemons/control/replicated_configuration.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-constexpr Millis kTickPeriod = 20;
+constexpr Millis kTickInterval = 20;
 constexpr Millis kRaftTimeout = 1000;
 constexpr Millis kPushTimeout = 1000;
 constexpr Millis kCommitTimeout = 4000;
 /// A disk that failed is tried again after this time.
-constexpr Millis kReopenAfter = 500;
+constexpr Millis kReopenDelay = 500;
 constexpr Millis kHeartbeatsPerTimeout = 5;
-constexpr std::size_t kBytesPerSnapshot = 1024 * 1024;
+constexpr std::size_t kSnapshotThresholdBytes = 1024 * 1024;
 
 }  // namespace
 
@@ -26,7 +26,7 @@
   mContext.mDispatcher.On(
       rpc_method::kRaft, [this](const Json::Value& aMessage) {
         mRaft->Receive(FromJson<RaftMessage>(aMessage), SteadyNow());
-        NoteLeader();
+        UpdateLeader();
         return Json::Value(Json::objectValue);
       });
   mContext.mDispatcher.On(rpc_method::kGetConfiguration,
@@ -36,9 +36,9 @@
                           });
   mMachine.SignalAccepted().connect([this](const Configuration&) {
     // A restart applies many at once; only the newest is worth telling.
-    mSpreadTimer = mContext.mLoop.After(0, [this] { Spread(); });
+    mPushTimer = mContext.mLoop.After(0, [this] { PushToRouters(); });
   });
-  mTimer = mContext.mLoop.Every(kTickPeriod, [this] { Tick(); });
+  mTimer = mContext.mLoop.Every(kTickInterval, [this] { Tick(); });
 }
 
 void ReplicatedConfiguration::Open() {
@@ -57,7 +57,7 @@
   }
   raft.mElectionTimeout = options.mElectionTimeout;
   raft.mHeartbeatInterval = options.mElectionTimeout / kHeartbeatsPerTimeout;
-  raft.mSnapshotThresholdBytes = kBytesPerSnapshot;
+  raft.mSnapshotThresholdBytes = kSnapshotThresholdBytes;
   raft.mSeed = static_cast<std::uint64_t>(WallNow()) ^
                std::hash<std::string>()(options.mId);
   raft.mStorage = storage.get();
@@ -79,10 +79,10 @@
     LogLine(LogLevel::kError, "storage_failed")
         .Add("code", static_cast<int>(ResultCode::kStorageFailed))
         .Add("data", mContext.mOptions.mData);
-    FailWaiting();
+    FailPending();
     return;
   }
-  if (now - mFailedAt < kReopenAfter) {
+  if (now - mFailedAt < kReopenDelay) {
     return;
   }
   mFailedAt = now;
@@ -131,45 +131,46 @@
     return;
   }
   mRaft->Tick(SteadyNow());
-  NoteLeader();
+  UpdateLeader();
   if (mRaft->Role() != RaftRole::kLeader) {
-    FailWaiting();
+    FailPending();
     return;
   }
   const Millis now = SteadyNow();
-  for (auto it = mWaiting.begin(); it != mWaiting.end();) {
+  for (auto it = mPendingCommands.begin(); it != mPendingCommands.end();) {
     if (now - it->second.mSince < kCommitTimeout) {
       ++it;
       continue;
     }
-    const Waiting late = std::move(it->second);
-    it = mWaiting.erase(it);
+    const PendingCommand late = std::move(it->second);
+    it = mPendingCommands.erase(it);
     for (const CommandDone& done : late.mDone) {
       done(nullptr);
     }
   }
 }
 
-void ReplicatedConfiguration::NoteLeader() {
+void ReplicatedConfiguration::UpdateLeader() {
   if (mRaft->Leader() != mLoggedLeader) {
     mLoggedLeader = mRaft->Leader();
     LogLine(LogLevel::kInfo, "leader")
         .Add("leader", mLoggedLeader)
         .Add("term", static_cast<Json::Int64>(mRaft->Term()));
   }
-  if (mRaft->HasCommitInTerm() && mSettledTerm != mRaft->Term()) {
-    mSettledTerm = mRaft->Term();
+  if (mRaft->HasCommitInTerm() && mTermWithCommit != mRaft->Term()) {
+    mTermWithCommit = mRaft->Term();
     LogLine(LogLevel::kInfo, "leader_settled")
         .Add("leader", mLoggedLeader)
-        .Add("term", static_cast<Json::Int64>(mSettledTerm))
+        .Add("term", static_cast<Json::Int64>(mTermWithCommit))
         .Add("index", static_cast<Json::Int64>(mRaft->CommitIndex()));
-    mSignalSettled.emit();
+    mSignalTermCommitted.emit();
   }
 }
 
-void ReplicatedConfiguration::FailWaiting() {
-  const std::map<std::string, Waiting> waiting = std::move(mWaiting);
-  mWaiting.clear();
+void ReplicatedConfiguration::FailPending() {
+  const std::map<std::string, PendingCommand> waiting =
+      std::move(mPendingCommands);
+  mPendingCommands.clear();
   for (const auto& [id, item] : waiting) {
     for (const CommandDone& done : item.mDone) {
       done(nullptr);
@@ -179,11 +180,11 @@
 
 void ReplicatedConfiguration::Submit(const Command& aCommand,
                                      CommandDone aDone) {
-  Waiting& waiting = mWaiting[aCommand.mId];
+  PendingCommand& waiting = mPendingCommands[aCommand.mId];
   waiting.mDone.push_back(std::move(aDone));
   waiting.mSince = SteadyNow();
   if (mRaft->Propose(DumpJson(ToJson(aCommand))) == 0) {
-    FailWaiting();
+    FailPending();
   }
 }
 
@@ -198,12 +199,12 @@
       .Add("plan", result.mPlanId)
       .Add("version", static_cast<Json::Int64>(result.mVersion))
       .Add("accepted", mMachine.Current().mVersion > before);
-  const auto it = mWaiting.find(command.mId);
-  if (it == mWaiting.end()) {
+  const auto it = mPendingCommands.find(command.mId);
+  if (it == mPendingCommands.end()) {
     return;
   }
-  const Waiting waiting = std::move(it->second);
-  mWaiting.erase(it);
+  const PendingCommand waiting = std::move(it->second);
+  mPendingCommands.erase(it);
   for (const CommandDone& done : waiting.mDone) {
     done(&result);
   }
@@ -218,14 +219,14 @@
   return mRaft->ProposeVoters(aVoters) != 0;
 }
 
-void ReplicatedConfiguration::Spread() {
+void ReplicatedConfiguration::PushToRouters() {
   const Configuration& configuration = mMachine.Current();
   mContext.mCounters.Set("configuration_version", configuration.mVersion);
   const EntryVms& vms = mContext.mEntryVms.Current();
   const bool leads = mRaft != nullptr && mRaft->Role() == RaftRole::kLeader;
   // What is new since the last time; a router that lacks more asks for it.
-  const Json::Value message = ToJson(mMachine.History().UpdateFor(mSpread));
-  mSpread = mMachine.History().MakeRequest();
+  const Json::Value message = ToJson(mMachine.History().UpdateFor(mLastPushed));
+  mLastPushed = mMachine.History().MakeRequest();
   for (const EntryVm& router : vms.OfRole(EntryRole::kRouter)) {
     // Each zone is served by its own control; the leader, which knows first,
     // tells all.
--- a/daemons/control/replicated_configuration.h
+++ b/daemons/control/replicated_configuration.h
@@ -40,10 +40,10 @@
   const RaftNode& Raft() const { return *mRaft; }
   std::size_t DiskBytes() const { return mStorage->Bytes(); }
   /// Emitted once a leader, this process or another, may promise.
-  sigc::signal<void>& SignalSettled() { return mSignalSettled; }
+  sigc::signal<void>& SignalTermCommitted() { return mSignalTermCommitted; }
 
  private:
-  struct Waiting {
+  struct PendingCommand {
     std::vector<CommandDone> mDone;
     Millis mSince = 0;
   };
@@ -56,22 +56,22 @@
   void Apply(const LogEntry& aEntry);
   void Tick();
   /// Tells where a leader may promise since.
-  void NoteLeader();
-  void FailWaiting();
-  void Spread();
+  void UpdateLeader();
+  void FailPending();
+  void PushToRouters();
 
   ControlContext& mContext;
   std::unique_ptr<RaftDiskStorage> mStorage;
   ConfigurationMachine mMachine;
   std::unique_ptr<RaftNode> mRaft;
-  std::map<std::string, Waiting> mWaiting;  ///< By command id.
-  ConfigurationRequest mSpread;  ///< What the routers were last told.
+  std::map<std::string, PendingCommand> mPendingCommands;  ///< By command id.
+  ConfigurationRequest mLastPushed;  ///< What the routers were last told.
   std::string mLoggedLeader;
-  std::int64_t mSettledTerm = 0;  ///< Whose leader was told of.
-  sigc::signal<void> mSignalSettled;
+  std::int64_t mTermWithCommit = 0;  ///< Whose leader was told of.
+  sigc::signal<void> mSignalTermCommitted;
   Millis mFailedAt = -1;  ///< When the storage failed; -1: it did not.
   std::unique_ptr<Timer> mTimer;
-  std::unique_ptr<Timer> mSpreadTimer;
+  std::unique_ptr<Timer> mPushTimer;
 };
 
 }  // namespace spindleweir
--- a/daemons/control/retry_service.cpp
+++ b/daemons/control/retry_service.cpp
@@ -18,19 +18,20 @@
       });
 }
 
-RetryGrant RetryService::Answer(const RetryWish& aWish) {
-  if (!mHooks.mKnowsService(aWish.mService)) {
+RetryGrant RetryService::Answer(const RetryWish& aRequest) {
+  if (!mHooks.mKnowsService(aRequest.mService)) {
     return {};
   }
-  RetryPool& pool = mPools.try_emplace(aWish.mService, mOptions).first->second;
+  RetryPool& pool =
+      mPools.try_emplace(aRequest.mService, mOptions).first->second;
   const RouterShare routers = mHooks.mRouters();
   const Millis now = SteadyNow();
-  const RetryGrant grant{pool.Grant(aWish.mWanted, routers, now)};
+  const RetryGrant grant{pool.Grant(aRequest.mWanted, routers, now)};
   mContext.mCounters.Add("retries_granted", {}, grant.mGranted);
   LogLine(LogLevel::kInfo, "retries_granted")
-      .Add("router", aWish.mProcess)
-      .Add("service", aWish.mService)
-      .Add("wanted", aWish.mWanted)
+      .Add("router", aRequest.mProcess)
+      .Add("service", aRequest.mService)
+      .Add("wanted", aRequest.mWanted)
       .Add("granted", grant.mGranted)
       .Add("left", pool.Available(routers, now))
       .Add("routers_here", routers.mLocal)
--- a/daemons/control/retry_service.h
+++ b/daemons/control/retry_service.h
@@ -24,7 +24,7 @@
   RetryService(ControlContext& aContext, RetryServiceHooks aHooks);
 
  private:
-  RetryGrant Answer(const RetryWish& aWish);
+  RetryGrant Answer(const RetryWish& aRequest);
 
   ControlContext& mContext;
   RetryServiceHooks mHooks;
--- a/daemons/control/start_stamp.cpp
+++ b/daemons/control/start_stamp.cpp
@@ -12,29 +12,30 @@
 namespace {
 
 /// A write with its sync takes up to 10 ms of these disks' time.
-constexpr Millis kSaveEvery = 5000;
+constexpr Millis kSaveInterval = 5000;
 /// Two writes, a stop of a few seconds, and a clock that jumps by two seconds.
 /// Whoever was stopped for longer hears each upstream within a heartbeat.
-constexpr Millis kFresh = 15000;
-constexpr int kMostRouters = 100000;
+constexpr Millis kFreshWindow = 15000;
+constexpr int kMaxRouters = 100000;
 
 }  // namespace
 
-StartFacts StartStamp::Load(Millis aWallNow) const {
+PreviousRun StartStamp::Load(Millis aWallNow) const {
   std::istringstream text(ReadFile(mPath).value_or(""));
   int routers = 0;
   Millis at = 0;
-  if (!(text >> routers >> at) || routers < 0 || routers > kMostRouters) {
+  if (!(text >> routers >> at) || routers < 0 || routers > kMaxRouters) {
     return {};
   }
-  return {.mRouters = routers, .mFresh = std::abs(aWallNow - at) < kFresh};
+  return {.mRouters = routers,
+          .mUpstreamsFresh = std::abs(aWallNow - at) < kFreshWindow};
 }
 
 void StartStamp::Save(int aRouters, Millis aWallNow, Millis aNow) {
-  if (mTriedAt >= 0 && aNow - mTriedAt < kSaveEvery) {
+  if (mLastAttemptAt >= 0 && aNow - mLastAttemptAt < kSaveInterval) {
     return;
   }
-  mTriedAt = aNow;
+  mLastAttemptAt = aNow;
   try {
     ReplaceFile(mPath,
                 std::to_string(aRouters) + " " + std::to_string(aWallNow));
--- a/daemons/control/start_stamp.h
+++ b/daemons/control/start_stamp.h
@@ -9,7 +9,7 @@
 namespace spindleweir {
 
 /// What was kept.
-struct StartFacts {
+struct PreviousRun {
   /// Routers that share what engines read. A router that starts with all others
   /// must know them at once; they ask control within half a second only.
   int mRouters = 0;
@@ -17,7 +17,7 @@
   /// leader does not write: the list of one that led for 30 s brought back six
   /// engines that had left, and a fifth of the requests of the first three
   /// seconds was refused at them.
-  bool mFresh = false;
+  bool mUpstreamsFresh = false;
 };
 
 /// One file. What is lost of it costs time at a start, nothing else.
@@ -26,13 +26,13 @@
   explicit StartStamp(std::string aPath) : mPath(std::move(aPath)) {}
 
   /// aWallNow: the time of day, in milliseconds.
-  StartFacts Load(Millis aWallNow) const;
+  PreviousRun Load(Millis aWallNow) const;
   /// Writes both every few seconds. aNow: of the steady clock.
   void Save(int aRouters, Millis aWallNow, Millis aNow);
 
  private:
   std::string mPath;
-  Millis mTriedAt = -1;
+  Millis mLastAttemptAt = -1;
 };
 
 }  // namespace spindleweir
--- a/daemons/control/sync_service.cpp
+++ b/daemons/control/sync_service.cpp
@@ -13,29 +13,29 @@
 
 namespace {
 
-constexpr Millis kAskPeriod = 300;
-constexpr Millis kAskTimeout = 1000;
-constexpr Millis kStepPeriod = 500;
+constexpr Millis kPollInterval = 300;
+constexpr Millis kPollTimeout = 1000;
+constexpr Millis kStepInterval = 500;
 /// Controls hear each other themselves; what they heard of the rest is told
 /// this often: six of them are 640 of 2,670 bytes of an exchange.
-constexpr Millis kTellControlsEvery = 1000;
-constexpr Millis kControlsTold = 10000;
+constexpr Millis kControlListInterval = 1000;
+constexpr Millis kControlListWindow = 10000;
 /// A process that did not ask for so long is not counted any more.
-constexpr Millis kAskerKept = 2500;
+constexpr Millis kPollerRetention = 2500;
 /// How often a router asks a control of its own zone; where more routers ask,
 /// each asks less often, so that a control has the same work at any size.
-constexpr Millis kAskedEvery = 150;
-constexpr double kEachAsker = 3.5;
-constexpr int kLifeBytes = 6;
+constexpr Millis kMinRouterPollInterval = 150;
+constexpr double kPollIntervalPerRouter = 3.5;
+constexpr int kIncarnationBytes = 6;
 /// Records of crashes in one answer: some 40 KB.
-constexpr std::size_t kMostCrashes = 256;
+constexpr std::size_t kMaxCrashesPerAnswer = 256;
 /// After this time all routers have asked, and those of the last start count
 /// for nothing any more.
-constexpr Millis kRoutersBefore = 3000;
+constexpr Millis kPreviousRunWindow = 3000;
 /// Another control that did not answer for so long is not in contact.
-constexpr Millis kContact = 1500;
+constexpr Millis kContactTimeout = 1500;
 /// Routers that must agree that an upstream cannot be reached.
-constexpr int kWitnesses = 2;
+constexpr int kMinUnreachableReporters = 2;
 
 }  // namespace
 
@@ -43,9 +43,9 @@
                          ReplicatedConfiguration& aLog)
     : mContext(aContext),
       mLog(aLog),
-      mLife(RandomHex(kLifeBytes)),
+      mIncarnation(RandomHex(kIncarnationBytes)),
       mStamp(aContext.mOptions.mData + "/stamp"),
-      mBefore(mStamp.Load(WallNow())),
+      mPreviousRun(mStamp.Load(WallNow())),
       mStartedAt(SteadyNow()),
       mUpstreams(
           aContext, mDirectory,
@@ -54,38 +54,38 @@
             return traffic.mVersion == 0 ||
                    traffic.FindService(aService) != nullptr;
           },
-          mBefore.mFresh),
-      mParts(aContext.mLoop, aContext.mCounters),
+          mPreviousRun.mUpstreamsFresh),
+      mAnswerSizes(aContext.mLoop, aContext.mCounters),
       mCrashStore(aContext.mOptions.mData + "/barred") {
   mCrashStore.Load(mCrashes, SteadyNow(), mContext.mBadWords.At("disk"));
   LogLine(LogLevel::kInfo, "stamp_read")
-      .Add("upstreams_fresh", mBefore.mFresh)
-      .Add("routers", mBefore.mRouters);
+      .Add("upstreams_fresh", mPreviousRun.mUpstreamsFresh)
+      .Add("routers", mPreviousRun.mRouters);
   mDirectory.SetSeeds(mContext.mOptions.mSeeds);
   mLog.Machine().SignalPublished().connect(
-      [this](const PublishedDocument& aPublished) { mUnread = aPublished; });
+      [this](const PublishedDocument& aPublished) { mUnparsed = aPublished; });
   if (mLog.Machine().Published().mVersion > 0) {
-    mUnread = mLog.Machine().Published();
+    mUnparsed = mLog.Machine().Published();
   }
   mContext.mDispatcher.On(
       rpc_method::kSync, [this](const Json::Value& aMessage) {
         return ToJson(Answer(FromJson<SyncQuestion>(aMessage)));
       });
-  mLog.SignalSettled().connect([this] { AskLeader(); });
-  mAskTimer = mContext.mLoop.Every(kAskPeriod, [this] { AskOthers(); });
-  mStepTimer = mContext.mLoop.Every(kStepPeriod, [this] {
-    StepVoters();
-    KeepUpstreams();
+  mLog.SignalTermCommitted().connect([this] { PollLeader(); });
+  mPollTimer = mContext.mLoop.Every(kPollInterval, [this] { PollControls(); });
+  mStepTimer = mContext.mLoop.Every(kStepInterval, [this] {
+    UpdateVoters();
+    SaveState();
   });
-  AskOthers();
+  PollControls();
 }
 
 const TrafficConfiguration& SyncService::Traffic() {
-  if (!mUnread.has_value()) {
+  if (!mUnparsed.has_value()) {
     return mTraffic.Current();
   }
-  const PublishedDocument newest = std::move(*mUnread);
-  mUnread.reset();
+  const PublishedDocument newest = std::move(*mUnparsed);
+  mUnparsed.reset();
   if (newest.mVersion <= mTraffic.Current().mVersion) {
     // A log that is opened again goes through what was known before.
     return mTraffic.Current();
@@ -111,72 +111,73 @@
   mDirectory.SetSeeds(std::move(aSeeds));
 }
 
-SyncAnswer SyncService::Answer(const SyncQuestion& aQuestion) {
+SyncAnswer SyncService::Answer(const SyncQuestion& aRequest) {
   const Millis now = SteadyNow();
-  Remember(aQuestion);
+  RecordPoller(aRequest);
   SyncAnswer answer;
   answer.mSelf = Self();
-  answer.mLife = mLife;
-  const bool fromControl = !aQuestion.mControl.mId.empty();
-  const PollingRouter asker{.mIsNearest = aQuestion.mTellsLoads > 0,
-                            .mNearestAnswers = aQuestion.mHearsNear};
-  if (fromControl ? IsToldControls(aQuestion, now) : SendsControlList(asker)) {
-    answer.mControls = mDirectory.SeenWithin(kControlsTold, now);
+  answer.mLife = mIncarnation;
+  const bool fromControl = !aRequest.mControl.mId.empty();
+  const PollingRouter poller{.mIsNearest = aRequest.mTellsLoads > 0,
+                             .mNearestAnswers = aRequest.mHearsNear};
+  if (fromControl ? SendsControlsTo(aRequest, now) : SendsControlList(poller)) {
+    answer.mControls = mDirectory.SeenWithin(kControlListWindow, now);
     answer.mLeader = mLog.Raft().Leader();
     answer.mTerm = mLog.Raft().Term();
   }
-  mUpstreams.Answer(aQuestion, mLife, answer);
-  ConfirmOwn(now);
+  mUpstreams.Answer(aRequest, mIncarnation, answer);
+  UpdateLocalConfirmation(now);
   answer.mConfirmedVersion = mConfirmation.Version();
   answer.mConfirmedAgo = mConfirmation.Age(now);
   if (!fromControl) {
-    answer.mNews = mTraffic.UpdatesSince(aQuestion.mConfiguration);
+    answer.mNews = mTraffic.UpdatesSince(aRequest.mConfiguration);
   }
-  answer.mRouters = Routers(now);
+  answer.mRouters = RouterCount(now);
   answer.mOwnRouters = mLoads.LocalRouters(now);
-  answer.mAskEvery = std::max(
-      kAskedEvery,
-      static_cast<Millis>(kEachAsker * static_cast<double>(mAskedAt.size())));
-  AddLoads(aQuestion, answer);
-  AddCrashes(aQuestion, answer);
-  mParts.Count(aQuestion, answer);
+  answer.mAskEvery =
+      std::max(kMinRouterPollInterval,
+               static_cast<Millis>(kPollIntervalPerRouter *
+                                   static_cast<double>(mPolledAt.size())));
+  AddLoads(aRequest, answer);
+  AddCrashes(aRequest, answer);
+  mAnswerSizes.Count(aRequest, answer);
   return answer;
 }
 
-bool SyncService::IsToldControls(const SyncQuestion& aQuestion, Millis aNow) {
-  const bool first = aQuestion.mKnows != mLife;
-  Millis& toldAt = mControlsToldAt[aQuestion.mControl.mId];
-  if (!first && aNow - toldAt < kTellControlsEvery) {
+bool SyncService::SendsControlsTo(const SyncQuestion& aRequest, Millis aNow) {
+  const bool first = aRequest.mKnows != mIncarnation;
+  Millis& sentAt = mControlsSentAt[aRequest.mControl.mId];
+  if (!first && aNow - sentAt < kControlListInterval) {
     return false;
   }
-  toldAt = aNow;
+  sentAt = aNow;
   return true;
 }
 
 RouterShare SyncService::Routers() {
   const Millis now = SteadyNow();
-  return {.mLocal = mLoads.LocalRouters(now), .mTotal = Routers(now)};
+  return {.mLocal = mLoads.LocalRouters(now), .mTotal = RouterCount(now)};
 }
 
 void SyncService::RefreshGauges() {
   const Millis now = SteadyNow();
   mContext.mCounters.Set("routers_here", mLoads.LocalRouters(now));
-  mContext.mCounters.Set("routers_known", Routers(now));
+  mContext.mCounters.Set("routers_known", RouterCount(now));
 }
 
-int SyncService::Routers(Millis aNow) {
+int SyncService::RouterCount(Millis aNow) {
   // After a start many tell two controls within moments, and count twice: with
   // 66 for 35 each let in half of what it could, and refused 48.
-  const bool starting = aNow - mStartedAt < kRoutersBefore;
-  return starting && mBefore.mRouters > 0
-             ? mBefore.mRouters
+  const bool isStarting = aNow - mStartedAt < kPreviousRunWindow;
+  return isStarting && mPreviousRun.mRouters > 0
+             ? mPreviousRun.mRouters
              : std::max(1, mLoads.AllRouters(aNow));
 }
 
-void SyncService::AddLoads(const SyncQuestion& aQuestion, SyncAnswer& aAnswer) {
+void SyncService::AddLoads(const SyncQuestion& aRequest, SyncAnswer& aAnswer) {
   const Millis now = SteadyNow();
-  const bool fromControl = !aQuestion.mControl.mId.empty();
-  if (!fromControl && aQuestion.mTellsLoads == 0) {
+  const bool fromControl = !aRequest.mControl.mId.empty();
+  if (!fromControl && aRequest.mTellsLoads == 0) {
     return;
   }
   const ZoneHook zoneOf = [this](const std::string& aInstance) {
@@ -185,21 +186,21 @@
   };
   const PackedLoads& loads =
       fromControl ? mLoads.PackedLocal(now)
-                  : mLoads.PackedSum(aQuestion.mZone, zoneOf, now);
+                  : mLoads.PackedSum(aRequest.mZone, zoneOf, now);
   aAnswer.mLoadsNumber = loads.mSequence;
   aAnswer.mLoadsAgo = now - loads.mBuiltAt;
-  const bool known =
-      aQuestion.mKnows == mLife && aQuestion.mKnowsLoads == loads.mSequence;
+  const bool known = aRequest.mKnows == mIncarnation &&
+                     aRequest.mKnowsLoads == loads.mSequence;
   if (!known) {
     aAnswer.mPackedLoads = loads.mText;
   }
   if (!fromControl) {
-    aAnswer.mSummedLoads = mLoads.IncludedSequence(aQuestion.mProcess);
+    aAnswer.mSummedLoads = mLoads.IncludedSequence(aRequest.mProcess);
   }
 }
 
-void SyncService::TakeCrashes(const std::vector<Json::Value>& aRows,
-                              const std::string& aBy) {
+void SyncService::MergeCrashes(const std::vector<Json::Value>& aRows,
+                               const std::string& aBy) {
   const Millis now = SteadyNow();
   for (const CrashRecord& record :
        ReadCrashes(aRows, mContext.mBadWords.At("crashes"))) {
@@ -218,153 +219,157 @@
   mCrashStore.Save(mCrashes, now);
 }
 
-void SyncService::AddCrashes(const SyncQuestion& aQuestion,
+void SyncService::AddCrashes(const SyncQuestion& aRequest,
                              SyncAnswer& aAnswer) {
-  const bool fromControl = !aQuestion.mControl.mId.empty();
+  const bool fromControl = !aRequest.mControl.mId.empty();
   const std::int64_t known =
-      aQuestion.mKnows == mLife ? aQuestion.mKnowsCrashes : 0;
-  const CrashLedger::Changes changes =
-      mCrashes.ChangesSince(known, !fromControl, kMostCrashes, SteadyNow());
+      aRequest.mKnows == mIncarnation ? aRequest.mKnowsCrashes : 0;
+  const CrashLedger::Changes changes = mCrashes.ChangesSince(
+      known, !fromControl, kMaxCrashesPerAnswer, SteadyNow());
   aAnswer.mCrashes = WriteRows(changes.mRecords);
   aAnswer.mCrashRevision = changes.mUpToRevision;
 }
 
-void SyncService::ConfirmOwn(Millis aNow) {
+void SyncService::UpdateLocalConfirmation(Millis aNow) {
   const Millis confirmed = mLog.Raft().ConfirmedAt();
   if (confirmed >= 0) {
     mConfirmation.Update(Traffic().mVersion, aNow, aNow - confirmed);
   }
 }
 
-void SyncService::Remember(const SyncQuestion& aQuestion) {
+void SyncService::RecordPoller(const SyncQuestion& aRequest) {
   const Millis now = SteadyNow();
-  if (!aQuestion.mControl.mId.empty()) {
-    mDirectory.OnSeen(aQuestion.mControl, now);
+  if (!aRequest.mControl.mId.empty()) {
+    mDirectory.OnSeen(aRequest.mControl, now);
     return;
   }
-  TakeCrashes(aQuestion.mCrashes, aQuestion.mProcess);
-  mAskedAt[aQuestion.mProcess] = now;
-  mUpstreams.Asked(aQuestion);
-  std::erase_if(mAskedAt, [now](const auto& aItem) {
-    return now - aItem.second > kAskerKept;
+  MergeCrashes(aRequest.mCrashes, aRequest.mProcess);
+  mPolledAt[aRequest.mProcess] = now;
+  mUpstreams.OnPolled(aRequest);
+  std::erase_if(mPolledAt, [now](const auto& aItem) {
+    return now - aItem.second > kPollerRetention;
   });
-  if (aQuestion.mTellsLoads > 0) {
+  if (aRequest.mTellsLoads > 0) {
     mLoads.OnRouterReport(
-        aQuestion.mProcess, aQuestion.mTellsLoads,
-        UsableRows(aQuestion.mLoads, mContext.mBadWords.At("loads")).ToShares(),
+        aRequest.mProcess, aRequest.mTellsLoads,
+        UsableRows(aRequest.mLoads, mContext.mBadWords.At("loads")).ToShares(),
         now);
   }
 }
 
 std::set<std::string> SyncService::Unreachable() {
-  return mLoads.UnreachableUpstreams(kWitnesses, SteadyNow());
+  return mLoads.UnreachableUpstreams(kMinUnreachableReporters, SteadyNow());
 }
 
-bool SyncService::CutOff() const {
+bool SyncService::IsCutOff() const {
   const Millis now = SteadyNow();
   std::size_t heard = 1;
-  for (const auto& [address, source] : mSources) {
-    heard += source.mHeardAt > 0 && now - source.mHeardAt < kContact ? 1 : 0;
+  for (const auto& [address, peer] : mPeerControls) {
+    heard += peer.mLastSeenAt > 0 && now - peer.mLastSeenAt < kContactTimeout
+                 ? 1
+                 : 0;
   }
   return heard * 2 <= mLog.Raft().Voters().size();
 }
 
-std::vector<std::string> SyncService::Hears() const {
+std::vector<std::string> SyncService::ReachableControls() const {
   const Millis now = SteadyNow();
   std::vector<std::string> ids;
-  for (const auto& [address, source] : mSources) {
-    if (source.mHeardAt > 0 && now - source.mHeardAt < kContact) {
-      ids.push_back(source.mId);
+  for (const auto& [address, peer] : mPeerControls) {
+    if (peer.mLastSeenAt > 0 && now - peer.mLastSeenAt < kContactTimeout) {
+      ids.push_back(peer.mId);
     }
   }
   return ids;
 }
 
-void SyncService::AskOthers() {
-  if (!CutOff()) {
+void SyncService::PollControls() {
+  if (!IsCutOff()) {
     mUpstreams.Expire();
   }
   const Endpoint own = mContext.mOptions.mRpcListen;
   for (const Endpoint& address : mDirectory.Addresses(SteadyNow())) {
     if (address != own) {
-      Ask(address);
+      Poll(address);
     }
   }
 }
 
-std::string SyncService::LeaderHeardOf() const {
-  return SteadyNow() - mToldLeaderAt < kContact ? mToldLeader : "";
+std::string SyncService::ReportedLeader() const {
+  return SteadyNow() - mLeaderReportedAt < kContactTimeout ? mReportedLeader
+                                                           : "";
 }
 
-void SyncService::AskLeader() {
+void SyncService::PollLeader() {
   const std::string& leader = mLog.Raft().Leader();
   if (!leader.empty() && leader != mContext.mOptions.mId) {
-    Ask(AddressOfControl(leader));
+    Poll(AddressOfControl(leader));
   }
 }
 
-void SyncService::Ask(const Endpoint& aAddress) {
-  Source& source = mSources[aAddress.Text()];
-  if (source.mAsking) {
+void SyncService::Poll(const Endpoint& aAddress) {
+  PeerControl& peer = mPeerControls[aAddress.Text()];
+  if (peer.mPolling) {
     return;
   }
-  source.mAsking = true;
-  SyncQuestion question;
-  question.mProcess = mContext.mOptions.mId;
-  question.mZone = mContext.mOptions.mZone;
-  question.mControl = Self();
-  question.mHears = Hears();
-  question.mKnows = source.mLife;
-  question.mRevision = source.mRevision;
-  question.mKnowsLoads = source.mLoadsNumber;
-  question.mKnowsCrashes = source.mCrashRevision;
-  question.mConfiguration = Traffic().mVersion;
-  const Millis askedAt = SteadyNow();
-  mContext.mRpc.Call(aAddress, rpc_method::kSync, ToJson(question), kAskTimeout,
-                     [this, aAddress, askedAt](const RpcResult& aResult) {
-                       mSources[aAddress.Text()].mAsking = false;
+  peer.mPolling = true;
+  SyncQuestion request;
+  request.mProcess = mContext.mOptions.mId;
+  request.mZone = mContext.mOptions.mZone;
+  request.mControl = Self();
+  request.mHears = ReachableControls();
+  request.mKnows = peer.mIncarnation;
+  request.mRevision = peer.mRevision;
+  request.mKnowsLoads = peer.mLoadsSequence;
+  request.mKnowsCrashes = peer.mCrashRevision;
+  request.mConfiguration = Traffic().mVersion;
+  const Millis polledAt = SteadyNow();
+  mContext.mRpc.Call(aAddress, rpc_method::kSync, ToJson(request), kPollTimeout,
+                     [this, aAddress, polledAt](const RpcResult& aResult) {
+                       mPeerControls[aAddress.Text()].mPolling = false;
                        if (aResult.mOk) {
-                         Take(aAddress, FromJson<SyncAnswer>(aResult.mAnswer),
-                              askedAt);
+                         ApplyAnswer(aAddress,
+                                     FromJson<SyncAnswer>(aResult.mAnswer),
+                                     polledAt);
                        }
                      });
 }
 
-void SyncService::Take(const Endpoint& aAddress, const SyncAnswer& aAnswer,
-                       Millis aAskedAt) {
+void SyncService::ApplyAnswer(const Endpoint& aAddress,
+                              const SyncAnswer& aAnswer, Millis aPolledAt) {
   const Millis now = SteadyNow();
-  Source& source = mSources[aAddress.Text()];
-  const bool sameLife = source.mLife == aAnswer.mLife;
-  source.mLife = aAnswer.mLife;
-  source.mRevision = aAnswer.mRevision;
-  source.mHeardAt = now;
-  source.mId = aAnswer.mSelf.mId;
-  if (!aAnswer.mLeader.empty() && aAnswer.mTerm >= mToldTerm) {
-    mToldLeader = aAnswer.mLeader;
-    mToldTerm = aAnswer.mTerm;
-    mToldLeaderAt = now;
+  PeerControl& peer = mPeerControls[aAddress.Text()];
+  const bool sameIncarnation = peer.mIncarnation == aAnswer.mLife;
+  peer.mIncarnation = aAnswer.mLife;
+  peer.mRevision = aAnswer.mRevision;
+  peer.mLastSeenAt = now;
+  peer.mId = aAnswer.mSelf.mId;
+  if (!aAnswer.mLeader.empty() && aAnswer.mTerm >= mReportedTerm) {
+    mReportedLeader = aAnswer.mLeader;
+    mReportedTerm = aAnswer.mTerm;
+    mLeaderReportedAt = now;
   }
-  mConfirmation.Update(aAnswer.mConfirmedVersion, aAskedAt,
+  mConfirmation.Update(aAnswer.mConfirmedVersion, aPolledAt,
                        aAnswer.mConfirmedAgo);
-  if (aAnswer.mLoadsNumber == source.mLoadsNumber && sameLife) {
+  if (aAnswer.mLoadsNumber == peer.mLoadsSequence && sameIncarnation) {
     mLoads.OnControlUnchanged(aAddress.Text(), aAnswer.mOwnRouters, now);
   } else {
     mLoads.OnControlReport(
         aAddress.Text(),
         mContext.mBadWords.Loads("loads", aAnswer.mPackedLoads),
         aAnswer.mOwnRouters, now);
-    source.mLoadsNumber = aAnswer.mLoadsNumber;
+    peer.mLoadsSequence = aAnswer.mLoadsNumber;
   }
   mDirectory.OnSeen(aAnswer.mSelf, now);
   for (const ControlInfo& info : aAnswer.mControls) {
     mDirectory.OnSeen(info, now);
   }
-  mUpstreams.Take(aAnswer, source.mId);
-  source.mCrashRevision = aAnswer.mCrashRevision;
-  TakeCrashes(aAnswer.mCrashes, source.mId);
+  mUpstreams.ApplyAnswer(aAnswer, peer.mId);
+  peer.mCrashRevision = aAnswer.mCrashRevision;
+  MergeCrashes(aAnswer.mCrashes, peer.mId);
 }
 
-void SyncService::KeepUpstreams() {
+void SyncService::SaveState() {
   mCrashes.RemoveExpired(SteadyNow());
   mCrashStore.Save(mCrashes, SteadyNow());
   // Disks hang for seconds at times. A leader does without the file, so that
@@ -372,21 +377,21 @@
   if (!mLog.Raft().Leads() || mLog.Raft().Voters().size() == 1) {
     const Millis now = SteadyNow();
     mUpstreams.Save();
-    mStamp.Save(Routers(now), WallNow(), now);
+    mStamp.Save(RouterCount(now), WallNow(), now);
   }
 }
 
-void SyncService::StepVoters() {
+void SyncService::UpdateVoters() {
   if (!mLog.Raft().Leads()) {
     return;
   }
-  VoterPlanInput question;
-  question.mSelf = mContext.mOptions.mId;
-  question.mVoters = mLog.Raft().Voters();
-  question.mDirectory = &mDirectory;
-  question.mNow = SteadyNow();
-  const std::vector<std::string> next = NextVoters(question);
-  if (next == question.mVoters || !mLog.ChangeVoters(next)) {
+  VoterPlanInput request;
+  request.mSelf = mContext.mOptions.mId;
+  request.mVoters = mLog.Raft().Voters();
+  request.mDirectory = &mDirectory;
+  request.mNow = SteadyNow();
+  const std::vector<std::string> next = NextVoters(request);
+  if (next == request.mVoters || !mLog.ChangeVoters(next)) {
     return;
   }
   Json::Value list(Json::arrayValue);
--- a/daemons/control/sync_service.h
+++ b/daemons/control/sync_service.h
@@ -32,7 +32,7 @@
   const ControlDirectory& Directory() const { return mDirectory; }
   /// Who leads, by what the other controls said lately; empty: not known. For
   /// one that is no voter, which no leader speaks to.
-  std::string LeaderHeardOf() const;
+  std::string ReportedLeader() const;
   /// The configuration in force here; version 0: none yet.
   const TrafficConfiguration& Traffic();
   /// Sets the seeds anew.
@@ -44,71 +44,72 @@
 
  private:
   /// How much of another control's registry is known.
-  struct Source {
-    std::string mLife;
+  struct PeerControl {
+    std::string mIncarnation;
     std::int64_t mRevision = 0;
-    std::int64_t mLoadsNumber = 0;    ///< Of its routers' loads, heard last.
+    std::int64_t mLoadsSequence = 0;  ///< Of its routers' loads, heard last.
     std::int64_t mCrashRevision = 0;  ///< Of its crash ledger, known so far.
-    bool mAsking = false;
-    Millis mHeardAt = 0;
+    bool mPolling = false;
+    Millis mLastSeenAt = 0;
     std::string mId;  ///< Of the control that answered last.
   };
 
-  SyncAnswer Answer(const SyncQuestion& aQuestion);
-  void Remember(const SyncQuestion& aQuestion);
-  void AskOthers();
+  SyncAnswer Answer(const SyncQuestion& aRequest);
+  void RecordPoller(const SyncQuestion& aRequest);
+  void PollControls();
   /// The ids of controls that answered lately.
-  std::vector<std::string> Hears() const;
-  void Ask(const Endpoint& aAddress);
+  std::vector<std::string> ReachableControls() const;
+  void Poll(const Endpoint& aAddress);
   /// A leader may promise since now: what it confirms is asked for at once.
-  /// With the next question to all, routers of other zones had a lease up to
+  /// With the next request to all, routers of other zones had a lease up to
   /// 0.3 s later.
-  void AskLeader();
-  void Take(const Endpoint& aAddress, const SyncAnswer& aAnswer,
-            Millis aAskedAt);
+  void PollLeader();
+  void ApplyAnswer(const Endpoint& aAddress, const SyncAnswer& aAnswer,
+                   Millis aPolledAt);
   /// Takes what this control itself confirmed, where it leads.
-  void ConfirmOwn(Millis aNow);
-  void StepVoters();
-  void KeepUpstreams();
+  void UpdateLocalConfirmation(Millis aNow);
+  void UpdateVoters();
+  void SaveState();
   /// Whether most of control cannot be heard: then it is this process that
   /// is cut off, and the silence of upstreams says nothing of them.
-  bool CutOff() const;
+  bool IsCutOff() const;
   /// Whether another control is told now which there are.
-  bool IsToldControls(const SyncQuestion& aQuestion, Millis aNow);
+  bool SendsControlsTo(const SyncQuestion& aRequest, Millis aNow);
   /// Routers that there are, as far as is known.
-  int Routers(Millis aNow);
-  void AddLoads(const SyncQuestion& aQuestion, SyncAnswer& aAnswer);
+  int RouterCount(Millis aNow);
+  void AddLoads(const SyncQuestion& aRequest, SyncAnswer& aAnswer);
   /// Takes records of crashes; those that newly bar a request are kept on disk.
-  void TakeCrashes(const std::vector<Json::Value>& aRows,
-                   const std::string& aBy);
-  void AddCrashes(const SyncQuestion& aQuestion, SyncAnswer& aAnswer);
+  void MergeCrashes(const std::vector<Json::Value>& aRows,
+                    const std::string& aBy);
+  void AddCrashes(const SyncQuestion& aRequest, SyncAnswer& aAnswer);
   ControlInfo Self() const;
 
   ControlContext& mContext;
   ReplicatedConfiguration& mLog;
-  std::string mLife;
-  std::map<std::string, Millis> mControlsToldAt;  ///< By the id of who asked.
+  std::string mIncarnation;
+  std::map<std::string, Millis> mControlsSentAt;  ///< By the id of who asked.
   ControlDirectory mDirectory;
   TrafficHistory mTraffic;
   /// The newest that was committed and that nobody has asked for yet. A start
   /// commits the whole log at once: reading each of 118 versions of 600 routes
   /// took a new leader 2.7 s of its 0.15 cores, and the newest alone counts.
-  std::optional<PublishedDocument> mUnread;
-  std::map<std::string, Millis> mAskedAt;  ///< By router.
+  std::optional<PublishedDocument> mUnparsed;
+  std::map<std::string, Millis> mPolledAt;  ///< By router.
   NewestConfirmation mConfirmation;
   StartStamp mStamp;
-  StartFacts mBefore;  ///< Of the last start; used until routers have asked.
+  PreviousRun
+      mPreviousRun;  ///< Of the last start; used until routers have asked.
   Millis mStartedAt;
   UpstreamIntake mUpstreams;
-  AnswerParts mParts;
+  AnswerSizeMeter mAnswerSizes;
   LoadAggregator mLoads{LoadAggregatorOptions{}};
   CrashLedger mCrashes;
   CrashStore mCrashStore;
-  std::map<std::string, Source> mSources;  ///< By address.
-  std::string mToldLeader;                 ///< Of the newest term told.
-  std::int64_t mToldTerm = 0;
-  Millis mToldLeaderAt = 0;
-  std::unique_ptr<Timer> mAskTimer;
+  std::map<std::string, PeerControl> mPeerControls;  ///< By address.
+  std::string mReportedLeader;  ///< Of the newest term told.
+  std::int64_t mReportedTerm = 0;
+  Millis mLeaderReportedAt = 0;
+  std::unique_ptr<Timer> mPollTimer;
   std::unique_ptr<Timer> mStepTimer;
 };
 
--- a/daemons/control/upstream_intake.cpp
+++ b/daemons/control/upstream_intake.cpp
@@ -11,16 +11,16 @@
 namespace {
 
 /// Heartbeats that may be missed before an upstream counts as silent.
-constexpr int kMissedBeats = 3;
+constexpr int kMaxMissedHeartbeats = 3;
 /// And for this long more where routers take heartbeats: one that is lost is
 /// noticed after a second, its upstreams call again within another, and what is
 /// heard comes with the next question.
-constexpr Millis kTakerLost = 2400;
+constexpr Millis kCollectorLossDelay = 2400;
 /// News of a leaving upstream is acknowledged after this time even where no
 /// other control has it.
-constexpr Millis kTellTimeout = 500;
-/// Controls that were heard within this time are told at once.
-constexpr Millis kToldWithin = 2500;
+constexpr Millis kNotifyTimeout = 500;
+/// Controls that were heard within this time are notified at once.
+constexpr Millis kNotifyWindow = 2500;
 
 void LogChanged(const char* aEvent, const UpstreamRecord& aRecord) {
   LogLine(LogLevel::kInfo, aEvent)
@@ -43,7 +43,7 @@
       mDirectory(aDirectory),
       mKnowsService(std::move(aKnowsService)),
       mStore(aContext.mOptions.mData + "/upstreams"),
-      mTakers({.mMaxLocalHeartbeats = aContext.mOptions.mOwnBeats}) {
+      mCollectorChoice({.mMaxLocalHeartbeats = aContext.mOptions.mOwnBeats}) {
   if (aRestores) {
     Restore();
   }
@@ -53,7 +53,7 @@
   });
   mContext.mDispatcher.On(rpc_method::kNotice,
                           [this](const Json::Value& aMessage) {
-                            TakeNotice(FromJson<UpstreamNotice>(aMessage));
+                            OnNotice(FromJson<UpstreamNotice>(aMessage));
                             return Json::Value(Json::objectValue);
                           });
 }
@@ -65,32 +65,33 @@
       .Add("count", static_cast<int>(count));
 }
 
-void UpstreamIntake::TakeNotice(const UpstreamNotice& aNotice) {
+void UpstreamIntake::OnNotice(const UpstreamNotice& aNotice) {
   for (const UpstreamRecord& record : ReadRows<UpstreamRecord>(
            aNotice.mUpstreams, mContext.mBadWords.At("news"))) {
     mRegistry.Merge(record, SteadyNow());
   }
 }
 
-void UpstreamIntake::Asked(const SyncQuestion& aQuestion) {
+void UpstreamIntake::OnPolled(const SyncQuestion& aRequest) {
   const Millis now = SteadyNow();
-  mTakers.OnPolled(aQuestion.mProcess, aQuestion.mZone, aQuestion.mTakesAt,
-                   now);
-  if (!aQuestion.mTakenUpstreams.empty()) {
+  mCollectorChoice.OnPolled(aRequest.mProcess, aRequest.mZone,
+                            aRequest.mTakesAt, now);
+  if (!aRequest.mTakenUpstreams.empty()) {
     for (const UpstreamRecord& record :
-         mContext.mBadWords.Unpack("news", aQuestion.mTakenUpstreams)) {
+         mContext.mBadWords.Unpack("news", aRequest.mTakenUpstreams)) {
       if (mRegistry.Merge(record, now)) {
         LogChanged("upstream_changed", record);
       }
     }
   }
-  for (const UpstreamHeartbeat& beat :
-       mContext.mBadWords.Beats("news", aQuestion.mTakenBeats)) {
-    mRegistry.MergeHeartbeat(beat, now);
+  for (const UpstreamHeartbeat& heartbeat :
+       mContext.mBadWords.Beats("news", aRequest.mTakenBeats)) {
+    mRegistry.MergeHeartbeat(heartbeat, now);
   }
 }
 
-void UpstreamIntake::Take(const SyncAnswer& aAnswer, const std::string& aBy) {
+void UpstreamIntake::ApplyAnswer(const SyncAnswer& aAnswer,
+                                 const std::string& aBy) {
   const Millis now = SteadyNow();
   for (const UpstreamUpdate& news : aAnswer.mNewsOfUpstreams) {
     for (const UpstreamRecord& record :
@@ -98,46 +99,47 @@
       mRegistry.Merge(record, now, aBy);
     }
   }
-  for (const UpstreamHeartbeat& beat :
+  for (const UpstreamHeartbeat& heartbeat :
        mContext.mBadWords.Beats("news", aAnswer.mBeats)) {
-    mRegistry.MergeHeartbeat(beat, now, aBy);
+    mRegistry.MergeHeartbeat(heartbeat, now, aBy);
   }
 }
 
-void UpstreamIntake::Answer(const SyncQuestion& aQuestion,
-                            const std::string& aLife, SyncAnswer& aAnswer) {
+void UpstreamIntake::Answer(const SyncQuestion& aRequest,
+                            const std::string& aIncarnation,
+                            SyncAnswer& aAnswer) {
   const Millis now = SteadyNow();
   const std::int64_t known =
-      aQuestion.mKnows == aLife ? aQuestion.mRevision : 0;
-  const bool fromControl = !aQuestion.mControl.mId.empty();
-  const PollingRouter asker{.mIsNearest = aQuestion.mTellsLoads > 0,
-                            .mNearestAnswers = aQuestion.mHearsNear};
+      aRequest.mKnows == aIncarnation ? aRequest.mRevision : 0;
+  const bool fromControl = !aRequest.mControl.mId.empty();
+  const PollingRouter poller{.mIsNearest = aRequest.mTellsLoads > 0,
+                             .mNearestAnswers = aRequest.mHearsNear};
   FeedUpdates feed{.mUpdates = {}, .mRevision = known};
-  if (fromControl || SendsUpstreamChanges(asker, mRegistry.Size())) {
+  if (fromControl || SendsUpstreamChanges(poller, mRegistry.Size())) {
     feed = mFeed.UpdatesSince(mRegistry, known, now);
   }
   aAnswer.mRevision = feed.mRevision;
   aAnswer.mNewsOfUpstreams = std::move(feed.mUpdates);
   if (fromControl) {
-    const std::set<std::string> hears(aQuestion.mHears.begin(),
-                                      aQuestion.mHears.end());
+    const std::set<std::string> hears(aRequest.mHears.begin(),
+                                      aRequest.mHears.end());
     aAnswer.mBeats = ToJson(HeartbeatTable::Of(
         mRegistry.HeartbeatsSince(known, feed.mRevision, now, hears)));
   }
-  const std::vector<SilentUpstream> silent = ReadRows<SilentUpstream>(
-      aQuestion.mSilent, mContext.mBadWords.At("news"));
+  const std::vector<SilentUpstream> silent =
+      ReadRows<SilentUpstream>(aRequest.mSilent, mContext.mBadWords.At("news"));
   aAnswer.mNotSilent =
-      WriteRows(mRegistry.SeenLaterThan(silent, SilentAfter(), now));
+      WriteRows(mRegistry.SeenLaterThan(silent, SilenceTimeout(), now));
 }
 
-Millis UpstreamIntake::SilentAfter() const {
-  return kMissedBeats * mContext.mOptions.mHeartbeatInterval +
-         (mTakers.Delegates(SteadyNow()) ? kTakerLost : 0);
+Millis UpstreamIntake::SilenceTimeout() const {
+  return kMaxMissedHeartbeats * mContext.mOptions.mHeartbeatInterval +
+         (mCollectorChoice.Delegates(SteadyNow()) ? kCollectorLossDelay : 0);
 }
 
 void UpstreamIntake::Expire() {
   for (const UpstreamRecord& record :
-       mRegistry.Expire(SilentAfter(), SteadyNow())) {
+       mRegistry.Expire(SilenceTimeout(), SteadyNow())) {
     LogLine(LogLevel::kInfo, "upstream_silent")
         .Add("instance", record.mInstance)
         .Add("address", record.mAddress)
@@ -146,12 +148,13 @@
   }
 }
 
-void UpstreamIntake::Beat(const UpstreamRecord& aRecord,
-                          const BeatDone& aDone) {
+void UpstreamIntake::OnHeartbeat(const UpstreamRecord& aRecord,
+                                 const BeatDone& aDone) {
   const UpstreamRecord* before = mRegistry.Find(aRecord.mInstance);
-  const bool strange = before == nullptr && !IsLeavingOrGone(aRecord.mState) &&
-                       !mKnowsService(aRecord.mService);
-  if (strange) {
+  const bool isUnknown = before == nullptr &&
+                         !IsLeavingOrGone(aRecord.mState) &&
+                         !mKnowsService(aRecord.mService);
+  if (isUnknown) {
     throw Error(ResultCode::kUnknownService, aRecord.mService);
   }
   const bool leaves = aRecord.mState == UpstreamState::kLeaving &&
@@ -162,15 +165,15 @@
   }
   if (!leaves) {
     aDone({.mAccepted = true,
-           .mLaterAt = mTakers.OnHeartbeat(aRecord.mInstance, aRecord.mZone,
-                                           SteadyNow())});
+           .mLaterAt = mCollectorChoice.OnHeartbeat(
+               aRecord.mInstance, aRecord.mZone, SteadyNow())});
     return;
   }
-  Tell(aRecord.mInstance, aDone);
+  NotifyControls(aRecord.mInstance, aDone);
 }
 
-void UpstreamIntake::Leave(const std::string& aInstance, const BeatDone& aDone,
-                           std::int64_t aStart) {
+void UpstreamIntake::ApplyLeave(const std::string& aInstance,
+                                const BeatDone& aDone, std::int64_t aStart) {
   const LeaveOutcome outcome =
       mRegistry.ApplyLeave(aInstance, SteadyNow(), aStart);
   if (outcome == LeaveOutcome::kInDoubt) {
@@ -185,10 +188,11 @@
   LogLine(LogLevel::kInfo, "upstream_gone")
       .Add("instance", aInstance)
       .Add("start", static_cast<Json::Int64>(aStart));
-  Tell(aInstance, aDone);
+  NotifyControls(aInstance, aDone);
 }
 
-void UpstreamIntake::Tell(const std::string& aInstance, const BeatDone& aDone) {
+void UpstreamIntake::NotifyControls(const std::string& aInstance,
+                                    const BeatDone& aDone) {
   const UpstreamRecord* record = mRegistry.Find(aInstance);
   const auto done = std::make_shared<BeatDone>(aDone);
   const auto finish = [done] {
@@ -198,28 +202,28 @@
       call({});
     }
   };
-  bool told = false;
+  bool notified = false;
   for (const ControlInfo& info :
-       mDirectory.SeenWithin(kToldWithin, SteadyNow())) {
+       mDirectory.SeenWithin(kNotifyWindow, SteadyNow())) {
     if (info.mId == mContext.mOptions.mId) {
       continue;
     }
-    told = true;
+    notified = true;
     mContext.mRpc.Call(
         AddressOfControl(info.mId), rpc_method::kNotice,
         ToJson(UpstreamNotice{WriteRows<UpstreamRecord>({*record})}),
-        kTellTimeout, [finish](const RpcResult& aResult) {
+        kNotifyTimeout, [finish](const RpcResult& aResult) {
           if (aResult.mOk) {
             finish();
           }
         });
   }
-  if (!told) {
+  if (!notified) {
     finish();
     return;
   }
   const auto timer = std::make_shared<std::unique_ptr<Timer>>();
-  *timer = mContext.mLoop.After(kTellTimeout, [finish, timer] {
+  *timer = mContext.mLoop.After(kNotifyTimeout, [finish, timer] {
     finish();
     timer->reset();
   });
--- a/daemons/control/upstream_store.cpp
+++ b/daemons/control/upstream_store.cpp
@@ -10,15 +10,15 @@
 
 namespace {
 
-constexpr Millis kSaveEvery = 2000;
-constexpr char kAfterDigest = ' ';
+constexpr Millis kSaveInterval = 2000;
+constexpr char kDigestSeparator = ' ';
 
 std::string DigestOf(std::string_view aText) {
   return std::to_string(FastHash(aText));
 }
 
 /// Only those that may be used; whoever leaves is not brought back.
-std::vector<UpstreamRecord> ReadyOf(const UpstreamRegistry& aRegistry) {
+std::vector<UpstreamRecord> ReadyUpstreams(const UpstreamRegistry& aRegistry) {
   std::vector<UpstreamRecord> ready;
   for (const UpstreamRecord* record : aRegistry.OfService("")) {
     if (record->mState == UpstreamState::kReady) {
@@ -31,17 +31,17 @@
 }  // namespace
 
 std::size_t UpstreamStore::Load(UpstreamRegistry& aRegistry, Millis aNow,
-                                const InvalidRowHook& aOnBad) const {
-  const std::string kept = ReadFile(mPath).value_or("");
-  const std::size_t n = kept.find(kAfterDigest);
+                                const InvalidRowHook& aOnInvalidRow) const {
+  const std::string stored = ReadFile(mPath).value_or("");
+  const std::size_t n = stored.find(kDigestSeparator);
   if (n == std::string::npos ||
-      kept.substr(0, n) != DigestOf(std::string_view(kept).substr(n + 1))) {
+      stored.substr(0, n) != DigestOf(std::string_view(stored).substr(n + 1))) {
     return 0;
   }
   std::size_t count = 0;
   try {
-    for (const UpstreamRecord& record :
-         UnpackUpstreams(std::string_view(kept).substr(n + 1), aOnBad)) {
+    for (const UpstreamRecord& record : UnpackUpstreams(
+             std::string_view(stored).substr(n + 1), aOnInvalidRow)) {
       aRegistry.Merge(record, aNow);
       count++;
     }
@@ -55,15 +55,15 @@
 }
 
 void UpstreamStore::Save(const UpstreamRegistry& aRegistry, Millis aNow) {
-  const bool due = mTriedAt < 0 || aNow - mTriedAt >= kSaveEvery;
-  if (!due || aRegistry.LastChangeRevision() == mSaved) {
+  const bool due = mLastAttemptAt < 0 || aNow - mLastAttemptAt >= kSaveInterval;
+  if (!due || aRegistry.LastChangeRevision() == mSavedRevision) {
     return;
   }
-  mTriedAt = aNow;
-  const std::string text = PackUpstreams(ReadyOf(aRegistry));
+  mLastAttemptAt = aNow;
+  const std::string text = PackUpstreams(ReadyUpstreams(aRegistry));
   try {
-    ReplaceFile(mPath, DigestOf(text) + kAfterDigest + text);
-    mSaved = aRegistry.LastChangeRevision();
+    ReplaceFile(mPath, DigestOf(text) + kDigestSeparator + text);
+    mSavedRevision = aRegistry.LastChangeRevision();
   } catch (const Error& error) {
     LogLine(LogLevel::kWarning, "upstreams_not_kept")
         .Add("code", static_cast<int>(error.Code()))
--- a/daemons/control/upstream_store.h
+++ b/daemons/control/upstream_store.h
@@ -22,15 +22,15 @@
   /// nothing, and a row that cannot be used is left out. Returns how many
   /// upstreams that were.
   std::size_t Load(UpstreamRegistry& aRegistry, Millis aNow,
-                   const InvalidRowHook& aOnBad = {}) const;
+                   const InvalidRowHook& aOnInvalidRow = {}) const;
   /// Writes the file where the registry changed since, at most each two
   /// seconds. A disk that refuses is tried again then.
   void Save(const UpstreamRegistry& aRegistry, Millis aNow);
 
  private:
   std::string mPath;
-  std::int64_t mSaved = 0;  ///< The change that the file has.
-  Millis mTriedAt = -1;
+  std::int64_t mSavedRevision = 0;  ///< The change that the file has.
+  Millis mLastAttemptAt = -1;
 };
 
 }  // namespace spindleweir
--- a/tests/daemons/incarnation_test.cpp
+++ b/tests/daemons/incarnation_test.cpp
@@ -12,8 +12,8 @@
 constexpr std::int64_t kFirstStart = 1790000000000;
 constexpr std::int64_t kNextStart = kFirstStart + 60000;
 
-UpstreamRecord WordOf(const ScriptedUpstream& aUpstream, std::int64_t aStart,
-                      std::int64_t aSequence) {
+UpstreamRecord HeartbeatOf(const ScriptedUpstream& aUpstream,
+                           std::int64_t aStart, std::int64_t aSequence) {
   return {.mInstance = aUpstream.Instance(),
           .mStart = aStart,
           .mService = "counter",
@@ -23,9 +23,10 @@
           .mSequence = aSequence};
 }
 
-UpstreamRecord EngineWord(const ScriptedUpstream& aEngine, std::int64_t aStart,
-                          std::int64_t aSequence, LayerRange aLayers) {
-  UpstreamRecord record = WordOf(aEngine, aStart, aSequence);
+UpstreamRecord EngineHeartbeatOf(const ScriptedUpstream& aEngine,
+                                 std::int64_t aStart, std::int64_t aSequence,
+                                 LayerRange aLayers) {
+  UpstreamRecord record = HeartbeatOf(aEngine, aStart, aSequence);
   record.mService = "model";
   record.mKind = "k";
   record.mLayers = aLayers;
@@ -33,7 +34,7 @@
 }
 
 /// A heartbeat as it stands, until control answers.
-BeatAnswer BeatAtControl(RelayStory& aStory, const UpstreamRecord& aRecord) {
+BeatAnswer SendHeartbeat(RelayStory& aStory, const UpstreamRecord& aRecord) {
   BeatAnswer answer;
   bool ended = false;
   aStory.mControl->Beat(aRecord, [&](const BeatAnswer& aAnswer) {
@@ -85,14 +86,14 @@
 Test(incarnation, who_left_is_used_again_after_it_started_again) {
   RelayStory story;
   story.Begin();
-  BeatAtControl(story, WordOf(story.mA, kFirstStart, 90));
-  UpstreamRecord leaving = WordOf(story.mA, kFirstStart, 91);
+  SendHeartbeat(story, HeartbeatOf(story.mA, kFirstStart, 90));
+  UpstreamRecord leaving = HeartbeatOf(story.mA, kFirstStart, 91);
   leaving.mState = UpstreamState::kLeaving;
-  BeatAtControl(story, leaving);
+  SendHeartbeat(story, leaving);
   REQUIRE(story.RunUntil([&story] { return ReadyAtRouter(story) == 1; }));
   const int before = story.mA.AllRuns();
   SECTION("counting anew it is new, and gets requests") {
-    BeatAtControl(story, WordOf(story.mA, kNextStart, 1));
+    SendHeartbeat(story, HeartbeatOf(story.mA, kNextStart, 1));
     for (int i = 0; story.mA.AllRuns() == before; i++) {
       REQUIRE(i < 200);
       CHECK(story.Call("/look/x").mStatus == 200);
@@ -101,7 +102,7 @@
   }
   SECTION("a late heartbeat of the one before does not end it") {
     leaving.mSequence = 200;
-    BeatAtControl(story, leaving);
+    SendHeartbeat(story, leaving);
     story.Wait(500);
     CHECK(ReadyAtRouter(story) == 2);
   }
@@ -129,16 +130,16 @@
 
 Test(incarnation, streams_through_the_one_before_move_at_once) {
   // Silence alone moves a stream after a second.
-  constexpr Millis kBySilence = 900;
+  constexpr Millis kSilenceMoveTime = 900;
   RelayStory story;
   story.Begin();
   story.BeginEngine(story.mA);
   std::int64_t start = kFirstStart;
-  Millis took = kBySilence;
+  Millis took = kSilenceMoveTime;
   // Another round where this machine was too slow to tell the two apart.
-  for (int round = 0; took >= kBySilence && round < 5; round++) {
-    BeatAtControl(story, EngineWord(story.mB, ++start, 1, {}));
-    BeatAtControl(story, EngineWord(story.mA, ++start, 1, {0, 8}));
+  for (int round = 0; took >= kSilenceMoveTime && round < 5; round++) {
+    SendHeartbeat(story, EngineHeartbeatOf(story.mB, ++start, 1, {}));
+    SendHeartbeat(story, EngineHeartbeatOf(story.mA, ++start, 1, {0, 8}));
     const std::int64_t seen = RestartsSeen(story);
     REQUIRE(story.RunUntil([&] { return ReadyAtRouter(story) == 2; }));
     story.Wait(600);
@@ -147,8 +148,8 @@
     story.mA.Next({UpstreamAct::kSilent});
     const OpenStream stream(story);
     REQUIRE(story.RunUntil([&] { return story.mA.AllRuns() == runsOfA + 1; }));
-    BeatAtControl(story, EngineWord(story.mB, start, 2, {0, 8}));
-    BeatAtControl(story, EngineWord(story.mA, ++start, 1, {}));
+    SendHeartbeat(story, EngineHeartbeatOf(story.mB, start, 2, {0, 8}));
+    SendHeartbeat(story, EngineHeartbeatOf(story.mA, ++start, 1, {}));
     REQUIRE(story.RunUntil([&] { return story.mB.AllRuns() == runsOfB + 1; }));
     took = SteadyNow() - stream.mBegun;
     CHECK(RestartsSeen(story) > seen);
@@ -156,21 +157,21 @@
     CHECK(stream.mStatus == 200);
     CHECK(stream.mEnd == StreamEnd::kComplete);
   }
-  CHECK(took < kBySilence);
+  CHECK(took < kSilenceMoveTime);
 }
 
 Test(incarnation, a_call_that_was_sent_to_the_one_before_is_not_sent_again) {
   RelayStory story;
   story.Begin();
-  BeatAtControl(story, WordOf(story.mA, kFirstStart, 90));
-  BeatAtControl(story, WordOf(story.mB, kFirstStart, 90));
+  SendHeartbeat(story, HeartbeatOf(story.mA, kFirstStart, 90));
+  SendHeartbeat(story, HeartbeatOf(story.mB, kFirstStart, 90));
   story.Wait(300);
   story.mA.Next({UpstreamAct::kSilent});
   story.mB.Next({UpstreamAct::kSilent});
   const int before = story.mA.AllRuns() + story.mB.AllRuns();
   const auto restart = story.mLoop.After(300, [&story] {
     for (const ScriptedUpstream* upstream : {&story.mA, &story.mB}) {
-      story.mControl->Beat(WordOf(*upstream, kNextStart, 1),
+      story.mControl->Beat(HeartbeatOf(*upstream, kNextStart, 1),
                            [](const BeatAnswer&) {});
     }
   });
@@ -185,18 +186,18 @@
 Test(incarnation, word_that_cannot_be_used_is_refused_and_counted) {
   RelayStory story;
   story.Begin();
-  UpstreamRecord strange = WordOf(story.mA, kFirstStart, 1);
-  strange.mInstance = "strange";
-  strange.mService = "nowhere";
+  UpstreamRecord unknown = HeartbeatOf(story.mA, kFirstStart, 1);
+  unknown.mInstance = "strange";
+  unknown.mService = "nowhere";
   CHECK(CodeThrownBy([&] {
-          story.mControl->Beat(strange, [](const BeatAnswer&) {});
+          story.mControl->Beat(unknown, [](const BeatAnswer&) {});
         }) == ResultCode::kUnknownService);
   CHECK(CodeThrownBy([&] {
-          story.mRouter->Beat(strange, [](const BeatAnswer&) {});
+          story.mRouter->Beat(unknown, [](const BeatAnswer&) {});
         }) == ResultCode::kUnknownService);
   SECTION("one that leaves is always heard") {
-    strange.mState = UpstreamState::kLeaving;
-    CHECK(BeatAtControl(story, strange).mAccepted);
+    unknown.mState = UpstreamState::kLeaving;
+    CHECK(SendHeartbeat(story, unknown).mAccepted);
   }
   SECTION("it counts by where it came in and why") {
     story.mControl->BadBeat("x", Error(ResultCode::kBadHeartbeat, "why"));
--- a/tests/daemons/lost_disk_test.cpp
+++ b/tests/daemons/lost_disk_test.cpp
@@ -52,7 +52,7 @@
 
   /// Asks one after the other until one has a clear answer.
   template <class Call>
-  OperatorAnswer Ask(const Call& aCall) {
+  OperatorAnswer CallUntilOk(const Call& aCall) {
     OperatorAnswer answer;
     answer.mCode = ResultCode::kNoQuorum;
     for (int i = 0; i < 400 && answer.mCode != ResultCode::kOk; i++) {
@@ -70,13 +70,14 @@
   }
 
   OperatorAnswer Publish(const std::string& aDocument) {
-    return Ask([&aDocument](JoinedControl& aControl, const auto& aDone) {
-      aControl.Publish(aDocument, aDone);
-    });
+    return CallUntilOk(
+        [&aDocument](JoinedControl& aControl, const auto& aDone) {
+          aControl.Publish(aDocument, aDone);
+        });
   }
 
   OperatorAnswer Read() {
-    return Ask([](JoinedControl& aControl, const auto& aDone) {
+    return CallUntilOk([](JoinedControl& aControl, const auto& aDone) {
       aControl.Read(aDone);
     });
   }
--- a/tests/daemons/placing_test.cpp
+++ b/tests/daemons/placing_test.cpp
@@ -11,8 +11,8 @@
 
 /// Two controls, the second of which is no voter, and many engines that note
 /// which layers they are ordered to hold.
-struct PlacingStory {
-  PlacingStory()
+struct PlacingFixture {
+  PlacingFixture()
       : mEngines(mLoop,
                  {.mListen = {"0.0.0.0", 0},
                   .mHandle =
@@ -22,7 +22,7 @@
                   .mRefuse = [](StreamExchange&, ResultCode) {}}) {
     const Endpoint first = FreeEndpoint();
     mControl = Start(first, first, "first", true);
-    mOther = Start(FreeEndpoint(), first, "other", false);
+    mNonVoter = Start(FreeEndpoint(), first, "other", false);
   }
 
   std::unique_ptr<JoinedControl> Start(const Endpoint& aListen,
@@ -77,7 +77,7 @@
   }
 
   /// Each engine sends a heartbeat now and then, and holds nothing.
-  void Beat() {
+  void SendHeartbeats() {
     mSequence++;
     for (int i = 0; i < kEngines; i++) {
       mControl->Beat({.mInstance = "i" + std::to_string(i),
@@ -96,7 +96,7 @@
   EventLoop mLoop;
   StreamServer mEngines;
   std::unique_ptr<JoinedControl> mControl;
-  std::unique_ptr<JoinedControl> mOther;
+  std::unique_ptr<JoinedControl> mNonVoter;
   int mOrders = 0;
   int mStatus = 202;
   std::int64_t mSequence = 0;
@@ -108,52 +108,55 @@
 Test(placing, many_orders_are_sent_by_all_controls_and_each_arrives) {
   // A control that is no voter knows of no term: it dropped the orders that a
   // leader handed to it, and engines stood empty for 15 s.
-  PlacingStory story;
-  story.Publish();
-  const auto beats = story.mLoop.Every(500, [&story] { story.Beat(); });
+  PlacingFixture fixture;
+  fixture.Publish();
+  const auto heartbeats =
+      fixture.mLoop.Every(500, [&fixture] { fixture.SendHeartbeats(); });
   // Within the loop's bound; an order without an effect is given again later.
-  REQUIRE(RunLoopUntil(story.mLoop,
-                       [&story] { return story.mOrders >= kEngines; }));
-  CHECK(story.mOrders == kEngines);
+  REQUIRE(RunLoopUntil(fixture.mLoop,
+                       [&fixture] { return fixture.mOrders >= kEngines; }));
+  CHECK(fixture.mOrders == kEngines);
   SECTION("the control that is no voter has sent a part of them") {
-    CHECK(story.mOther->OwnCounters().Value("orders_sent") > kEngines / 4);
-    CHECK(story.mControl->OwnCounters().Value("orders_sent") > kEngines / 4);
+    CHECK(fixture.mNonVoter->OwnCounters().Value("orders_sent") > kEngines / 4);
+    CHECK(fixture.mControl->OwnCounters().Value("orders_sent") > kEngines / 4);
   }
 }
 
 Test(placing, an_order_that_was_refused_to_another_control_is_given_again) {
-  PlacingStory story;
-  story.mStatus = 409;
-  story.Publish();
-  const auto beats = story.mLoop.Every(500, [&story] { story.Beat(); });
-  REQUIRE(RunLoopUntil(story.mLoop, [&story] {
-    return story.mOrders > kEngines + kEngines / 2;
+  PlacingFixture fixture;
+  fixture.mStatus = 409;
+  fixture.Publish();
+  const auto heartbeats =
+      fixture.mLoop.Every(500, [&fixture] { fixture.SendHeartbeats(); });
+  REQUIRE(RunLoopUntil(fixture.mLoop, [&fixture] {
+    return fixture.mOrders > kEngines + kEngines / 2;
   }));
 }
 
 Test(placing, engines_that_start_again_are_given_layers_again) {
-  // Without their starts told apart they were waited for: 15 s, 30 beats, for
-  // the effect of the orders of before. An order that nobody answered is still
-  // waited for, so that not each engine has its new one so soon.
-  constexpr int kWithin = 25;
-  PlacingStory story;
-  story.mStart = 100;
-  story.Publish();
-  int beatsSince = 0;
-  const auto beats = story.mLoop.Every(500, [&story, &beatsSince] {
-    story.Beat();
-    beatsSince++;
-  });
-  REQUIRE(RunLoopUntil(story.mLoop,
-                       [&story] { return story.mOrders >= kEngines; }));
-  story.mStart = 200;
-  story.mSequence = 0;
-  beatsSince = 0;
+  // Without their starts told apart they were waited for: 15 s, 30 heartbeats,
+  // for the effect of the orders of before. An order that nobody answered is
+  // still waited for, so that not each engine has its new one so soon.
+  constexpr int kMaxHeartbeats = 25;
+  PlacingFixture fixture;
+  fixture.mStart = 100;
+  fixture.Publish();
+  int heartbeatsSince = 0;
+  const auto heartbeats =
+      fixture.mLoop.Every(500, [&fixture, &heartbeatsSince] {
+        fixture.SendHeartbeats();
+        heartbeatsSince++;
+      });
+  REQUIRE(RunLoopUntil(fixture.mLoop,
+                       [&fixture] { return fixture.mOrders >= kEngines; }));
+  fixture.mStart = 200;
+  fixture.mSequence = 0;
+  heartbeatsSince = 0;
   constexpr int kNearlyAll = kEngines * 9 / 10;
-  REQUIRE(RunLoopUntil(story.mLoop, [&story] {
-    return story.mOrders >= kEngines + kNearlyAll;
+  REQUIRE(RunLoopUntil(fixture.mLoop, [&fixture] {
+    return fixture.mOrders >= kEngines + kNearlyAll;
   }));
-  CHECK(beatsSince < kWithin);
-  REQUIRE(RunLoopUntil(story.mLoop,
-                       [&story] { return story.mOrders >= 2 * kEngines; }));
+  CHECK(heartbeatsSince < kMaxHeartbeats);
+  REQUIRE(RunLoopUntil(fixture.mLoop,
+                       [&fixture] { return fixture.mOrders >= 2 * kEngines; }));
 }
--- a/tests/daemons/restart_test.cpp
+++ b/tests/daemons/restart_test.cpp
@@ -55,9 +55,9 @@
     CHECK(after.Find("3") == nullptr);
   }
   SECTION("one that does not report is silent after the usual time") {
-    UpstreamRecord beat = Record("1", UpstreamState::kReady);
-    beat.mSequence = 8;
-    after.ApplyHeartbeat(beat, 6000);
+    UpstreamRecord heartbeat = Record("1", UpstreamState::kReady);
+    heartbeat.mSequence = 8;
+    after.ApplyHeartbeat(heartbeat, 6000);
     CHECK(after.Expire(3600, 8601).size() == 1);
     CHECK(after.Find("2")->mState == UpstreamState::kSilent);
   }
@@ -68,9 +68,9 @@
     CHECK(after.Find("1")->mState == UpstreamState::kGone);
   }
   SECTION("it is written again only where something changed") {
-    UpstreamRecord beat = Record("1", UpstreamState::kReady);
-    beat.mSequence = 9;
-    before.ApplyHeartbeat(beat, 4000);
+    UpstreamRecord heartbeat = Record("1", UpstreamState::kReady);
+    heartbeat.mSequence = 9;
+    before.ApplyHeartbeat(heartbeat, 4000);
     std::filesystem::remove(folder.Path("upstreams"));
     store.Save(before, 9000);
     CHECK(!ReadFile(folder.Path("upstreams")).has_value());
@@ -95,17 +95,17 @@
   constexpr Millis kWall = 1700000000000;
   StartStamp stamp(folder.Path("stamp"));
   SECTION("nothing kept is nothing known") {
-    CHECK(!stamp.Load(kWall).mFresh);
+    CHECK(!stamp.Load(kWall).mUpstreamsFresh);
     CHECK(stamp.Load(kWall).mRouters == 0);
   }
   stamp.Save(83, kWall, 100);
   SECTION("one of a few seconds ago is used, also after a jump of the clock") {
-    CHECK(stamp.Load(kWall + 4000).mFresh);
-    CHECK(stamp.Load(kWall - 2000).mFresh);
+    CHECK(stamp.Load(kWall + 4000).mUpstreamsFresh);
+    CHECK(stamp.Load(kWall - 2000).mUpstreamsFresh);
     CHECK(stamp.Load(kWall + 4000).mRouters == 83);
   }
   SECTION("one of half a minute ago tells the routers only") {
-    CHECK(!stamp.Load(kWall + 30000).mFresh);
+    CHECK(!stamp.Load(kWall + 30000).mUpstreamsFresh);
     CHECK(stamp.Load(kWall + 30000).mRouters == 83);
   }
   SECTION("it is written each five seconds at most") {
@@ -116,7 +116,7 @@
   }
   SECTION("a torn one is nothing") {
     ReplaceFile(folder.Path("stamp"), "8");
-    CHECK(!stamp.Load(kWall).mFresh);
+    CHECK(!stamp.Load(kWall).mUpstreamsFresh);
   }
 }
 
@@ -243,10 +243,10 @@
   story.mA.Next(refusals);
   story.mB.Next(refusals);
   constexpr Millis kLeft = kFirst / 2;
-  const Millis begun = SteadyNow();
+  const Millis startedAt = SteadyNow();
   CHECK(story.Call("/look/x", "key", kLeft).mStatus == 503);
   CHECK(story.RunsOfLast() == 0);
   SECTION("it has a second at most, and half of that would be lost") {
-    CHECK(SteadyNow() - begun < kLeft / 4);
+    CHECK(SteadyNow() - startedAt < kLeft / 4);
   }
 }
