--- a/daemons/control/answer_parts.cpp
+++ b/daemons/control/answer_parts.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-/// Measuring an answer writes it and each of its parts anew.
+/// Measuring an answer encodes it and each of its parts once more.
 constexpr std::uint64_t kAnswersPerSample = 128;
 constexpr Millis kLogInterval = 10000;
 
-/// The answer with one part alone.
+/// Returns one answer per part, which holds that part only.
 std::map<std::string, SyncAnswer> SplitIntoParts(const SyncAnswer& aAnswer) {
   std::map<std::string, SyncAnswer> parts;
   parts["loads"].mPackedLoads = aAnswer.mPackedLoads;
--- a/daemons/control/answer_parts.h
+++ b/daemons/control/answer_parts.h
@@ -1,4 +1,4 @@
-/// Counts the parts of answers to control.sync, by who asked.
+/// Counts the bytes of each part of the answers to control.sync.
 #pragma once
 
 #include <cstdint>
@@ -12,10 +12,12 @@
 
 namespace spindleweir {
 
-/// Counter "sync_answer_bytes", by part (loads, upstreams, beats, controls,
-/// configurations, not_silent) and poller (control, near, far); a log line with
-/// the sums each 10 s. One answer of 16 is measured and counts for all:
-/// writing each a second time would take a control 0.2 ms of 0.15 cores.
+/// Adds to the counter "sync_answer_bytes", labelled by part (loads, upstreams,
+/// beats, controls, configurations, not_silent, rest) and by poller (control;
+/// near: a router that reports its loads here; far: any other router), and logs
+/// the sums every 10 s. Only one answer in kAnswersPerSample is measured, and
+/// is counted for all of them: encoding an answer a second time takes 0.2 ms on
+/// a control that has 0.15 cores.
 class AnswerSizeMeter {
  public:
   AnswerSizeMeter(EventLoop& aLoop, Counters& aCounters);
--- a/daemons/control/claim_service.cpp
+++ b/daemons/control/claim_service.cpp
@@ -12,7 +12,7 @@
 constexpr Millis kCompactInterval = 60 * 1000;
 constexpr Millis kCopyInterval = 500;
 constexpr Millis kPageTimeout = 5000;
-/// The file is written anew once it is this large and mostly dead.
+/// A file of at least this size is rewritten with the current records only.
 constexpr std::size_t kCompactBytes = 16 * 1024 * 1024;
 
 }  // namespace
@@ -42,7 +42,7 @@
       rpc_method::kClaimPage, [this](const Json::Value& aMessage) {
         return ToJson(mKeeper.Page(FromJson<ClaimPageRequest>(aMessage)));
       });
-  // A marker, since a keeper that is whole may well have no claim yet.
+  // A marker file is needed because a complete keeper may have no claims yet.
   const bool first = !mContext.mOptions.mInitialVoters.empty();
   if (first && mLog->Bytes() == 0) {
     MarkComplete();
@@ -50,7 +50,7 @@
   if (!ReadFile(MarkerPath()).has_value()) {
     mKeeper.Abstain();
     LogLine(LogLevel::kWarning, "claims_abstain")
-        .Add("why", "an empty folder, and not the first start");
+        .Add("why", "the data folder has no claims marker");
     mCopyTimer =
         mContext.mLoop.Every(kCopyInterval, [this] { CopyFromPeers(); });
   }
@@ -97,8 +97,8 @@
   mContext.mRpc.Call(keeper->mAddress, rpc_method::kClaimPage,
                      ToJson(ClaimPageRequest{aAfter}), kPageTimeout,
                      [this, aKeeper](const RpcResult& aResult) {
-                       // Of a keeper that lacks records itself, or went away,
-                       // all is asked again.
+                       // If the keeper failed or lacks records itself, the copy
+                       // starts again from its first page.
                        mPendingKeepers.erase(aKeeper);
                        if (!aResult.mOk) {
                          return;
--- a/daemons/control/claim_service.h
+++ b/daemons/control/claim_service.h
@@ -1,4 +1,4 @@
-/// The claim keeper of a control process, with its file.
+/// The claim keeper of a control process and its log file.
 #pragma once
 
 #include <memory>
@@ -11,7 +11,8 @@
 
 namespace spindleweir {
 
-/// Answers routers' claim messages; each promise is synced before it is given.
+/// Answers the claim messages of routers. Each record is synced to disk before
+/// the answer that promises it is sent.
 class ClaimService {
  public:
   explicit ClaimService(ControlContext& aContext);
@@ -20,18 +21,22 @@
   bool Abstains() const { return mKeeper.Abstains(); }
 
  private:
+  /// Removes expired records, and rewrites the file if it is large.
   void Compact();
   std::string MarkerPath() const;
+  /// Writes the marker file: this keeper lacks no records.
   void MarkComplete();
+  /// Requests the records of all other keepers; ends the abstention once each
+  /// of them has been copied.
   void CopyFromPeers();
+  /// Requests a page of a keeper's records after the key aAfter.
   void RequestPage(const std::string& aKeeper, const std::string& aAfter);
 
   ControlContext& mContext;
   std::unique_ptr<DiskLog> mLog;
   ClaimKeeper mKeeper;
-  std::set<std::string>
-      mCopiedKeepers;  ///< Keepers whose records are all here.
-  std::set<std::string> mPendingKeepers;
+  std::set<std::string> mCopiedKeepers;   ///< All records are copied.
+  std::set<std::string> mPendingKeepers;  ///< A page is requested.
   std::unique_ptr<Timer> mCopyTimer;
   std::unique_ptr<Timer> mCompactTimer;
 };
--- a/daemons/control/control_context.h
+++ b/daemons/control/control_context.h
@@ -1,4 +1,4 @@
-/// What the parts of a control process share.
+/// The objects that the parts of a control process share.
 #pragma once
 
 #include "daemons/bad_words.h"
@@ -10,7 +10,7 @@
 
 namespace spindleweir {
 
-/// The state of one control process. Single-threaded.
+/// Shared state of one control process. Single-threaded.
 struct ControlContext {
   ControlContext(EventLoop& aLoop, ControlOptions aOptions)
       : mLoop(aLoop),
@@ -20,7 +20,7 @@
         mDispatcher(mOptions.mClusterKey),
         mEntryVms(aLoop, mOptions.mEntryVms) {}
 
-  /// Whether the others are found by seeds instead of a list.
+  /// Whether the other controls are found by seeds, not by a list of entry VMs.
   bool Joins() const { return !mOptions.mSeeds.empty(); }
 
   EventLoop& mLoop;
--- a/daemons/control/control_daemon.cpp
+++ b/daemons/control/control_daemon.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::size_t kMaxRpcBytes = 64 * 1024 * 1024;
 
-/// Makes the data folder ready before any part opens a file in it.
+/// Prepares the data folder before any part opens a file in it.
 ControlOptions PrepareDataFolder(ControlOptions aOptions) {
   PrepareFolder(aOptions.mData);
   return aOptions;
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-/// The parts of a control process, in the order in which they are made.
+/// The parts of a control process, in the order of their construction.
 struct ControlDaemon::Parts {
   Parts(EventLoop& aLoop, ControlOptions aOptions)
       : mContext(aLoop, PrepareDataFolder(std::move(aOptions))),
@@ -83,7 +83,7 @@
 }
 
 void ControlDaemon::Stop() {
-  // All that was promised is on the disk already.
+  // Everything that was acknowledged is on the disk already.
   const LogLine line(LogLevel::kInfo, "stopped");
   mParts->mContext.mLoop.Stop();
 }
--- a/daemons/control/crash_store.cpp
+++ b/daemons/control/crash_store.cpp
@@ -15,7 +15,7 @@
 constexpr Millis kRetryInterval = 2000;
 constexpr char kDigestSeparator = ' ';
 
-/// What the file holds.
+/// Content of the file, after the digest.
 struct StoredCrashes {
   std::vector<Json::Value> mRows;
 
@@ -52,7 +52,7 @@
       aLedger.Merge(record, aNow);
     }
   } catch (const Error& error) {
-    // Of another build.
+    // Written by a build with another format.
     LogWarning("barred_unreadable", error);
   }
   mSavedRevision = aLedger.BarredRevision();
--- a/daemons/control/crash_store.h
+++ b/daemons/control/crash_store.h
@@ -1,5 +1,5 @@
-/// Keeps the requests that are barred on this control's disk: they must not be
-/// run again because all processes were stopped.
+/// Stores barred requests on this control's disk, so that they stay barred
+/// after all processes have been stopped.
 #pragma once
 
 #include <cstdint>
@@ -9,24 +9,25 @@
 
 namespace spindleweir {
 
-/// One file, replaced as a whole. Every control writes it, one that leads too:
-/// with the disks of as many as may be lost, the others still have it.
+/// One file, which each save replaces as a whole. Every control writes it, the
+/// leader too: if as many disks are lost as the deployment tolerates, the
+/// remaining ones still have it.
 class CrashStore {
  public:
   explicit CrashStore(std::string aPath) : mPath(std::move(aPath)) {}
 
-  /// Takes what the file has; one that is torn, or none, is nothing.
+  /// Merges the records of the file into aLedger. Ignores a missing or torn
+  /// file; aOnInvalidRow is called for each row that cannot be used.
   void Load(CrashLedger& aLedger, Millis aNow,
             const InvalidRowHook& aOnInvalidRow);
-  /// Writes the file where other requests are barred than it says. A disk that
-  /// refuses is tried again two seconds later.
+  /// Writes the file if the set of barred requests has changed since the last
+  /// save. A failed write is retried after two seconds.
   void Save(const CrashLedger& aLedger, Millis aNow);
 
  private:
   std::string mPath;
-  std::int64_t mSavedRevision =
-      0;  ///< The revision of the verdicts that it has.
-  Millis mFailedAt = -1;
+  std::int64_t mSavedRevision = 0;  ///< Revision of the verdicts in the file.
+  Millis mFailedAt = -1;            ///< Time of the last failed write.
 };
 
 }  // namespace spindleweir
--- a/daemons/control/inventory.cpp
+++ b/daemons/control/inventory.cpp
@@ -23,8 +23,8 @@
   mContext.mDispatcher.On(rpc_method::kPing,
                           [this](const Json::Value& aMessage) {
                             const auto state = FromJson<PeerState>(aMessage);
-                            for (const LeaveNotice& word : state.mLeaving) {
-                              mLeaving.Add(word);
+                            for (const LeaveNotice& notice : state.mLeaving) {
+                              mLeaving.Add(notice);
                             }
                             return ToJson(LocalState());
                           });
@@ -69,10 +69,10 @@
 Json::Value Inventory::State() const {
   Json::Value state(Json::objectValue);
   state["routers"] = Json::Value(Json::arrayValue);
-  for (const auto& [id, word] : mRouters) {
-    Json::Value item = word.mState;
+  for (const auto& [id, report] : mRouters) {
+    Json::Value item = report.mState;
     item["heard_ms_ago"] =
-        static_cast<Json::Int64>(SteadyNow() - word.mReceivedAt);
+        static_cast<Json::Int64>(SteadyNow() - report.mReceivedAt);
     state["routers"].append(item);
   }
   state["upstreams"] = Json::Value(Json::arrayValue);
--- a/daemons/control/inventory.h
+++ b/daemons/control/inventory.h
@@ -1,5 +1,5 @@
-/// What a control process knows of engines, VMs and routers: for plans and
-/// for operators.
+/// The state of engines, VMs and routers as a control process knows it, for
+/// plans and for operators.
 #pragma once
 
 #include <map>
@@ -17,24 +17,24 @@
 /// Polls the platform, the engines and the routers.
 class Inventory {
  public:
-  /// aVersion gives the version of the configuration in force here.
+  /// aVersion returns the version of the configuration in force here.
   Inventory(ControlContext& aContext, std::function<std::int64_t()> aVersion);
 
   /// Whether each engine of the platform's list has reported, or has been
-  /// silent long enough to count as gone: before that a plan would be made
-  /// for a part of them.
+  /// silent long enough to count as gone. An earlier plan would cover only
+  /// some of the engines.
   bool Complete() const;
-  /// Reports that are not too old.
+  /// The engine reports that are at most kMaxReportAge old.
   std::vector<EngineReport> Engines() const;
   std::set<std::string> Leaving() const { return mView.KnownLeaving(); }
   bool KnowsVm(const std::string& aVm) const {
     return mView.Find(aVm) != nullptr;
   }
-  /// The routers' own words and the upstreams, for /v1/state.
+  /// The routers' reports and the upstreams, for /v1/state.
   Json::Value State() const;
 
  private:
-  /// The last word of a router.
+  /// The last report of a router.
   struct RouterReport {
     Json::Value mState;
     Millis mReceivedAt = 0;
--- a/daemons/control/joined_control.cpp
+++ b/daemons/control/joined_control.cpp
@@ -19,17 +19,18 @@
 
 constexpr std::size_t kMaxRpcBytes = 64 * 1024 * 1024;
 constexpr int kDiskNameBytes = 8;
-/// How long an operator's call waits for a leader that is hasContact. One that
-/// was sent on to a leader that had just been killed failed there, and
-/// operators pause longer and longer between such attempts; without an answer
-/// they go on after a second.
+/// How long an operator's call waits until a leader is in contact. A call that
+/// is redirected to a leader that was just killed fails there, and operators
+/// back off for longer after each such failure; without an answer they retry
+/// after one second.
 constexpr Millis kLeaderWaitTimeout = 800;
 constexpr Millis kLeaderPollInterval = 20;
-/// The disks of the first start have this name, so that the first voters know
-/// each other's ids from the seeds alone.
+/// Name of each disk at the first start, so that the first voters can derive
+/// each other's ids from the seeds.
 constexpr const char* kInitialDiskName = "first";
 
-/// The name of this disk: stored on it, and new on an empty one.
+/// Returns the name of this disk, which is stored on it; an empty disk gets a
+/// new one. Throws kDataCorrupt if the disk belongs to another address.
 std::string DiskName(const ControlOptions& aOptions) {
   const std::string path = aOptions.mData + "/identity";
   const std::string wanted = aOptions.mRpcListen.Text() + "#";
@@ -47,7 +48,8 @@
   return name;
 }
 
-/// Names this control and, at the first start, the first voters.
+/// Prepares the data folder and sets the id of this control and, at the first
+/// start, the ids of the first voters.
 ControlOptions PrepareIdentity(ControlOptions aOptions) {
   PrepareFolder(aOptions.mData);
   aOptions.mId = ControlId(aOptions.mRpcListen, DiskName(aOptions));
@@ -66,7 +68,7 @@
 
 }  // namespace
 
-/// The parts, in the order in which they are made.
+/// The parts of a control, in the order of their construction.
 struct JoinedControl::Parts {
   Parts(EventLoop& aLoop, ControlOptions aOptions)
       : mContext(aLoop, PrepareIdentity(std::move(aOptions))),
@@ -93,13 +95,14 @@
                mContext.mDispatcher.Handle(*aExchange);
              }}) {}
 
-  /// An operator's call that waits until it is known who leads.
+  /// An operator's call that waits until a leader is known.
   struct WaitingCall {
     std::function<void()> mRun;
     Millis mSince = 0;
   };
 
-  /// Whether this control leads, or hears who does.
+  /// Whether this control leads, or has recent contact with or a recent report
+  /// of the leader.
   bool HasLeaderContact() const {
     const std::vector<std::string>& voters = mLog.Raft().Voters();
     const bool votes = std::find(voters.begin(), voters.end(),
@@ -108,8 +111,7 @@
                  : !mSync.ReportedLeader().empty();
   }
 
-  /// Calls aRun once this control leads or hears who does, or after some time
-  /// without.
+  /// Calls aRun once HasLeaderContact() holds, or after kLeaderWaitTimeout.
   void AwaitLeader(std::function<void()> aRun) {
     if (HasLeaderContact()) {
       aRun();
@@ -143,7 +145,7 @@
     }
   }
 
-  /// Where this control does not lead: who does.
+  /// The answer of a control that does not lead: names the leader, if known.
   OperatorAnswer NotLeader() const {
     const std::string leader = mLog.Raft().Leader().empty()
                                    ? mSync.ReportedLeader()
@@ -159,7 +161,7 @@
     return answer;
   }
 
-  /// The operator's calls, once it is known who leads.
+  /// Run an operator's call after the wait for a leader.
   void Publish(const std::string& aDocument, const OperatorDone& aDone);
   void Read(const OperatorDone& aDone);
 
@@ -197,7 +199,7 @@
 void JoinedControl::Parts::Publish(const std::string& aDocument,
                                    const OperatorDone& aDone) {
   if (!mLog.Raft().Leads()) {
-    // Who leads checks it: reading a large one twice is work for nothing.
+    // The leader checks the document; parsing a large one here too is needless.
     aDone(NotLeader());
     return;
   }
@@ -242,7 +244,8 @@
     if (!aConfirmed) {
       aDone(Refusal(ResultCode::kNoQuorum, "no majority confirmed in time"));
     } else if (published.mVersion == 0) {
-      aDone(Refusal(ResultCode::kNotReady, "no configuration was accepted"));
+      aDone(Refusal(ResultCode::kNotReady,
+                    "no configuration has been accepted yet"));
     } else {
       aDone({.mDocument = Unpack(published.mDocument, kMostUnpacked)});
     }
@@ -288,7 +291,7 @@
 }
 
 void JoinedControl::Stop() {
-  // All that was promised is on the disk already.
+  // Everything that was acknowledged is on the disk already.
   const LogLine line(LogLevel::kInfo, "stopped");
   mParts->mContext.mLoop.Stop();
 }
--- a/daemons/control/layer_placer.cpp
+++ b/daemons/control/layer_placer.cpp
@@ -12,19 +12,22 @@
 namespace {
 
 constexpr Millis kStepInterval = 200;
-/// Engines that start together are lastInput together.
+/// A service is planned once its number of engines has been the same for
+/// kStableWindow, so that engines that start together are planned together, or
+/// kMaxStabilityWait after the service was first seen.
 constexpr Millis kStableWindow = 1300;
 constexpr Millis kMaxStabilityWait = 3000;
-/// An order that shows no effect for so long is given again.
+/// An order that has no effect within this time is planned again.
 constexpr Millis kOrderEffectTimeout = 15000;
 constexpr int kHttpOk = 200;
 constexpr int kHttpAccepted = 202;
 constexpr int kHttpUnavailable = 503;
-/// With more orders at once than this all controls send a part of them: 3,000
-/// are 0.6 s of a core, 4 s of a leader that has 0.15 of one.
+/// If there are more orders than this at once, all controls send a part of
+/// them: 3,000 orders take 0.6 s of a core, which is 4 s on a leader that has
+/// 0.15 cores.
 constexpr std::size_t kMaxLocalOrders = 200;
 constexpr Millis kForwardTimeout = 1000;
-/// A control that was not heard for so long is handed nothing.
+/// Orders are forwarded only to controls that were seen within this window.
 constexpr Millis kControlSeenWindow = 1500;
 
 }  // namespace
@@ -65,7 +68,8 @@
   const UpstreamRecord* engine = mSync.Registry().Find(aOrder.mInstance);
   const bool restarted =
       engine != nullptr && aOrder.mStart > 0 && engine->mStart > aOrder.mStart;
-  // A control that is no voter hears of no terms.
+  // A control that is not a voter learns of no terms, so its term is at most
+  // the fence.
   return !restarted && mLog.Raft().Term() <= aFence;
 }
 
@@ -99,7 +103,8 @@
   const Millis now = SteadyNow();
   const std::set<std::string> lost = mSync.Unreachable();
   std::vector<const UpstreamRecord*> engines;
-  std::deque<UpstreamRecord> pendingEngines;  // As they will be.
+  // Engines with a pending order, with the layers that they will hold.
+  std::deque<UpstreamRecord> pendingEngines;
   for (const UpstreamRecord* record :
        mSync.Registry().OfService(aService.mName)) {
     if (record->mState != UpstreamState::kReady ||
@@ -218,7 +223,8 @@
         if (aResult.mOk) {
           return;
         }
-        // PlanInput anew; one that was sent all the same holds already then.
+        // These orders are planned again. If one was sent despite the failure,
+        // its engine has the layers by then.
         for (const HandedOrder& order : orders) {
           RecordStatus(order, kHttpUnavailable);
         }
@@ -227,7 +233,8 @@
 
 void LayerPlacer::OnForwardedOrders(const HandedOrders& aOrders) {
   if (aOrders.mFence < mLog.Raft().Term()) {
-    throw Error(ResultCode::kNotLeader, "orders of an earlier term");
+    throw Error(ResultCode::kNotLeader,
+                "the orders are of an earlier term than this control's");
   }
   mForwardingLeader = aOrders.mLeader;
   for (const HandedOrder& order : aOrders.mOrders) {
--- a/daemons/control/layer_placer.h
+++ b/daemons/control/layer_placer.h
@@ -1,4 +1,4 @@
-/// Orders layers to engines while this control leads.
+/// Orders engines to hold layers while this control leads.
 #pragma once
 
 #include <map>
@@ -13,7 +13,8 @@
 
 namespace spindleweir {
 
-/// One orderer at a time: the leader, with its term as the fence.
+/// Only the leader plans orders, and its term is their fence. Other controls
+/// send the orders that the leader forwards to them.
 class LayerPlacer {
  public:
   LayerPlacer(ControlContext& aContext, ReplicatedConfiguration& aLog,
@@ -23,20 +24,20 @@
   /// An order that was sent.
   struct Pending {
     LayerRange mLayers;
-    std::int64_t mStart = 0;  ///< Of the incarnation it was sent to.
+    std::int64_t mStart = 0;  ///< Start of the incarnation that it was sent to.
     Millis mSentAt = 0;
-    int mStatus = 0;  ///< 0: no answer yet.
+    int mStatus = 0;  ///< HTTP status of the answer; 0: no answer yet.
 
     bool Refused() const;
   };
-  /// How long a service's engines have been the same.
+  /// Since when the number of a service's engines has been the same.
   struct Stability {
     std::size_t mCount = 0;
     Millis mChangedAt = 0;
     Millis mSince = 0;
   };
 
-  /// What a plan is made of: one engine of it.
+  /// One engine of a plan's input.
   struct PlanInputEngine {
     std::string mInstance;
     std::int64_t mStart = 0;
@@ -45,9 +46,9 @@
 
     bool operator==(const PlanInputEngine&) const = default;
   };
-  /// What a plan that had nothing to change was made of.
+  /// The input of a plan that had nothing to change.
   struct PlanInput {
-    std::int64_t mVersion = 0;  ///< Of the configuration.
+    std::int64_t mVersion = 0;  ///< Version of the configuration.
     std::vector<PlanInputEngine> mEngines;
 
     bool operator==(const PlanInput&) const = default;
@@ -55,25 +56,30 @@
 
   void Step();
   void PlaceService(const TrafficService& aService);
-  /// Zones of which half the engines or more are not heard: the zone is cut
-  /// off rather than its engines lost, and orders would come late.
+  /// Zones of which at least half of the engines are silent or unreachable.
+  /// Such a zone is more likely cut off than its engines lost, and orders to it
+  /// would arrive late.
   std::set<std::string> CutOffZones(const std::string& aService,
                                     const std::set<std::string>& aLost) const;
-  /// Orders for these engines. The same engines are not lastInput twice in
-  /// vain: judging all moves of a zone costs milliseconds of a small processor.
+  /// Returns orders for these engines; none if the last plan with the same
+  /// input had nothing to change: evaluating all moves of a zone takes
+  /// milliseconds on a small processor.
   std::vector<LayerOrder> Plan(
       const TrafficService& aService,
       const std::vector<const UpstreamRecord*>& aViews);
+  /// Whether the service has had aCount engines for kStableWindow, or has been
+  /// known for kMaxStabilityWait.
   bool IsStable(const std::string& aService, std::size_t aCount, Millis aNow);
-  /// Sends orders, or hands most of them to the other controls.
+  /// Sends orders. Above kMaxLocalOrders they are divided among the controls.
   void SendOrders(const std::vector<LayerOrder>& aOrders);
   void ForwardOrders(const Endpoint& aControl, HandedOrders aOrders);
-  /// Takes the orders of a leader.
+  /// Sends orders that a leader forwarded. Throws kNotLeader if their term is
+  /// older than the one known here.
   void OnForwardedOrders(const HandedOrders& aOrders);
-  /// Whether an order may leave: see OrderSender.
+  /// Whether an order may still be sent; see OrderSender::Hooks.
   bool IsCurrent(const HandedOrder& aOrder, std::int64_t aFence);
   void OnOrderAnswered(const HandedOrder& aOrder, int aStatus);
-  /// Notes the answer of an engine, where its order is still the newest.
+  /// Records the status of an engine's answer if its order is still the newest.
   void RecordStatus(const HandedOrder& aOrder, int aStatus);
 
   ControlContext& mContext;
@@ -84,7 +90,7 @@
   std::map<std::string, PlanInput> mLastPlanInputs;  ///< By service.
   OrderSender mSender;
   std::string
-      mForwardingLeader;  ///< Id of the leader that handed orders over last.
+      mForwardingLeader;  ///< Id of the leader that forwarded orders last.
   std::unique_ptr<Timer> mTimer;
 };
 
--- a/daemons/control/operator_api.cpp
+++ b/daemons/control/operator_api.cpp
@@ -31,7 +31,7 @@
   }
 };
 
-/// The body of POST /v1/plans/{id}/confirm; it may be empty.
+/// The body of POST /v1/plans/{id}/confirm, which may be empty.
 struct ConfirmBody {
   std::string mCommandId;
 
@@ -41,7 +41,7 @@
   }
 };
 
-/// The body of POST /v1/vms/{vm}/drain; it may be empty.
+/// The body of POST /v1/vms/{vm}/drain, which may be empty.
 struct DrainBody {
   std::string mCommandId;
   bool mDrain = true;
@@ -80,7 +80,8 @@
   }
 }
 
-/// What stands between a prefix and a suffix of a path; empty: no match.
+/// Returns the one segment between a prefix and a suffix of a path; empty if
+/// the path does not match or has several segments there.
 std::string PathSegment(const std::string& aPath, std::string_view aPrefix,
                         std::string_view aSuffix) {
   const bool match = aPath.starts_with(aPrefix) && aPath.ends_with(aSuffix) &&
@@ -200,7 +201,7 @@
   command.mKind = CommandKind::kPlan;
   command.mLeaderWallTime = WallNow();
   if (mLog.Machine().FindResult(command.mId) != nullptr) {
-    // A resend: the log gives its first answer.
+    // A resent command: the log returns the result of the first one.
     SubmitCommand(aExchange, command);
     return;
   }
@@ -214,7 +215,7 @@
   }
   if (!mInventory.Complete()) {
     throw Error(ResultCode::kNotReady,
-                "not all engines have been heard here yet");
+                "some engines have not reported to this control yet");
   }
   const std::vector<EngineReport> engines = mInventory.Engines();
   std::set<std::string> unusable = mInventory.Leaving();
@@ -281,8 +282,8 @@
   }
   if (!mLog.ChangeVoters(body.mVoters)) {
     throw Error(ResultCode::kVersionConflict,
-                "the voters can change by one at a time, and a change must "
-                "have ended before the next");
+                "only one voter can be added or removed at a time, and each "
+                "change must have completed before the next");
   }
   Json::Value answer(Json::objectValue);
   answer["proposed"] = ToJson(body)["voters"];
@@ -324,7 +325,7 @@
                            const std::string& aPlanId) {
   const Plan* plan = mLog.Machine().FindPlan(aPlanId);
   if (plan == nullptr) {
-    // A plan made a moment ago may not have come here yet.
+    // A recent plan may not have been replicated to this control yet.
     RequireLeader(aExchange);
     throw Error(ResultCode::kPlanNotFound, "no plan " + aPlanId);
   }
--- a/daemons/control/operator_api.h
+++ b/daemons/control/operator_api.h
@@ -1,4 +1,5 @@
-/// The operators' interface: intents, plans, confirm, state, receipts, drain.
+/// The operators' HTTP interface: intents, plans, confirm, configuration,
+/// state, receipts, drain and voters.
 #pragma once
 
 #include <memory>
@@ -13,8 +14,9 @@
 
 namespace spindleweir {
 
-/// Takes every request of the operators' port. What changes or must be newest
-/// goes to the leader: the others answer 307 with its address.
+/// Handles every request to the operators' port. Changes and reads that must
+/// be the newest are served by the leader only; other controls answer 307 with
+/// the leader's address.
 class OperatorApi {
  public:
   OperatorApi(ControlContext& aContext, ReplicatedConfiguration& aLog,
@@ -27,6 +29,8 @@
   using Exchange = std::shared_ptr<HttpExchange>;
 
   void Route(const Exchange& aExchange);
+  /// Throws kStorageFailed, kNoQuorum if no leader is known, or kNotLeader
+  /// after adding a Location header with the leader's address.
   void RequireLeader(const Exchange& aExchange);
   void PlanIntent(const Exchange& aExchange);
   void ConfirmPlan(const Exchange& aExchange, const std::string& aPlanId);
--- a/daemons/control/order_sender.cpp
+++ b/daemons/control/order_sender.cpp
@@ -8,8 +8,9 @@
 namespace {
 
 constexpr Millis kOrderTimeout = 1000;
-/// An order costs about 0.2 ms of a core: 5 in 20 ms are a third of a small
-/// processor. 1,000 at once kept a leader from answering voters for 1.5 s.
+/// An order takes about 0.2 ms of a core: 5 orders in 20 ms are a third of a
+/// small processor. 1,000 orders at once keep a leader from answering voters
+/// for 1.5 s.
 constexpr Millis kStepInterval = 20;
 constexpr int kOrdersPerStep = 5;
 
@@ -39,7 +40,7 @@
   std::erase_if(mRunning,
                 [](const auto& aItem) { return aItem.second.mEnded; });
   if (mWaiting.empty() && mRunning.empty()) {
-    // Not from within the timer's own call.
+    // Deferred, since this may run within the timer's own callback.
     mContext.mLoop.Post([this] {
       if (mWaiting.empty() && mRunning.empty()) {
         mTimer.reset();
--- a/daemons/control/order_sender.h
+++ b/daemons/control/order_sender.h
@@ -1,4 +1,4 @@
-/// Sends orders to engines, a few at a time: the process that sends them also
+/// Sends orders to engines, at a limited rate: the process that sends them also
 /// answers voters and routers.
 #pragma once
 
@@ -14,13 +14,14 @@
 
 namespace spindleweir {
 
+/// Queues orders and sends kOrdersPerStep of them in each step.
 class OrderSender {
  public:
   struct Hooks {
-    /// Asked right before an order leaves: whether its term still holds, and
-    /// the engine has not started again since.
+    /// Called right before an order is sent: whether its term is still current
+    /// and the engine has not restarted since. If not, the order is dropped.
     std::function<bool(const HandedOrder&, std::int64_t aFence)> mIsCurrent;
-    /// An engine answered; the status of HTTP.
+    /// Called with the HTTP status of an engine's answer.
     std::function<void(const HandedOrder&, int aStatus)> mOnAnswered;
   };
 
--- a/daemons/control/receipt_service.cpp
+++ b/daemons/control/receipt_service.cpp
@@ -9,7 +9,7 @@
 
 constexpr Millis kFindTimeout = 1000;
 
-/// A question to the other control processes.
+/// A search that waits for the answers of the other control processes.
 struct PendingSearch {
   std::size_t mOutstanding;
   std::function<void(const Receipt*)> mDone;
@@ -46,10 +46,11 @@
                           });
   mContext.mDispatcher.On(
       rpc_method::kFindReceipt, [this](const Json::Value& aMessage) {
-        const auto asked = FromJson<ReceiptQuestion>(aMessage);
-        const Receipt* receipt = mStore.Find(asked.mRequest);
+        const auto query = FromJson<ReceiptQuestion>(aMessage);
+        const Receipt* receipt = mStore.Find(query.mRequest);
         if (receipt == nullptr) {
-          throw Error(ResultCode::kReceiptNotFound, "not here");
+          throw Error(ResultCode::kReceiptNotFound,
+                      "this control has no such receipt");
         }
         return ToJson(*receipt);
       });
--- a/daemons/control/receipt_service.h
+++ b/daemons/control/receipt_service.h
@@ -1,4 +1,4 @@
-/// The store of receipts of a control process.
+/// The receipt store of a control process and its log file.
 #pragma once
 
 #include <functional>
@@ -11,12 +11,14 @@
 
 namespace spindleweir {
 
-/// Takes routers' batches; a batch is acknowledged once it is synced.
+/// Stores the receipt batches of routers. A batch is acknowledged once it is
+/// synced to disk.
 class ReceiptService {
  public:
   explicit ReceiptService(ControlContext& aContext);
 
-  /// Looks here, then asks the other control processes.
+  /// Searches the local store, then the other control processes. Calls aDone
+  /// once, with nullptr if none of them has the receipt.
   void Find(const std::string& aRequest,
             std::function<void(const Receipt*)> aDone);
   std::size_t Size() const { return mStore.Size(); }
@@ -28,7 +30,7 @@
   ControlContext& mContext;
   ReceiptStore mStore;
   std::unique_ptr<DiskLog> mLog;
-  std::size_t mRecords = 0;  ///< In the file, dead ones too.
+  std::size_t mRecords = 0;  ///< Records in the file, obsolete ones included.
 };
 
 }  // namespace spindleweir
--- a/daemons/control/replicated_configuration.cpp
+++ b/daemons/control/replicated_configuration.cpp
@@ -13,7 +13,7 @@
 constexpr Millis kRaftTimeout = 1000;
 constexpr Millis kPushTimeout = 1000;
 constexpr Millis kCommitTimeout = 4000;
-/// A disk that failed is tried again after this time.
+/// Time after which a failed disk is opened again.
 constexpr Millis kReopenDelay = 500;
 constexpr Millis kHeartbeatsPerTimeout = 5;
 constexpr std::size_t kSnapshotThresholdBytes = 1024 * 1024;
@@ -35,7 +35,7 @@
                                 FromJson<ConfigurationRequest>(aMessage)));
                           });
   mMachine.SignalAccepted().connect([this](const Configuration&) {
-    // A restart applies many at once; only the newest is worth telling.
+    // A restart applies many versions at once; only the newest is pushed.
     mPushTimer = mContext.mLoop.After(0, [this] { PushToRouters(); });
   });
   mTimer = mContext.mLoop.Every(kTickInterval, [this] { Tick(); });
@@ -45,8 +45,8 @@
   const ControlOptions& options = mContext.mOptions;
   auto storage = std::make_unique<RaftDiskStorage>(options.mData + "/raft.log");
   if (mFailedAt >= 0) {
-    // What was written before a failed sync may never reach the disk, though
-    // it can be read: all of it is written anew.
+    // Data written before a failed sync may never reach the disk although it
+    // can be read back, so all of it is written again.
     const DurableState state = storage->Load();
     storage->SaveSnapshot(state.mSnapshot, state.mEntries, state.mHardState);
   }
@@ -122,7 +122,7 @@
 }
 
 void ReplicatedConfiguration::Tick() {
-  // Until the others can be reached an election would be for nothing.
+  // An election cannot succeed before the addresses of the others are known.
   if (!mContext.Joins() && mContext.mEntryVms.Current().All().empty()) {
     return;
   }
@@ -224,12 +224,12 @@
   mContext.mCounters.Set("configuration_version", configuration.mVersion);
   const EntryVms& vms = mContext.mEntryVms.Current();
   const bool leads = mRaft != nullptr && mRaft->Role() == RaftRole::kLeader;
-  // What is new since the last time; a router that lacks more asks for it.
+  // Only the changes since the last push; a router that lacks more polls.
   const Json::Value message = ToJson(mMachine.History().UpdateFor(mLastPushed));
   mLastPushed = mMachine.History().MakeRequest();
   for (const EntryVm& router : vms.OfRole(EntryRole::kRouter)) {
-    // Each zone is served by its own control; the leader, which knows first,
-    // tells all.
+    // A control serves the routers of its zone. The leader, which has each
+    // version first, also pushes to all the others.
     if (leads || router.mZone == mContext.mOptions.mZone) {
       mContext.mRpc.Call(router.mAddress, rpc_method::kPushConfiguration,
                          message, kPushTimeout, nullptr);
--- a/daemons/control/replicated_configuration.h
+++ b/daemons/control/replicated_configuration.h
@@ -1,6 +1,6 @@
 /// The accepted configuration on a control process: the replicated log, the
-/// state it builds, the answers to those who wait for a commit, and the
-/// spreading of what was accepted.
+/// state machine that it drives, the callers that wait for a commit, and the
+/// push of accepted versions to routers.
 #pragma once
 
 #include <sigc++/signal.h>
@@ -19,27 +19,30 @@
 
 namespace spindleweir {
 
-/// Told what a command came to; nullptr where that is not known: no majority,
-/// or this process does not lead any more.
+/// Called with the result of a command; nullptr if it is unknown: there is no
+/// majority, or this process no longer leads.
 using CommandDone = std::function<void(const CommandResult*)>;
 
-/// One voter with its state.
+/// One member of the replicated log, with its storage and state machine.
 class ReplicatedConfiguration {
  public:
   explicit ReplicatedConfiguration(ControlContext& aContext);
 
   /// Proposes a command; aDone is called once.
   void Submit(const Command& aCommand, CommandDone aDone);
-  /// Calls aDone(true) once the state here is proved to be the newest.
+  /// Calls aDone(true) once a majority has confirmed that the state here is the
+  /// newest; aDone(false) if it cannot be confirmed.
   void ConfirmRead(std::function<void(bool)> aDone);
-  /// Replaces the voters by one; false where it cannot be now.
+  /// Proposes a set of voters that differs by one from the current set; false
+  /// if that is not possible now.
   bool ChangeVoters(const std::vector<std::string>& aVoters);
 
   const ConfigurationMachine& Machine() const { return mMachine; }
   ConfigurationMachine& Machine() { return mMachine; }
   const RaftNode& Raft() const { return *mRaft; }
   std::size_t DiskBytes() const { return mStorage->Bytes(); }
-  /// Emitted once a leader, this process or another, may promise.
+  /// Emitted once per term, when its leader (this process or another) has
+  /// committed an entry of the term and may confirm reads.
   sigc::signal<void>& SignalTermCommitted() { return mSignalTermCommitted; }
 
  private:
@@ -48,16 +51,19 @@
     Millis mSince = 0;
   };
 
-  /// Begins anew from what is on the disk, as a restart would.
+  /// Opens the log and rebuilds the state from disk, as a restart does.
   void Open();
+  /// Fails the pending commands and retries Open() every kReopenDelay.
   void ReopenAfterFailure();
   void Send(const RaftMessage& aMessage);
   std::optional<Endpoint> AddressOf(const std::string& aId) const;
   void Apply(const LogEntry& aEntry);
   void Tick();
-  /// Tells where a leader may promise since.
+  /// Logs a new leader; logs and emits the first commit of a term.
   void UpdateLeader();
   void FailPending();
+  /// Sends the changes since the last push to the routers of this zone; a
+  /// leader sends them to all routers.
   void PushToRouters();
 
   ControlContext& mContext;
@@ -65,11 +71,11 @@
   ConfigurationMachine mMachine;
   std::unique_ptr<RaftNode> mRaft;
   std::map<std::string, PendingCommand> mPendingCommands;  ///< By command id.
-  ConfigurationRequest mLastPushed;  ///< What the routers were last told.
+  ConfigurationRequest mLastPushed;  ///< The version that was last pushed.
   std::string mLoggedLeader;
-  std::int64_t mTermWithCommit = 0;  ///< Whose leader was told of.
+  std::int64_t mTermWithCommit = 0;  ///< Last term that the signal was for.
   sigc::signal<void> mSignalTermCommitted;
-  Millis mFailedAt = -1;  ///< When the storage failed; -1: it did not.
+  Millis mFailedAt = -1;  ///< Last failure of the storage; -1: it works.
   std::unique_ptr<Timer> mTimer;
   std::unique_ptr<Timer> mPushTimer;
 };
--- a/daemons/control/retry_service.h
+++ b/daemons/control/retry_service.h
@@ -1,4 +1,4 @@
-/// Hands out retries to routers whose own part is spent.
+/// Grants retries to routers that have spent their own share of the budget.
 #pragma once
 
 #include <functional>
@@ -11,14 +11,16 @@
 
 namespace spindleweir {
 
-/// Where it learns what it needs.
+/// The state of other parts that a retry service reads.
 struct RetryServiceHooks {
+  /// The routers that report to this control, and all routers.
   std::function<RouterShare()> mRouters;
   /// Whether the configuration in force has a service.
   std::function<bool(const std::string& aService)> mKnowsService;
 };
 
-/// The answering side of control.retries, on one control process.
+/// Answers control.retries on one control process, from a retry pool per
+/// service. Grants nothing for a service that is not known.
 class RetryService {
  public:
   RetryService(ControlContext& aContext, RetryServiceHooks aHooks);
--- a/daemons/control/start_stamp.cpp
+++ b/daemons/control/start_stamp.cpp
@@ -11,10 +11,11 @@
 
 namespace {
 
-/// A write with its sync takes up to 10 ms of these disks' time.
+/// A write with its sync takes up to 10 ms of disk time.
 constexpr Millis kSaveInterval = 5000;
-/// Two writes, a stop of a few seconds, and a clock that jumps by two seconds.
-/// Whoever was stopped for longer hears each upstream within a heartbeat.
+/// Covers two save intervals, a stop of a few seconds and a wall clock that
+/// jumps by two seconds. After a longer stop, upstreams are learned from their
+/// next heartbeats.
 constexpr Millis kFreshWindow = 15000;
 constexpr int kMaxRouters = 100000;
 
--- a/daemons/control/upstream_intake.cpp
+++ b/daemons/control/upstream_intake.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-/// Heartbeats that may be missed before an upstream counts as silent.
+/// Heartbeats that an upstream may miss before it counts as silent.
 constexpr int kMaxMissedHeartbeats = 3;
 /// And for this long more where routers take heartbeats: one that is lost is
 /// noticed after a second, its upstreams call again within another, and what is
 /// heard comes with the next question.
 constexpr Millis kCollectorLossDelay = 2400;
-/// News of a leaving upstream is acknowledged after this time even where no
-/// other control has it.
+/// A leave is acknowledged after this time even if no other control has
+/// confirmed the notice of it.
 constexpr Millis kNotifyTimeout = 500;
 /// Controls that were heard within this time are notified at once.
 constexpr Millis kNotifyWindow = 2500;
--- a/daemons/control/upstream_store.cpp
+++ b/daemons/control/upstream_store.cpp
@@ -17,7 +17,8 @@
   return std::to_string(FastHash(aText));
 }
 
-/// Only those that may be used; whoever leaves is not brought back.
+/// Returns the upstreams that may be used. Those that are leaving are not
+/// stored, so that a restart does not restore them.
 std::vector<UpstreamRecord> ReadyUpstreams(const UpstreamRegistry& aRegistry) {
   std::vector<UpstreamRecord> ready;
   for (const UpstreamRecord* record : aRegistry.OfService("")) {
@@ -46,7 +47,7 @@
       count++;
     }
   } catch (const Error& error) {
-    // Of another build.
+    // Written by a build with another format.
     LogLine(LogLevel::kWarning, "upstreams_unreadable")
         .Add("code", static_cast<int>(error.Code()))
         .Add("why", error.what());
--- a/daemons/control/upstream_store.h
+++ b/daemons/control/upstream_store.h
@@ -29,7 +29,7 @@
 
  private:
   std::string mPath;
-  std::int64_t mSavedRevision = 0;  ///< The change that the file has.
+  std::int64_t mSavedRevision = 0;  ///< Registry revision of the file.
   Millis mLastAttemptAt = -1;
 };
 
