--- a/daemons/control/start_stamp.h
+++ b/daemons/control/start_stamp.h
@@ -1,5 +1,6 @@
-/// What a control keeps on its disk for the next start beside its upstreams:
-/// when they were true, and how many routers there were.
+/// Data that a control stores on its disk for its next start, next to the list
+/// of upstreams: when the list was last known to be current, and the number of
+/// routers.
 #pragma once
 
 #include <string>
@@ -8,26 +9,29 @@
 
 namespace spindleweir {
 
-/// What was kept.
+/// Data that the previous run of a control stored.
 struct PreviousRun {
-  /// Routers that share what engines read. A router that starts with all others
-  /// must know them at once; they ask control within half a second only.
+  /// Number of routers that share the engines' prefill capacity. A router that
+  /// starts at the same time as all others needs it at once, but it takes the
+  /// routers up to half a second to poll control.
   int mRouters = 0;
-  /// The list of upstreams beside it was kept so lately that it may be used. A
-  /// leader does not write: the list of one that led for 30 s brought back six
-  /// engines that had left, and a fifth of the requests of the first three
-  /// seconds was refused at them.
+  /// Whether the stored list of upstreams is recent enough to be used. A leader
+  /// does not write it: the list of a control that had led for 30 s restored
+  /// six engines that had left, and they refused a fifth of the requests in the
+  /// first three seconds.
   bool mUpstreamsFresh = false;
 };
 
-/// One file. What is lost of it costs time at a start, nothing else.
+/// One file. If it is lost, the next start takes longer; nothing else is lost.
 class StartStamp {
  public:
   explicit StartStamp(std::string aPath) : mPath(std::move(aPath)) {}
 
-  /// aWallNow: the time of day, in milliseconds.
+  /// Returns zero routers and a list that is not fresh if the file is missing
+  /// or invalid. aWallNow: wall-clock time in milliseconds.
   PreviousRun Load(Millis aWallNow) const;
-  /// Writes both every few seconds. aNow: of the steady clock.
+  /// Writes the number of routers and the time, at most every five seconds.
+  /// aNow: time of the steady clock.
   void Save(int aRouters, Millis aWallNow, Millis aNow);
 
  private:
--- a/daemons/control/sync_service.cpp
+++ b/daemons/control/sync_service.cpp
@@ -16,25 +16,28 @@
 constexpr Millis kPollInterval = 300;
 constexpr Millis kPollTimeout = 1000;
 constexpr Millis kStepInterval = 500;
-/// Controls hear each other themselves; what they heard of the rest is told
-/// this often: six of them are 640 of 2,670 bytes of an exchange.
+/// Controls are in contact with each other, so the list of all controls is
+/// sent to another control only this often: for six of them it is 640 of the
+/// 2,670 bytes of an exchange.
 constexpr Millis kControlListInterval = 1000;
+/// The list holds the controls that were seen within this window.
 constexpr Millis kControlListWindow = 10000;
-/// A process that did not ask for so long is not counted any more.
+/// A router that has not polled for this time is no longer counted.
 constexpr Millis kPollerRetention = 2500;
-/// How often a router asks a control of its own zone; where more routers ask,
-/// each asks less often, so that a control has the same work at any size.
+/// Interval at which a router polls a control of its own zone: at least
+/// kMinRouterPollInterval, and at least kPollIntervalPerRouter milliseconds for
+/// each router that polls, so that a control's load does not grow with them.
 constexpr Millis kMinRouterPollInterval = 150;
 constexpr double kPollIntervalPerRouter = 3.5;
 constexpr int kIncarnationBytes = 6;
-/// Records of crashes in one answer: some 40 KB.
+/// Limit of an answer's crash records: about 40 KB.
 constexpr std::size_t kMaxCrashesPerAnswer = 256;
-/// After this time all routers have asked, and those of the last start count
-/// for nothing any more.
+/// After this time all routers have polled, and the number of routers of the
+/// previous run is no longer used.
 constexpr Millis kPreviousRunWindow = 3000;
-/// Another control that did not answer for so long is not in contact.
+/// Another control that has not answered for this time is not in contact.
 constexpr Millis kContactTimeout = 1500;
-/// Routers that must agree that an upstream cannot be reached.
+/// Number of routers that must report that they cannot reach an upstream.
 constexpr int kMinUnreachableReporters = 2;
 
 }  // namespace
@@ -87,7 +90,7 @@
   const PublishedDocument newest = std::move(*mUnparsed);
   mUnparsed.reset();
   if (newest.mVersion <= mTraffic.Current().mVersion) {
-    // A log that is opened again goes through what was known before.
+    // A log that is opened again applies versions that are already known.
     return mTraffic.Current();
   }
   mTraffic.Add(mContext.mOptions.mDocuments.mRead(
@@ -166,8 +169,9 @@
 }
 
 int SyncService::RouterCount(Millis aNow) {
-  // After a start many tell two controls within moments, and count twice: with
-  // 66 for 35 each let in half of what it could, and refused 48.
+  // Right after a start many routers report to two controls within a short time
+  // and are counted twice: with a count of 66 for 35 routers each admitted half
+  // of what it could, and 48 requests were refused.
   const bool isStarting = aNow - mStartedAt < kPreviousRunWindow;
   return isStarting && mPreviousRun.mRouters > 0
              ? mPreviousRun.mRouters
@@ -263,13 +267,13 @@
 
 bool SyncService::IsCutOff() const {
   const Millis now = SteadyNow();
-  std::size_t heard = 1;
+  std::size_t inContact = 1;
   for (const auto& [address, peer] : mPeerControls) {
-    heard += peer.mLastSeenAt > 0 && now - peer.mLastSeenAt < kContactTimeout
-                 ? 1
-                 : 0;
+    inContact +=
+        peer.mLastSeenAt > 0 && now - peer.mLastSeenAt < kContactTimeout ? 1
+                                                                         : 0;
   }
-  return heard * 2 <= mLog.Raft().Voters().size();
+  return inContact * 2 <= mLog.Raft().Voters().size();
 }
 
 std::vector<std::string> SyncService::ReachableControls() const {
@@ -372,8 +376,9 @@
 void SyncService::SaveState() {
   mCrashes.RemoveExpired(SteadyNow());
   mCrashStore.Save(mCrashes, SteadyNow());
-  // Disks hang for seconds at times. A leader does without the file, so that
-  // nobody waits for it then; all others have the same upstreams.
+  // Disks can hang for seconds. A leader does not write these files, so that no
+  // process waits for it meanwhile; the other controls store the same
+  // upstreams. A single voter has no such substitute and writes them.
   if (!mLog.Raft().Leads() || mLog.Raft().Voters().size() == 1) {
     const Millis now = SteadyNow();
     mUpstreams.Save();
--- a/daemons/control/sync_service.h
+++ b/daemons/control/sync_service.h
@@ -1,5 +1,5 @@
-/// The part of a control process that finds the others by seeds and answers
-/// what they and routers ask.
+/// The part of a control process that finds the other controls by seeds, polls
+/// them, and answers the polls of controls and routers.
 #pragma once
 
 #include <functional>
@@ -20,65 +20,67 @@
 
 namespace spindleweir {
 
-/// Membership and spreading on one control process.
+/// Membership and the exchange of state on one control process.
 class SyncService {
  public:
   SyncService(ControlContext& aContext, ReplicatedConfiguration& aLog);
 
   UpstreamIntake& Upstreams() { return mUpstreams; }
-  /// Upstreams that several routers cannot connect to.
+  /// Upstreams that at least kMinUnreachableReporters routers cannot reach.
   std::set<std::string> Unreachable();
   UpstreamRegistry& Registry() { return mUpstreams.Registry(); }
   const ControlDirectory& Directory() const { return mDirectory; }
-  /// Who leads, by what the other controls said lately; empty: not known. For
-  /// one that is no voter, which no leader speaks to.
+  /// Id of the leader by the recent reports of other controls; empty: not
+  /// known. For a control that is not a voter: a leader does not contact it.
   std::string ReportedLeader() const;
-  /// The configuration in force here; version 0: none yet.
+  /// The configuration in force here; version 0: none yet. Parses the newest
+  /// committed document if that has not been done yet.
   const TrafficConfiguration& Traffic();
-  /// Sets the seeds anew.
   void SetSeeds(std::vector<Endpoint> aSeeds);
-  /// The routers that tell this control their work, and all that there are.
+  /// The number of routers that report their loads to this control, and of all
+  /// routers.
   RouterShare Routers();
-  /// Sets the gauges of the routers that are counted.
+  /// Sets the gauges routers_here and routers_known.
   void RefreshGauges();
 
  private:
-  /// How much of another control's registry is known.
+  /// The state of another control that is known here.
   struct PeerControl {
     std::string mIncarnation;
     std::int64_t mRevision = 0;
-    std::int64_t mLoadsSequence = 0;  ///< Of its routers' loads, heard last.
-    std::int64_t mCrashRevision = 0;  ///< Of its crash ledger, known so far.
+    std::int64_t mLoadsSequence = 0;  ///< Last received loads of its routers.
+    std::int64_t mCrashRevision = 0;  ///< Last received of its crash ledger.
     bool mPolling = false;
     Millis mLastSeenAt = 0;
-    std::string mId;  ///< Of the control that answered last.
+    std::string mId;  ///< Id of the control that answered last.
   };
 
   SyncAnswer Answer(const SyncQuestion& aRequest);
   void RecordPoller(const SyncQuestion& aRequest);
   void PollControls();
-  /// The ids of controls that answered lately.
+  /// Ids of the controls that answered within kContactTimeout.
   std::vector<std::string> ReachableControls() const;
   void Poll(const Endpoint& aAddress);
-  /// A leader may promise since now: what it confirms is asked for at once.
-  /// With the next request to all, routers of other zones had a lease up to
-  /// 0.3 s later.
+  /// Polls a new leader for its confirmation at once. Waiting for the next poll
+  /// of all controls gives routers of other zones their lease up to 0.3 s
+  /// later.
   void PollLeader();
   void ApplyAnswer(const Endpoint& aAddress, const SyncAnswer& aAnswer,
                    Millis aPolledAt);
-  /// Takes what this control itself confirmed, where it leads.
+  /// Applies the confirmation of this control itself, if it leads.
   void UpdateLocalConfirmation(Millis aNow);
   void UpdateVoters();
   void SaveState();
-  /// Whether most of control cannot be heard: then it is this process that
-  /// is cut off, and the silence of upstreams says nothing of them.
+  /// Whether this process has no contact with a majority of the controls: then
+  /// it is cut off itself, and silent upstreams may well be running.
   bool IsCutOff() const;
-  /// Whether another control is told now which there are.
+  /// Whether the answer to another control holds the list of controls; records
+  /// when it was last sent.
   bool SendsControlsTo(const SyncQuestion& aRequest, Millis aNow);
-  /// Routers that there are, as far as is known.
+  /// Number of all routers, as far as is known; at least 1.
   int RouterCount(Millis aNow);
   void AddLoads(const SyncQuestion& aRequest, SyncAnswer& aAnswer);
-  /// Takes records of crashes; those that newly bar a request are kept on disk.
+  /// Merges crash records, and stores the barred requests if they have changed.
   void MergeCrashes(const std::vector<Json::Value>& aRows,
                     const std::string& aBy);
   void AddCrashes(const SyncQuestion& aRequest, SyncAnswer& aAnswer);
@@ -87,18 +89,17 @@
   ControlContext& mContext;
   ReplicatedConfiguration& mLog;
   std::string mIncarnation;
-  std::map<std::string, Millis> mControlsSentAt;  ///< By the id of who asked.
+  std::map<std::string, Millis> mControlsSentAt;  ///< By the poller's id.
   ControlDirectory mDirectory;
   TrafficHistory mTraffic;
-  /// The newest that was committed and that nobody has asked for yet. A start
-  /// commits the whole log at once: reading each of 118 versions of 600 routes
-  /// took a new leader 2.7 s of its 0.15 cores, and the newest alone counts.
+  /// The newest committed document, until Traffic() parses it. A start commits
+  /// the whole log at once: parsing each of 118 versions of 600 routes takes a
+  /// new leader with 0.15 cores 2.7 s, and only the newest is needed.
   std::optional<PublishedDocument> mUnparsed;
   std::map<std::string, Millis> mPolledAt;  ///< By router.
   NewestConfirmation mConfirmation;
   StartStamp mStamp;
-  PreviousRun
-      mPreviousRun;  ///< Of the last start; used until routers have asked.
+  PreviousRun mPreviousRun;  ///< Used until the routers have polled.
   Millis mStartedAt;
   UpstreamIntake mUpstreams;
   AnswerSizeMeter mAnswerSizes;
@@ -106,7 +107,7 @@
   CrashLedger mCrashes;
   CrashStore mCrashStore;
   std::map<std::string, PeerControl> mPeerControls;  ///< By address.
-  std::string mReportedLeader;  ///< Of the newest term told.
+  std::string mReportedLeader;  ///< Leader of the newest reported term.
   std::int64_t mReportedTerm = 0;
   Millis mLeaderReportedAt = 0;
   std::unique_ptr<Timer> mPollTimer;
--- a/daemons/control/upstream_intake.cpp
+++ b/daemons/control/upstream_intake.cpp
@@ -12,14 +12,14 @@
 
 /// Heartbeats that an upstream may miss before it counts as silent.
 constexpr int kMaxMissedHeartbeats = 3;
-/// And for this long more where routers take heartbeats: one that is lost is
-/// noticed after a second, its upstreams call again within another, and what is
-/// heard comes with the next question.
+/// Added to the silence timeout while routers collect heartbeats: the loss of a
+/// collector is noticed after one second, its upstreams send their heartbeats
+/// elsewhere within another, and these arrive with the next poll.
 constexpr Millis kCollectorLossDelay = 2400;
 /// A leave is acknowledged after this time even if no other control has
 /// confirmed the notice of it.
 constexpr Millis kNotifyTimeout = 500;
-/// Controls that were heard within this time are notified at once.
+/// Controls that were seen within this window are sent a notice of a leave.
 constexpr Millis kNotifyWindow = 2500;
 
 void LogChanged(const char* aEvent, const UpstreamRecord& aRecord) {
@@ -93,9 +93,9 @@
 void UpstreamIntake::ApplyAnswer(const SyncAnswer& aAnswer,
                                  const std::string& aBy) {
   const Millis now = SteadyNow();
-  for (const UpstreamUpdate& news : aAnswer.mNewsOfUpstreams) {
+  for (const UpstreamUpdate& update : aAnswer.mNewsOfUpstreams) {
     for (const UpstreamRecord& record :
-         mContext.mBadWords.Unpack("news", news)) {
+         mContext.mBadWords.Unpack("news", update)) {
       mRegistry.Merge(record, now, aBy);
     }
   }
@@ -121,10 +121,10 @@
   aAnswer.mRevision = feed.mRevision;
   aAnswer.mNewsOfUpstreams = std::move(feed.mUpdates);
   if (fromControl) {
-    const std::set<std::string> hears(aRequest.mHears.begin(),
-                                      aRequest.mHears.end());
+    const std::set<std::string> reachable(aRequest.mHears.begin(),
+                                          aRequest.mHears.end());
     aAnswer.mBeats = ToJson(HeartbeatTable::Of(
-        mRegistry.HeartbeatsSince(known, feed.mRevision, now, hears)));
+        mRegistry.HeartbeatsSince(known, feed.mRevision, now, reachable)));
   }
   const std::vector<SilentUpstream> silent =
       ReadRows<SilentUpstream>(aRequest.mSilent, mContext.mBadWords.At("news"));
--- a/daemons/control/upstream_intake.h
+++ b/daemons/control/upstream_intake.h
@@ -1,5 +1,6 @@
-/// The part of a control process that keeps the registry of upstreams: it takes
-/// heartbeats and other processes' word, and tells what each poller lacks.
+/// The part of a control process that maintains the registry of upstreams: it
+/// applies heartbeats and the reports of other processes, and answers each
+/// poller with the changes that it lacks.
 #pragma once
 
 #include <functional>
@@ -14,6 +15,7 @@
 
 namespace spindleweir {
 
+/// Receives the state of upstreams from upstreams, routers and other controls.
 class UpstreamIntake {
  public:
   /// Whether the configuration in force has a service, or there is none yet.
@@ -24,36 +26,45 @@
   UpstreamIntake(ControlContext& aContext, const ControlDirectory& aDirectory,
                  ServiceHook aKnowsService, bool aRestores);
 
-  /// Takes a heartbeat. aDone is called once it may be acknowledged: news
-  /// that an upstream leaves must not be lost with this process. Throws
-  /// kUnknownService for an upstream that is new here and of no service that
-  /// is known; one that leaves, or that is known, is always taken.
+  /// Applies a heartbeat. aDone is called once it may be acknowledged: for an
+  /// upstream that starts to leave, after another control has confirmed the
+  /// notice or kNotifyTimeout has passed, so that the leave is not lost with
+  /// this process. Throws kUnknownService if the upstream is new here, is not
+  /// leaving, and its service is unknown.
   void OnHeartbeat(const UpstreamRecord& aRecord, const BeatDone& aDone);
-  /// aStart: of the incarnation that leaves; 0: not notified.
+  /// Marks an upstream as gone, and calls aDone as OnHeartbeat() does; a leave
+  /// in doubt is not acknowledged. aStart: start of the incarnation that
+  /// leaves; 0: not stated.
   void ApplyLeave(const std::string& aInstance, const BeatDone& aDone,
                   std::int64_t aStart = 0);
 
-  /// A router asked: it may take heartbeats, and tells those that it took.
+  /// A router polled: applies the heartbeats that it collected, and records
+  /// where it collects them, if it does.
   void OnPolled(const SyncQuestion& aRequest);
-  /// Takes what another control knows. aBy: its id.
+  /// Applies the upstreams and heartbeats of another control's answer. aBy: its
+  /// id.
   void ApplyAnswer(const SyncAnswer& aAnswer, const std::string& aBy);
-  /// Adds what who asks lacks of the registry. aIncarnation: of this process.
+  /// Adds the changes of the registry that the poller lacks. aIncarnation: the
+  /// incarnation of this process.
   void Answer(const SyncQuestion& aRequest, const std::string& aIncarnation,
               SyncAnswer& aAnswer);
-  /// Marks those silent that were not heard for long.
+  /// Marks upstreams as silent that were not seen for SilenceTimeout().
   void Expire();
-  /// Keeps those that are ready on disk.
+  /// Stores the upstreams that are ready on disk.
   void Save();
 
   UpstreamRegistry& Registry() { return mRegistry; }
   const UpstreamRegistry& Registry() const { return mRegistry; }
 
  private:
-  /// Takes what the disk has.
+  /// Loads the upstreams that are stored on disk.
   void Restore();
   void OnNotice(const UpstreamNotice& aNotice);
+  /// Sends the record of an upstream that leaves to the other controls. Calls
+  /// aDone on the first confirmation, at once if there is no other control, or
+  /// after kNotifyTimeout.
   void NotifyControls(const std::string& aInstance, const BeatDone& aDone);
-  /// An upstream that was not heard for so long counts as silent.
+  /// Time without a heartbeat after which an upstream counts as silent.
   Millis SilenceTimeout() const;
 
   ControlContext& mContext;
--- a/daemons/control/upstream_store.h
+++ b/daemons/control/upstream_store.h
@@ -1,5 +1,5 @@
-/// Keeps the upstreams that are ready on this control's disk, so that after a
-/// stop of all processes they are known before they report again.
+/// Stores the upstreams that are ready on this control's disk, so that they are
+/// known after a stop of all processes before they report again.
 #pragma once
 
 #include <cstdint>
@@ -11,20 +11,21 @@
 
 namespace spindleweir {
 
-/// One file, replaced as a whole. What it says is no promise: it is a start
-/// for routers, whose requests name the incarnation that is to run them, until
-/// heartbeats confirm or silence drops it.
+/// One file, which each save replaces as a whole. Its content is not
+/// authoritative: routers use it until heartbeats confirm an upstream or its
+/// silence removes it. This is safe since requests name the incarnation that is
+/// to run them.
 class UpstreamStore {
  public:
   explicit UpstreamStore(std::string aPath) : mPath(std::move(aPath)) {}
 
-  /// Takes what the file has, as heard now; a file that is torn, or none, is
-  /// nothing, and a row that cannot be used is left out. Returns how many
-  /// upstreams that were.
+  /// Merges the upstreams of the file into aRegistry, as last seen at aNow, and
+  /// returns their number. Ignores a missing or torn file; aOnInvalidRow is
+  /// called for each row that cannot be used.
   std::size_t Load(UpstreamRegistry& aRegistry, Millis aNow,
                    const InvalidRowHook& aOnInvalidRow = {}) const;
-  /// Writes the file where the registry changed since, at most each two
-  /// seconds. A disk that refuses is tried again then.
+  /// Writes the file if the registry has changed since the last save, at most
+  /// every two seconds. A failed write is retried then.
   void Save(const UpstreamRegistry& aRegistry, Millis aNow);
 
  private:
