--- a/daemons/control/sync_service.cpp
+++ b/daemons/control/sync_service.cpp
@@ -208,11 +208,12 @@
   const Millis now = SteadyNow();
   for (const CrashRecord& record :
        ReadCrashes(aRows, mContext.mBadWords.At("crashes"))) {
-    const bool was = mCrashes.IsBarred(record.mRequestDigest);
+    const bool wasBarred = mCrashes.IsBarred(record.mRequestDigest);
     mCrashes.Merge(record, now);
-    const bool is = mCrashes.IsBarred(record.mRequestDigest);
-    if (was != is) {
-      LogLine(LogLevel::kWarning, is ? "request_barred" : "request_not_barred")
+    const bool isBarred = mCrashes.IsBarred(record.mRequestDigest);
+    if (wasBarred != isBarred) {
+      LogLine(LogLevel::kWarning,
+              isBarred ? "request_barred" : "request_not_barred")
           .Add("content", record.mRequestDigest)
           .Add("by", aBy)
           .Add("crashes", static_cast<int>(record.mCrashes.size()));
@@ -291,9 +292,9 @@
   if (!IsCutOff()) {
     mUpstreams.Expire();
   }
-  const Endpoint own = mContext.mOptions.mRpcListen;
+  const Endpoint self = mContext.mOptions.mRpcListen;
   for (const Endpoint& address : mDirectory.Addresses(SteadyNow())) {
-    if (address != own) {
+    if (address != self) {
       Poll(address);
     }
   }
--- a/tests/daemons/incarnation_test.cpp
+++ b/tests/daemons/incarnation_test.cpp
@@ -1,4 +1,4 @@
-/// Upstreams that start again under their name, over processes.
+/// Upstreams that restart under the same name, seen by control and a router.
 #include <limits>
 
 #include "daemons/bad_words.h"
@@ -33,7 +33,7 @@
   return record;
 }
 
-/// A heartbeat as it stands, until control answers.
+/// Sends a heartbeat to control and waits for the answer.
 BeatAnswer SendHeartbeat(RelayStory& aStory, const UpstreamRecord& aRecord) {
   BeatAnswer answer;
   bool ended = false;
@@ -54,7 +54,7 @@
   return aStory.mRouter->OwnCounters().Value("upstreams_ready");
 }
 
-/// A stream, begun and left to itself.
+/// A stream request that is sent when it is constructed.
 struct OpenStream {
   explicit OpenStream(RelayStory& aStory) : mBegun(SteadyNow()) {
     StreamCallOptions options;
@@ -83,7 +83,7 @@
 
 }  // namespace
 
-Test(incarnation, who_left_is_used_again_after_it_started_again) {
+Test(incarnation, an_upstream_that_left_is_used_again_after_its_restart) {
   RelayStory story;
   story.Begin();
   SendHeartbeat(story, HeartbeatOf(story.mA, kFirstStart, 90));
@@ -92,7 +92,7 @@
   SendHeartbeat(story, leaving);
   REQUIRE(story.RunUntil([&story] { return ReadyAtRouter(story) == 1; }));
   const int before = story.mA.AllRuns();
-  SECTION("counting anew it is new, and gets requests") {
+  SECTION("a new incarnation with a lower sequence gets requests") {
     SendHeartbeat(story, HeartbeatOf(story.mA, kNextStart, 1));
     for (int i = 0; story.mA.AllRuns() == before; i++) {
       REQUIRE(i < 200);
@@ -100,13 +100,13 @@
       story.Wait(5);
     }
   }
-  SECTION("a late heartbeat of the one before does not end it") {
+  SECTION("a late heartbeat of the previous incarnation does not end it") {
     leaving.mSequence = 200;
     SendHeartbeat(story, leaving);
     story.Wait(500);
     CHECK(ReadyAtRouter(story) == 2);
   }
-  SECTION("nor does a late leave, which is not acknowledged") {
+  SECTION("a leave without a start does not end it and is not acknowledged") {
     bool accepted = true;
     bool ended = false;
     story.mControl->Leave(story.mA.Instance(), [&](const BeatAnswer& aAnswer) {
@@ -117,7 +117,7 @@
     CHECK(!accepted);
     CHECK(ReadyAtRouter(story) == 2);
   }
-  SECTION("its own leave, told with its start, does") {
+  SECTION("a leave that states its start ends it") {
     bool accepted = false;
     story.mControl->Leave(
         story.mA.Instance(),
@@ -128,15 +128,15 @@
   }
 }
 
-Test(incarnation, streams_through_the_one_before_move_at_once) {
-  // Silence alone moves a stream after a second.
+Test(incarnation, streams_of_the_previous_incarnation_move_at_once) {
+  // A stream of an upstream that is only silent moves after about one second.
   constexpr Millis kSilenceMoveTime = 900;
   RelayStory story;
   story.Begin();
   story.BeginEngine(story.mA);
   std::int64_t start = kFirstStart;
   Millis took = kSilenceMoveTime;
-  // Another round where this machine was too slow to tell the two apart.
+  // Repeated if the machine was too slow to distinguish the two causes.
   for (int round = 0; took >= kSilenceMoveTime && round < 5; round++) {
     SendHeartbeat(story, EngineHeartbeatOf(story.mB, ++start, 1, {}));
     SendHeartbeat(story, EngineHeartbeatOf(story.mA, ++start, 1, {0, 8}));
@@ -160,7 +160,7 @@
   CHECK(took < kSilenceMoveTime);
 }
 
-Test(incarnation, a_call_that_was_sent_to_the_one_before_is_not_sent_again) {
+Test(incarnation, a_call_of_the_previous_incarnation_is_not_sent_again) {
   RelayStory story;
   story.Begin();
   SendHeartbeat(story, HeartbeatOf(story.mA, kFirstStart, 90));
@@ -183,7 +183,7 @@
   CHECK(story.mA.AllRuns() + story.mB.AllRuns() == before + 1);
 }
 
-Test(incarnation, word_that_cannot_be_used_is_refused_and_counted) {
+Test(incarnation, heartbeats_that_cannot_be_used_are_refused_and_counted) {
   RelayStory story;
   story.Begin();
   UpstreamRecord unknown = HeartbeatOf(story.mA, kFirstStart, 1);
@@ -195,11 +195,11 @@
   CHECK(CodeThrownBy([&] {
           story.mRouter->Beat(unknown, [](const BeatAnswer&) {});
         }) == ResultCode::kUnknownService);
-  SECTION("one that leaves is always heard") {
+  SECTION("an unknown upstream that leaves is accepted") {
     unknown.mState = UpstreamState::kLeaving;
     CHECK(SendHeartbeat(story, unknown).mAccepted);
   }
-  SECTION("it counts by where it came in and why") {
+  SECTION("an invalid heartbeat is counted by its source and cause") {
     story.mControl->BadBeat("x", Error(ResultCode::kBadHeartbeat, "why"));
     CHECK(story.mControl->OwnCounters().Value(
               "bad_upstream_words",
@@ -207,7 +207,7 @@
   }
 }
 
-Test(incarnation, news_of_an_age_that_cannot_be_is_left_out) {
+Test(incarnation, an_update_with_an_invalid_age_is_ignored) {
   Counters counters;
   BadWords words(counters);
   const std::string text = PackUpstreams({{.mInstance = "a",
--- a/tests/daemons/lost_disk_test.cpp
+++ b/tests/daemons/lost_disk_test.cpp
@@ -1,5 +1,5 @@
-/// Disks that are lost while all other processes lose power: what was
-/// acknowledged is there afterwards, and what is barred stays barred.
+/// One disk is lost while all other processes lose power: acknowledged changes
+/// are kept.
 #include <array>
 #include <filesystem>
 
@@ -50,7 +50,7 @@
     }
   }
 
-  /// Asks one after the other until one has a clear answer.
+  /// Calls one control after the other until one of them returns kOk.
   template <class Call>
   OperatorAnswer CallUntilOk(const Call& aCall) {
     OperatorAnswer answer;
@@ -90,7 +90,7 @@
 
 }  // namespace
 
-Test(lost_disk, while_all_others_lose_power_costs_nothing_acknowledged) {
+Test(lost_disk, acknowledged_changes_survive_a_power_loss_of_all_others) {
   for (int lost = 0; lost < kControls; lost++) {
     Controls controls;
     const std::string document = Document(Traffic(7));
@@ -99,12 +99,12 @@
     controls.StopAll();
     std::filesystem::remove_all(controls.Data(lost));
     controls.StartAll(false);
-    SECTION("whichever disk it is, the others have it") {
+    SECTION("the others have the configuration, whichever disk is lost") {
       const OperatorAnswer answer = controls.Read();
       CHECK(answer.mCode == ResultCode::kOk);
       CHECK(answer.mDocument == document);
     }
-    SECTION("and the next change is taken") {
+    SECTION("the next change is accepted") {
       CHECK(controls.Publish(Document(Traffic(8))).mCode == ResultCode::kOk);
     }
   }
--- a/tests/daemons/operator_test.cpp
+++ b/tests/daemons/operator_test.cpp
@@ -1,4 +1,4 @@
-/// What operators see, and what becomes of the accepted configuration.
+/// The operators' API, and the durability of the accepted configuration.
 #include "spindleweir/core/json_codec.h"
 #include "tests/daemons/deployment.h"
 
@@ -14,10 +14,10 @@
 
 }  // namespace
 
-Test(operators, state_an_intent_see_a_plan_and_confirm_it) {
+Test(operators, an_intent_is_planned_and_confirmed) {
   Deployment deployment({.mZones = 3, .mEngines = 3});
   deployment.Begin();
-  SECTION("a resent confirm gets its first answer") {
+  SECTION("a resent confirm gets the answer of the first one") {
     const std::string body = R"({"command_id":"c-2"})";
     deployment.Operator("POST", "/v1/intents", Deployment::IntentBody("two"));
     for (int i = 0; i < 3; i++) {
@@ -28,7 +28,7 @@
     }
     CHECK(VersionOf(deployment) == 2);
   }
-  SECTION("of two with equal version numbers one wins") {
+  SECTION("only one of two plans with the same base version is accepted") {
     deployment.Operator("POST", "/v1/intents", Deployment::IntentBody("a"));
     deployment.Operator("POST", "/v1/intents", Deployment::IntentBody("b"));
     CHECK(deployment.Operator("POST", "/v1/plans/plan-b/confirm").mStatus ==
@@ -38,7 +38,7 @@
     CHECK(loser.mStatus == 409);
     CHECK(ParseJson(loser.mBody)["version"] == 3);
   }
-  SECTION("bad ones get a number") {
+  SECTION("invalid requests are answered with an HTTP error status") {
     CHECK(deployment.Operator("POST", "/v1/intents", "{").mStatus == 400);
     CHECK(deployment.Operator("POST", "/v1/intents", R"({"intent":{"x":1}})")
               .mStatus == 400);
@@ -52,13 +52,13 @@
   }
 }
 
-Test(operators, an_accepted_configuration_survives_and_never_reverts) {
+Test(operators, an_accepted_configuration_survives_failures) {
   Deployment deployment({.mZones = 3, .mEngines = 3});
   deployment.Begin();
   const std::string hash =
       ParseJson(deployment.Operator("GET", "/v1/configuration").mBody)["hash"]
           .asString();
-  SECTION("the loss of any one control process") {
+  SECTION("it survives the loss of any one control process") {
     for (int i = 0; i < 3; i++) {
       deployment.mControls[static_cast<std::size_t>(i)].reset();
       CHECK(VersionOf(deployment) == 1);
@@ -66,7 +66,7 @@
       deployment.WriteEntryVms();
     }
   }
-  SECTION("a restart of all of them") {
+  SECTION("it survives a restart of all control processes") {
     for (auto& control : deployment.mControls) {
       control.reset();
     }
@@ -78,14 +78,14 @@
         ParseJson(deployment.Operator("GET", "/v1/configuration").mBody);
     CHECK(now["version"] == 1 && now["hash"] == hash);
   }
-  SECTION("a router that starts from empty without any control") {
+  SECTION("a router that starts without any control gets it from a router") {
     for (auto& control : deployment.mControls) {
       control.reset();
     }
     deployment.mRouters[1].reset();
     deployment.StartRouter(1);
     deployment.WriteEntryVms();
-    // Its zone has no other router; one elsewhere has it.
+    // The zone has no other router; one in another zone has the configuration.
     REQUIRE(deployment.RunUntil([&] {
       const auto answer = deployment.Chat(1, "x", 2, false);
       deployment.RunUntil([&] { return answer->mDone; });
@@ -95,7 +95,7 @@
   }
 }
 
-Test(operators, a_minority_promises_nothing) {
+Test(operators, a_minority_accepts_no_change) {
   Deployment deployment({.mZones = 3, .mEngines = 3});
   deployment.Begin();
   deployment.mControls[0].reset();
@@ -110,7 +110,7 @@
             .Fetch(last, "POST", "/v1/intents", Deployment::IntentBody("x"),
                    "operator-key")
             .mStatus == 503);
-  SECTION("but tells what it last knew, and requests go on") {
+  SECTION("it returns its local configuration, and requests are served") {
     const HttpResult local = deployment.Fetch(
         last, "GET", "/v1/configuration/local", "", "operator-key");
     CHECK(ParseJson(local.mBody)["version"] == 1);
--- a/tests/daemons/placing_test.cpp
+++ b/tests/daemons/placing_test.cpp
@@ -9,8 +9,8 @@
 
 constexpr int kEngines = 360;
 
-/// Two controls, the second of which is no voter, and many engines that note
-/// which layers they are ordered to hold.
+/// Two controls, the second of which is not a voter, and many engines that
+/// count the orders that they receive.
 struct PlacingFixture {
   PlacingFixture()
       : mEngines(mLoop,
@@ -76,7 +76,7 @@
     REQUIRE(RunLoopUntil(mLoop, [&] { return accepted; }));
   }
 
-  /// Each engine sends a heartbeat now and then, and holds nothing.
+  /// Sends a heartbeat of each engine, which reports that it holds no layers.
   void SendHeartbeats() {
     mSequence++;
     for (int i = 0; i < kEngines; i++) {
@@ -105,24 +105,25 @@
 
 }  // namespace
 
-Test(placing, many_orders_are_sent_by_all_controls_and_each_arrives) {
-  // A control that is no voter knows of no term: it dropped the orders that a
-  // leader handed to it, and engines stood empty for 15 s.
+Test(placing, many_orders_are_divided_among_controls_and_all_arrive) {
+  // Guards against a control that is not a voter, and so knows no term,
+  // dropping the orders that a leader forwards to it: engines then hold no
+  // layers for 15 s.
   PlacingFixture fixture;
   fixture.Publish();
   const auto heartbeats =
       fixture.mLoop.Every(500, [&fixture] { fixture.SendHeartbeats(); });
-  // Within the loop's bound; an order without an effect is given again later.
+  // An order that has no effect is sent again, but only after the loop's limit.
   REQUIRE(RunLoopUntil(fixture.mLoop,
                        [&fixture] { return fixture.mOrders >= kEngines; }));
   CHECK(fixture.mOrders == kEngines);
-  SECTION("the control that is no voter has sent a part of them") {
+  SECTION("the control that is not a voter sends a part of them") {
     CHECK(fixture.mNonVoter->OwnCounters().Value("orders_sent") > kEngines / 4);
     CHECK(fixture.mControl->OwnCounters().Value("orders_sent") > kEngines / 4);
   }
 }
 
-Test(placing, an_order_that_was_refused_to_another_control_is_given_again) {
+Test(placing, an_order_refused_to_a_forwarding_control_is_sent_again) {
   PlacingFixture fixture;
   fixture.mStatus = 409;
   fixture.Publish();
@@ -133,10 +134,11 @@
   }));
 }
 
-Test(placing, engines_that_start_again_are_given_layers_again) {
-  // Without their starts told apart they were waited for: 15 s, 30 heartbeats,
-  // for the effect of the orders of before. An order that nobody answered is
-  // still waited for, so that not each engine has its new one so soon.
+Test(placing, restarted_engines_are_ordered_to_hold_layers_again) {
+  // Guards against waiting for the effect of the orders that were sent to the
+  // previous incarnations, which takes 15 s or 30 heartbeats. An order without
+  // an answer is still waited for, so that some engines get their new one
+  // later.
   constexpr int kMaxHeartbeats = 25;
   PlacingFixture fixture;
   fixture.mStart = 100;
--- a/tests/daemons/restart_test.cpp
+++ b/tests/daemons/restart_test.cpp
@@ -21,26 +21,26 @@
 
 }  // namespace
 
-Test(restart, after_a_stop_of_all_upstreams_are_known_before_they_report) {
+Test(restart, upstreams_are_known_before_they_report_after_a_full_stop) {
   RelayStory story(kLongStart);
   story.Begin();
   REQUIRE(story.RunUntil([&story] {
     return ReadFile(story.mFolder.Path("data/upstreams")).has_value();
   }));
-  // The file may be older than the second upstream.
+  // Waits for the next save: the file may not have the second upstream yet.
   story.Wait(2600);
   story.mRouter.reset();
   story.mControl.reset();
   story.StartControl();
   story.StartRouter();
-  SECTION("no heartbeat came since, and requests are served") {
+  SECTION("requests are served without any heartbeat since the restart") {
     CHECK(story.Call("/pay/x").mStatus == 200);
     CHECK(story.RunsOfLast() == 1);
     CHECK(story.Call("/look/x").mStatus == 200);
   }
 }
 
-Test(restart, the_file_of_upstreams_is_a_start_and_no_promise) {
+Test(restart, the_stored_upstreams_are_not_authoritative) {
   const TemporaryFolder folder;
   UpstreamRegistry before;
   before.ApplyHeartbeat(Record("1", UpstreamState::kReady), 0);
@@ -49,25 +49,26 @@
   UpstreamStore store(folder.Path("upstreams"));
   store.Save(before, 100);
   UpstreamRegistry after;
-  SECTION("those that leave are not brought back") {
+  SECTION("upstreams that are leaving are not restored") {
     CHECK(UpstreamStore(folder.Path("upstreams")).Load(after, 5000) == 2);
     CHECK(after.Find("1")->mLayers.Count() == 3);
     CHECK(after.Find("3") == nullptr);
   }
-  SECTION("one that does not report is silent after the usual time") {
+  SECTION(
+      "a restored upstream without heartbeats is silent after the timeout") {
     UpstreamRecord heartbeat = Record("1", UpstreamState::kReady);
     heartbeat.mSequence = 8;
     after.ApplyHeartbeat(heartbeat, 6000);
     CHECK(after.Expire(3600, 8601).size() == 1);
     CHECK(after.Find("2")->mState == UpstreamState::kSilent);
   }
-  SECTION("a new incarnation at an address ends the one of the file") {
+  SECTION("a new incarnation at an address ends the restored one") {
     UpstreamRecord next = Record("1b", UpstreamState::kReady);
     next.mAddress = "10.0.0.1:1";
     after.ApplyHeartbeat(next, 9000);
     CHECK(after.Find("1")->mState == UpstreamState::kGone);
   }
-  SECTION("it is written again only where something changed") {
+  SECTION("the file is written again only if the registry has changed") {
     UpstreamRecord heartbeat = Record("1", UpstreamState::kReady);
     heartbeat.mSequence = 9;
     before.ApplyHeartbeat(heartbeat, 4000);
@@ -79,7 +80,7 @@
     UpstreamRegistry last;
     CHECK(UpstreamStore(folder.Path("upstreams")).Load(last, 12000) == 1);
   }
-  SECTION("a torn file is nothing") {
+  SECTION("a torn or missing file is ignored") {
     const std::string text = *ReadFile(folder.Path("upstreams"));
     ReplaceFile(folder.Path("upstreams"), text.substr(0, text.size() / 2));
     UpstreamRegistry torn;
@@ -89,38 +90,39 @@
   }
 }
 
-Test(restart, a_list_that_is_old_is_not_used) {
-  // A leader does not write: what its disk has may be as old as its leadership.
+Test(restart, an_old_list_of_upstreams_is_not_used) {
+  // A leader does not write the list, so its file may be as old as its
+  // leadership.
   const TemporaryFolder folder;
   constexpr Millis kWall = 1700000000000;
   StartStamp stamp(folder.Path("stamp"));
-  SECTION("nothing kept is nothing known") {
+  SECTION("without a stamp the list is not used") {
     CHECK(!stamp.Load(kWall).mUpstreamsFresh);
     CHECK(stamp.Load(kWall).mRouters == 0);
   }
   stamp.Save(83, kWall, 100);
-  SECTION("one of a few seconds ago is used, also after a jump of the clock") {
+  SECTION("a list of a few seconds ago is used, also if the clock jumped") {
     CHECK(stamp.Load(kWall + 4000).mUpstreamsFresh);
     CHECK(stamp.Load(kWall - 2000).mUpstreamsFresh);
     CHECK(stamp.Load(kWall + 4000).mRouters == 83);
   }
-  SECTION("one of half a minute ago tells the routers only") {
+  SECTION("of a stamp half a minute old only the router count is used") {
     CHECK(!stamp.Load(kWall + 30000).mUpstreamsFresh);
     CHECK(stamp.Load(kWall + 30000).mRouters == 83);
   }
-  SECTION("it is written each five seconds at most") {
+  SECTION("the stamp is written every five seconds at most") {
     stamp.Save(90, kWall + 3000, 3100);
     CHECK(stamp.Load(kWall + 3000).mRouters == 83);
     stamp.Save(90, kWall + 5000, 5100);
     CHECK(stamp.Load(kWall + 5000).mRouters == 90);
   }
-  SECTION("a torn one is nothing") {
+  SECTION("a torn stamp is ignored") {
     ReplaceFile(folder.Path("stamp"), "8");
     CHECK(!stamp.Load(kWall).mUpstreamsFresh);
   }
 }
 
-Test(restart, engines_that_left_before_a_long_leadership_do_not_come_back) {
+Test(restart, a_long_time_leader_does_not_restore_upstreams_that_left) {
   RelayStory story(kLongStart);
   story.Begin();
   REQUIRE(story.RunUntil([&story] {
@@ -128,19 +130,19 @@
   }));
   story.mRouter.reset();
   story.mControl.reset();
-  // As on the disk of one that has led since.
+  // As on the disk of a control that has led for a long time.
   ReplaceFile(story.mFolder.Path("data/stamp"), "1 1700000000000");
   story.StartControl();
-  SECTION("none of the list is ready before it reports") {
+  SECTION("no upstream of the list is known before it reports") {
     story.mControl->RefreshGauges();
     CHECK(story.mControl->OwnCounters().Value("upstreams_known") == 0);
   }
 }
 
-Test(restart, an_operator_is_answered_by_the_leader_that_comes) {
+Test(restart, an_operator_call_waits_for_the_first_leader) {
   RelayStory story(kLongStart);
-  // Nobody leads yet: an answer now would send the operator away, to come back
-  // after a pause that grows each time.
+  // There is no leader yet. An immediate refusal would make the operator retry
+  // with a back-off that grows each time.
   OperatorAnswer answer;
   int answers = 0;
   story.mControl->Publish(Document(Traffic(3)),
@@ -150,7 +152,7 @@
                           });
   CHECK(answers == 0);
   REQUIRE(story.RunUntil([&] { return answers > 0; }));
-  SECTION("its change is taken with the first call") {
+  SECTION("its change is accepted with the first call") {
     CHECK(answer.mCode == ResultCode::kOk);
     CHECK(answers == 1);
   }
@@ -169,7 +171,7 @@
   }
 }
 
-Test(restart, what_waited_for_a_router_is_let_in_by_what_engines_read) {
+Test(restart, waiting_requests_are_admitted_by_the_prefill_capacity) {
   RelayStory story(kLongStart);
   story.Begin();
   ScriptedUpstream engine(story.mLoop, "engine");
@@ -182,41 +184,41 @@
   story.mControl.reset();
   story.StartControl();
   story.StartRouter();
-  SECTION("it is served, and each decision is counted") {
+  SECTION("the request is served, and the decision is counted") {
     CHECK(story.Call("/stream/x").mStatus == 200);
     CHECK(story.mRouter->OwnCounters().Value("opening", "outcome=\"let_in\"") ==
           1);
   }
-  SECTION("a call to a plain service passes without a turn") {
+  SECTION("a call to a service without engines does not wait") {
     CHECK(story.Call("/pay/x").mStatus == 200);
     CHECK(story.mRouter->OwnCounters().Value("opening", "outcome=\"let_in\"") <=
           1);
   }
 }
 
-Test(restart, who_has_come_back_is_kept_until_there_is_room) {
+Test(restart, a_retried_request_is_held_until_there_is_capacity) {
   RelayStory story;
   story.Begin();
   ScriptedUpstream engine(story.mLoop, "engine");
   story.BeginEngine(engine);
-  constexpr Millis kFirst = 4000;
-  CHECK(story.Call("/stream/x", "key", kFirst).mStatus == 200);
+  constexpr Millis kFirstDeadline = 4000;
+  CHECK(story.Call("/stream/x", "key", kFirstDeadline).mStatus == 200);
   const std::vector<UpstreamAct> refusals(5, UpstreamAct::kRefuse);
-  SECTION("a first try is refused at once, to come back") {
+  SECTION("a first try is refused at once, for the caller to retry") {
     engine.Next({refusals.begin(), refusals.begin() + 4});
-    CHECK(story.Call("/stream/x", "key", kFirst).mStatus == 503);
+    CHECK(story.Call("/stream/x", "key", kFirstDeadline).mStatus == 503);
     CHECK(story.RunsOfLast() + engine.Runs(story.Last()) == 0);
   }
-  // On a busy machine it would be silent by now.
+  // Keeps the engine from counting as silent on a busy machine.
   story.BeatEngine(engine);
-  SECTION("a later one, which has less time left, is served") {
+  SECTION("a later try, which has less time left, is served") {
     engine.Next(refusals);
-    CHECK(story.Call("/stream/x", "key", kFirst / 2).mStatus == 200);
+    CHECK(story.Call("/stream/x", "key", kFirstDeadline / 2).mStatus == 200);
     CHECK(engine.Runs(story.Last()) == 1);
   }
 }
 
-Test(restart, one_deadline_beyond_the_time_out_makes_no_others_later_tries) {
+Test(restart, a_very_long_deadline_does_not_make_later_requests_retries) {
   RelayStory story;
   story.Begin();
   ScriptedUpstream engine(story.mLoop, "engine");
@@ -224,29 +226,29 @@
   constexpr Millis kDay = 86400000;
   CHECK(story.Call("/stream/x", "key", kDay).mStatus == 200);
   engine.Next(std::vector<UpstreamAct>(4, UpstreamAct::kRefuse));
-  SECTION("a first try is refused at once, to come back") {
-    // All the time that the route gives.
+  SECTION("a first try is refused at once, for the caller to retry") {
+    // The whole timeout of the route.
     CHECK(story.Call("/stream/x", "key", 5000).mStatus == 503);
     CHECK(story.RunsOfLast() + engine.Runs(story.Last()) == 0);
   }
 }
 
-Test(restart, a_call_that_has_come_back_is_not_held) {
-  // One retry a minute.
+Test(restart, a_retried_call_to_a_service_without_engines_is_not_held) {
+  // A budget of one retry per minute.
   RelayStory story(
       kShortStart,
       {.mRatio = 0, .mWindow = 60000, .mSlack = 1, .mUsableShare = 1});
   story.Begin();
-  constexpr Millis kFirst = 2000;
-  CHECK(story.Call("/look/x", "key", kFirst).mStatus == 200);
+  constexpr Millis kFirstDeadline = 2000;
+  CHECK(story.Call("/look/x", "key", kFirstDeadline).mStatus == 200);
   const std::vector<UpstreamAct> refusals(3, UpstreamAct::kRefuse);
   story.mA.Next(refusals);
   story.mB.Next(refusals);
-  constexpr Millis kLeft = kFirst / 2;
+  constexpr Millis kTimeLeft = kFirstDeadline / 2;
   const Millis startedAt = SteadyNow();
-  CHECK(story.Call("/look/x", "key", kLeft).mStatus == 503);
+  CHECK(story.Call("/look/x", "key", kTimeLeft).mStatus == 503);
   CHECK(story.RunsOfLast() == 0);
-  SECTION("it has a second at most, and half of that would be lost") {
-    CHECK(SteadyNow() - startedAt < kLeft / 4);
+  SECTION("it is refused at once: holding it costs half of its last second") {
+    CHECK(SteadyNow() - startedAt < kTimeLeft / 4);
   }
 }
