--- a/daemons/control/receipt_service.cpp
+++ b/daemons/control/receipt_service.cpp
@@ -9,7 +9,7 @@
 
 constexpr Millis kFindTimeout = 1000;
 
-/// A search that waits for the answers of the other control processes.
+/// A search that waits for answers of other control processes.
 struct PendingSearch {
   std::size_t mOutstanding;
   std::function<void(const Receipt*)> mDone;
--- a/daemons/control/receipt_service.h
+++ b/daemons/control/receipt_service.h
@@ -18,7 +18,7 @@
   explicit ReceiptService(ControlContext& aContext);
 
   /// Searches the local store, then the other control processes. Calls aDone
-  /// once, with nullptr if none of them has the receipt.
+  /// once, with nullptr if none of them returned the receipt in time.
   void Find(const std::string& aRequest,
             std::function<void(const Receipt*)> aDone);
   std::size_t Size() const { return mStore.Size(); }
