--- a/daemons/control/answer_parts.cpp
+++ b/daemons/control/answer_size_meter.cpp
@@ -1,4 +1,4 @@
-#include "daemons/control/answer_parts.h"
+#include "daemons/control/answer_size_meter.h"
 
 #include "spindleweir/core/json_codec.h"
 #include "spindleweir/core/log.h"
--- a/daemons/control/sync_service.h
+++ b/daemons/control/sync_service.h
@@ -9,7 +9,7 @@
 #include <set>
 #include <string>
 
-#include "daemons/control/answer_parts.h"
+#include "daemons/control/answer_size_meter.h"
 #include "daemons/control/crash_store.h"
 #include "daemons/control/replicated_configuration.h"
 #include "daemons/control/start_stamp.h"
