--- a/daemons/control/joined_control.cpp
+++ b/daemons/control/joined_control.cpp
@@ -161,7 +161,7 @@
     return answer;
   }
 
-  /// Run an operator's call after the wait for a leader.
+  /// Publish() and Read() of JoinedControl, after the wait for a leader.
   void Publish(const std::string& aDocument, const OperatorDone& aDone);
   void Read(const OperatorDone& aDone);
 
--- a/daemons/control/layer_placer.h
+++ b/daemons/control/layer_placer.h
@@ -34,7 +34,7 @@
   struct Stability {
     std::size_t mCount = 0;
     Millis mChangedAt = 0;
-    Millis mSince = 0;
+    Millis mSince = 0;  ///< When the service first had engines.
   };
 
   /// One engine of a plan's input.
@@ -67,8 +67,8 @@
   std::vector<LayerOrder> Plan(
       const TrafficService& aService,
       const std::vector<const UpstreamRecord*>& aViews);
-  /// Whether the service has had aCount engines for kStableWindow, or has been
-  /// known for kMaxStabilityWait.
+  /// Whether the service has had aCount engines for kStableWindow, or
+  /// kMaxStabilityWait has passed since it first had engines.
   bool IsStable(const std::string& aService, std::size_t aCount, Millis aNow);
   /// Sends orders. Above kMaxLocalOrders they are divided among the controls.
   void SendOrders(const std::vector<LayerOrder>& aOrders);
--- a/daemons/control/order_sender.h
+++ b/daemons/control/order_sender.h
@@ -47,8 +47,8 @@
   Hooks mHooks;
   std::deque<Waiting> mWaiting;
   std::map<std::string, Running> mRunning;  ///< By instance.
-  int mStepBudget = 0;            ///< That may leave before the next step.
-  std::unique_ptr<Timer> mTimer;  ///< While any waits or runs.
+  int mStepBudget = 0;  ///< Orders that may still be sent in this step.
+  std::unique_ptr<Timer> mTimer;  ///< Set while orders wait or run.
 };
 
 }  // namespace spindleweir
--- a/daemons/control/sync_service.cpp
+++ b/daemons/control/sync_service.cpp
@@ -391,13 +391,13 @@
   if (!mLog.Raft().Leads()) {
     return;
   }
-  VoterPlanInput request;
-  request.mSelf = mContext.mOptions.mId;
-  request.mVoters = mLog.Raft().Voters();
-  request.mDirectory = &mDirectory;
-  request.mNow = SteadyNow();
-  const std::vector<std::string> next = NextVoters(request);
-  if (next == request.mVoters || !mLog.ChangeVoters(next)) {
+  VoterPlanInput input;
+  input.mSelf = mContext.mOptions.mId;
+  input.mVoters = mLog.Raft().Voters();
+  input.mDirectory = &mDirectory;
+  input.mNow = SteadyNow();
+  const std::vector<std::string> next = NextVoters(input);
+  if (next == input.mVoters || !mLog.ChangeVoters(next)) {
     return;
   }
   Json::Value list(Json::arrayValue);
