--- a/daemons/relay/beat_relay.cpp
+++ b/daemons/relay/heartbeat_relay.cpp
@@ -1,4 +1,4 @@
-#include "daemons/relay/beat_relay.h"
+#include "daemons/relay/heartbeat_relay.h"
 
 #include "daemons/relay/stream_guard.h"
 #include "spindleweir/core/json_codec.h"
--- a/daemons/relay/relay_attempt.cpp
+++ b/daemons/relay/relay_attempt.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "daemons/relay/retry_wishes.h"
+#include "daemons/relay/retry_credit_requester.h"
 #include "spindleweir/core/log.h"
 
 namespace spindleweir {
--- a/daemons/relay/relay_router.cpp
+++ b/daemons/relay/relay_router.cpp
@@ -2,11 +2,11 @@
 
 #include <unordered_set>
 
-#include "daemons/relay/beat_relay.h"
+#include "daemons/relay/heartbeat_relay.h"
 #include "daemons/relay/planned_stop.h"
 #include "daemons/relay/relay_admission.h"
 #include "daemons/relay/relay_request.h"
-#include "daemons/relay/retry_wishes.h"
+#include "daemons/relay/retry_credit_requester.h"
 #include "daemons/relay/sync_link.h"
 #include "daemons/rpc_meter.h"
 #include "spindleweir/core/log.h"
--- a/daemons/relay/retry_wishes.cpp
+++ b/daemons/relay/retry_credit_requester.cpp
@@ -1,4 +1,4 @@
-#include "daemons/relay/retry_wishes.h"
+#include "daemons/relay/retry_credit_requester.h"
 
 #include <algorithm>
 
