--- a/bench/memory_measures.cpp
+++ b/bench/memory_measures.cpp
@@ -109,12 +109,12 @@
   options.mZone = "z";
   options.mListen = {"127.0.0.1", 0};
   options.mSeeds = {aSeed};
-  options.mTakesAt = "127.0.0.1:7";
+  options.mHeartbeatAddress = "127.0.0.1:7";
   options.mClusterKey = "secret";
   options.mLeaseLength = 20000;
   options.mMemoryBytes = aCase.mMemoryBytes;
   options.mWindow = kWindow;
-  options.mMostConnections = kConnections;
+  options.mMaxConnections = kConnections;
   options.mCallers = PlainCallers();
   options.mEngines = PlainEngines();
   RelayRouter router(loop, std::move(options));
--- a/daemons/relay/heartbeat_relay.cpp
+++ b/daemons/relay/heartbeat_relay.cpp
@@ -32,7 +32,8 @@
 
 }  // namespace
 
-void BeatRelay::Beat(const UpstreamRecord& aRecord, const BeatDone& aDone) {
+void BeatRelay::ApplyHeartbeat(const UpstreamRecord& aRecord,
+                               const BeatDone& aDone) {
   if (mContext.mStopping) {
     aDone({.mAccepted = false, .mLaterAt = ""});
     return;
@@ -51,8 +52,8 @@
   aDone({});
 }
 
-void BeatRelay::Leave(const std::string& aInstance, const BeatDone& aDone,
-                      std::int64_t aStart) {
+void BeatRelay::ApplyLeave(const std::string& aInstance, const BeatDone& aDone,
+                           std::int64_t aStart) {
   const UpstreamRecord* record =
       mContext.mTaker.ApplyLeave(aInstance, SteadyNow(), aStart);
   if (record == nullptr) {
--- a/daemons/relay/heartbeat_relay.h
+++ b/daemons/relay/heartbeat_relay.h
@@ -16,9 +16,9 @@
       : mContext(aContext), mLink(aLink) {}
 
   /// Throws kUnknownService: see UpstreamIntake.
-  void Beat(const UpstreamRecord& aRecord, const BeatDone& aDone);
-  void Leave(const std::string& aInstance, const BeatDone& aDone,
-             std::int64_t aStart);
+  void ApplyHeartbeat(const UpstreamRecord& aRecord, const BeatDone& aDone);
+  void ApplyLeave(const std::string& aInstance, const BeatDone& aDone,
+                  std::int64_t aStart);
 
  private:
   /// Acknowledges once two controls know, or one does and no other answered in
--- a/daemons/relay/relay_router.cpp
+++ b/daemons/relay/relay_router.cpp
@@ -40,7 +40,7 @@
         mServer(
             aLoop,
             {.mListen = mContext.mOptions.mListen,
-             .mMaximumConnections = mContext.mOptions.mMostConnections,
+             .mMaximumConnections = mContext.mOptions.mMaxConnections,
              .mHandle =
                  [this](const std::shared_ptr<StreamExchange>& aExchange) {
                    Handle(aExchange);
@@ -226,16 +226,18 @@
   return mParts->HasPaths() || SteadyNow() - mParts->mStartedAt > kWaitForPaths;
 }
 
-void RelayRouter::Beat(const UpstreamRecord& aRecord, const BeatDone& aDone) {
-  mParts->mBeats.Beat(aRecord, aDone);
+void RelayRouter::ApplyHeartbeat(const UpstreamRecord& aRecord,
+                                 const BeatDone& aDone) {
+  mParts->mBeats.ApplyHeartbeat(aRecord, aDone);
 }
 
-void RelayRouter::Leave(const std::string& aInstance, const BeatDone& aDone,
-                        std::int64_t aStart) {
-  mParts->mBeats.Leave(aInstance, aDone, aStart);
+void RelayRouter::ApplyLeave(const std::string& aInstance,
+                             const BeatDone& aDone, std::int64_t aStart) {
+  mParts->mBeats.ApplyLeave(aInstance, aDone, aStart);
 }
 
-void RelayRouter::BadBeat(const std::string& aInstance, const Error& aWhy) {
+void RelayRouter::RecordInvalidHeartbeat(const std::string& aInstance,
+                                         const Error& aWhy) {
   mParts->mContext.mBadWords.Note("heartbeat", aInstance, aWhy);
 }
 
--- a/daemons/relay/sync_link.cpp
+++ b/daemons/relay/sync_link.cpp
@@ -149,7 +149,8 @@
       mContext.Table() == nullptr ? 0 : mContext.Table()->Version();
   question.mSilent = WriteRows(mContext.mRegistry.SilentUpstreams());
   question.mHearsNear = mNearAt > 0 && SteadyNow() - mNearAt < kNearHeard;
-  question.mTakesAt = mContext.mStopping ? "" : mContext.mOptions.mTakesAt;
+  question.mTakesAt =
+      mContext.mStopping ? "" : mContext.mOptions.mHeartbeatAddress;
   const std::string life = source.mLife;
   std::int64_t beats = 0;
   if (aAddress.Text() == mNear) {
--- a/include/spindleweir/daemons/relay_router.h
+++ b/include/spindleweir/daemons/relay_router.h
@@ -25,7 +25,7 @@
   Endpoint mListen;              ///< For callers.
   std::vector<Endpoint> mSeeds;  ///< RPC addresses of some controls.
   /// "IP:PORT" where this router's heartbeat calls come in; empty: nowhere.
-  std::string mTakesAt;
+  std::string mHeartbeatAddress;
   std::string mClusterKey;
   /// A configuration that control did not confirm for so long is not acted on.
   Millis mLeaseLength = 4000;
@@ -47,8 +47,8 @@
   std::size_t mWindow = 0;
   /// For callers and upstreams together; 0: not known.
   std::size_t mDescriptors = 0;
-  std::size_t mMostConnections = 3000;  ///< Of callers.
-  UpstreamBoundOptions mUpstreams;      ///< Of plain services.
+  std::size_t mMaxConnections = 3000;  ///< Of callers.
+  UpstreamBoundOptions mUpstreams;     ///< Of plain services.
   CallerProtocol mCallers;
   EngineProtocol mEngines;
 };
@@ -65,13 +65,13 @@
   /// Whether the balancer should send callers here.
   bool Ready() const;
   /// Takes a heartbeat of an upstream in place of control.
-  void Beat(const UpstreamRecord& aRecord, const BeatDone& aDone);
+  void ApplyHeartbeat(const UpstreamRecord& aRecord, const BeatDone& aDone);
   /// Takes the notice that an upstream leaves. aStart: of the incarnation that
   /// leaves; 0: not told.
-  void Leave(const std::string& aInstance, const BeatDone& aDone,
-             std::int64_t aStart = 0);
+  void ApplyLeave(const std::string& aInstance, const BeatDone& aDone,
+                  std::int64_t aStart = 0);
   /// Counts a heartbeat, or a notice of leaving, that cannot be used.
-  void BadBeat(const std::string& aInstance, const Error& aWhy);
+  void RecordInvalidHeartbeat(const std::string& aInstance, const Error& aWhy);
   /// Takes new seeds.
   void SetSeeds(std::vector<Endpoint> aSeeds);
   Counters& OwnCounters();
--- a/tests/daemons/incarnation_test.cpp
+++ b/tests/daemons/incarnation_test.cpp
@@ -193,7 +193,7 @@
           story.mControl->Beat(unknown, [](const BeatAnswer&) {});
         }) == ResultCode::kUnknownService);
   CHECK(CodeThrownBy([&] {
-          story.mRouter->Beat(unknown, [](const BeatAnswer&) {});
+          story.mRouter->ApplyHeartbeat(unknown, [](const BeatAnswer&) {});
         }) == ResultCode::kUnknownService);
   SECTION("an unknown upstream that leaves is accepted") {
     unknown.mState = UpstreamState::kLeaving;
--- a/tests/daemons/relay_story.cpp
+++ b/tests/daemons/relay_story.cpp
@@ -96,7 +96,7 @@
   options.mZone = "z";
   options.mListen = {"127.0.0.1", 0};
   options.mSeeds = {mSeed};
-  options.mTakesAt = kTakesAt;
+  options.mHeartbeatAddress = kTakesAt;
   options.mClusterKey = "secret";
   options.mLeaseLength = kLease;
   options.mStopGrace = mStopGrace;
--- a/tests/daemons/takers_story_test.cpp
+++ b/tests/daemons/takers_story_test.cpp
@@ -19,7 +19,7 @@
 BeatAnswer BeatAtRouter(RelayStory& aStory, const UpstreamRecord& aRecord) {
   BeatAnswer answer;
   bool ended = false;
-  aStory.mRouter->Beat(aRecord, [&](const BeatAnswer& aAnswer) {
+  aStory.mRouter->ApplyHeartbeat(aRecord, [&](const BeatAnswer& aAnswer) {
     answer = aAnswer;
     ended = true;
   });
