--- a/daemons/relay/heartbeat_relay.h
+++ b/daemons/relay/heartbeat_relay.h
@@ -10,9 +10,9 @@
 
 namespace spindleweir {
 
-class BeatRelay {
+class HeartbeatRelay {
  public:
-  BeatRelay(RelayContext& aContext, SyncLink& aLink)
+  HeartbeatRelay(RelayContext& aContext, SyncLink& aLink)
       : mContext(aContext), mLink(aLink) {}
 
   /// Throws kUnknownService: see UpstreamIntake.
@@ -23,7 +23,7 @@
  private:
   /// Acknowledges once two controls know, or one does and no other answered in
   /// time: the one that knows may be lost right after.
-  void TellFirst(const UpstreamRecord& aRecord, const BeatDone& aDone);
+  void NotifyControls(const UpstreamRecord& aRecord, const BeatDone& aDone);
 
   RelayContext& mContext;
   SyncLink& mLink;
--- a/daemons/relay/planned_stop.cpp
+++ b/daemons/relay/planned_stop.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-constexpr Millis kPeriod = 100;
+constexpr Millis kStepInterval = 100;
 /// The balancer sends callers here until it has seen twice, a second apart,
 /// that this router is not ready.
-constexpr Millis kServe = 2500;
+constexpr Millis kServeTime = 2500;
 /// Of a grace that is shorter than usual.
-constexpr Millis kServePart = 3;
+constexpr Millis kServeDivisor = 3;
 /// For the last answers to leave this process before it is killed.
-constexpr Millis kMargin = 300;
+constexpr Millis kGraceMargin = 300;
 
 }  // namespace
 
@@ -25,7 +25,7 @@
     : mContext(aContext), mServer(aServer), mHooks(std::move(aHooks)) {}
 
 Millis PlannedStop::GraceOf(const RelayOptions& aOptions) {
-  return aOptions.mStopGrace - kMargin;
+  return aOptions.mStopGrace - kGraceMargin;
 }
 
 void PlannedStop::Begin() {
@@ -34,17 +34,17 @@
   }
   mContext.mStopping = true;
   mBegunAt = SteadyNow();
-  mContext.mStopIntake.Stop(mBegunAt);
+  mContext.mShutdownAdmission.Stop(mBegunAt);
   mServer.SetClosing();
   LogLine(LogLevel::kInfo, "stopping")
       .Add("open_requests", mHooks.mOpenRequests());
-  mTimer = mContext.mLoop.Every(kPeriod, [this] { Step(); });
+  mTimer = mContext.mLoop.Every(kStepInterval, [this] { Step(); });
 }
 
 void PlannedStop::Step() {
   const Millis since = SteadyNow() - mBegunAt;
   const Millis grace = GraceOf(mContext.mOptions);
-  if (since < std::min(kServe, grace / kServePart)) {
+  if (since < std::min(kServeTime, grace / kServeDivisor)) {
     return;
   }
   mServer.CloseIdle();
--- a/daemons/relay/relay_admission.cpp
+++ b/daemons/relay/relay_admission.cpp
@@ -10,143 +10,148 @@
 
 /// A lease that ran out comes back with control, which elects a leader within
 /// 0.7 s; until then the balancer notices that this router is not ready.
-constexpr Millis kLeaseBack = 1200;
+constexpr Millis kLeaseRecoveryTime = 1200;
 /// From the loss of a path until the order to load its layers has arrived.
-constexpr Millis kOrderTakes = 700;
+constexpr Millis kLoadOrderTime = 700;
 /// A service whose places are not modelled comes free within this time.
-constexpr Millis kPlainFree = 300;
-constexpr Millis kLeastLeft = 500;
+constexpr Millis kDefaultFreeTime = 300;
+constexpr Millis kMinLoadingTimeLeft = 500;
 /// What engines read and carry is found anew at most this often: each request
 /// that waits asks 20 times a second, and each that is refused once.
-constexpr Millis kMeasureReading = 200;
-constexpr Millis kMeasureCarried = 1000;
+constexpr Millis kPrefillMeasureInterval = 200;
+constexpr Millis kPathRateMeasureInterval = 1000;
 
 }  // namespace
 
-bool RelayAdmission::Opening() {
-  if (!mOpening) {
+bool RelayAdmission::IsWarmingUp() {
+  if (!mWarmingUp) {
     return false;
   }
   const Millis now = SteadyNow();
-  if (mOpenedAt < 0) {
-    mOpenedAt = now;
+  if (mWarmUpStartedAt < 0) {
+    mWarmUpStartedAt = now;
   }
   // What others let in at their opening stands in loads that are newer.
-  const bool known = now - mContext.LoadsAge() > mOpenedAt;
-  mOpening = mContext.Starting() && !known;
-  return mOpening;
+  const bool known = now - mContext.PeerLoadsAge() > mWarmUpStartedAt;
+  mWarmingUp = mContext.IsStartingUp() && !known;
+  return mWarmingUp;
 }
 
-void RelayAdmission::MeasureReading(const TrafficService& aService,
-                                    Gate& aGate) {
-  Reading& reading = aGate.mReading;
+void RelayAdmission::MeasurePrefillCapacity(const TrafficService& aService,
+                                            ServiceState& aState) {
+  PrefillCapacity& prefill = aState.mPrefill;
   const Millis now = SteadyNow();
-  if (reading.mMeasuredAt >= 0 && now - reading.mMeasuredAt < kMeasureReading) {
+  if (prefill.mMeasuredAt >= 0 &&
+      now - prefill.mMeasuredAt < kPrefillMeasureInterval) {
     return;
   }
-  reading.mMeasuredAt = now;
+  prefill.mMeasuredAt = now;
   const std::vector<const UpstreamRecord*>& all =
       mContext.ReadyEngines(aService.mName);
-  std::vector<const UpstreamRecord*> near;
+  std::vector<const UpstreamRecord*> local;
   std::set<std::string_view> zones;
   for (const UpstreamRecord* engine : all) {
     zones.insert(engine->mZone);
     if (engine->mZone == mContext.mOptions.mZone) {
-      near.push_back(engine);
+      local.push_back(engine);
     }
   }
-  reading.mPerMilli = ReadingCapacity(aService.mEngine, near);
-  reading.mParts = static_cast<double>(std::max<std::size_t>(1, zones.size()));
-  reading.mOwnZone = reading.mPerMilli > 0;
-  if (!reading.mOwnZone) {
-    reading.mPerMilli = ReadingCapacity(aService.mEngine, all);
-    reading.mParts = 1;
+  prefill.mTokensPerMilli = ReadingCapacity(aService.mEngine, local);
+  prefill.mZoneCount =
+      static_cast<double>(std::max<std::size_t>(1, zones.size()));
+  prefill.mLocalZoneOnly = prefill.mTokensPerMilli > 0;
+  if (!prefill.mLocalZoneOnly) {
+    prefill.mTokensPerMilli = ReadingCapacity(aService.mEngine, all);
+    prefill.mZoneCount = 1;
   }
 }
 
-double RelayAdmission::Sharers(const Gate& aGate) const {
-  return std::max(1.0, mContext.Routers() / aGate.mReading.mParts);
+double RelayAdmission::SharingRouters(const ServiceState& aState) const {
+  return std::max(1.0, mContext.Routers() / aState.mPrefill.mZoneCount);
 }
 
-WarmUpDecision RelayAdmission::Ask(const void* aRequest,
-                                   const TrafficService& aService,
-                                   const WarmUpRequest& aFacts) {
-  Gate& gate = mGates[aService.mName];
-  MeasureReading(aService, gate);
-  gate.mStart.SetShare(gate.mReading.mPerMilli / Sharers(gate));
+WarmUpDecision RelayAdmission::TryAdmit(const void* aRequest,
+                                        const TrafficService& aService,
+                                        const WarmUpRequest& aFacts) {
+  ServiceState& state = mServices[aService.mName];
+  MeasurePrefillCapacity(aService, state);
+  state.mWarmUp.SetShare(state.mPrefill.mTokensPerMilli /
+                         SharingRouters(state));
   const WarmUpDecision decision =
-      gate.mStart.TryAdmit(aRequest, aFacts, SteadyNow());
+      state.mWarmUp.TryAdmit(aRequest, aFacts, SteadyNow());
   if (decision.mVerdict == WarmUpVerdict::kWait) {
-    gate.mWaiting.insert(aRequest);
+    state.mWaiting.insert(aRequest);
     return decision;
   }
-  gate.mWaiting.erase(aRequest);
-  gate.mBegun += decision.mVerdict == WarmUpVerdict::kAdmit ? 1 : 0;
+  state.mWaiting.erase(aRequest);
+  state.mAdmitted += decision.mVerdict == WarmUpVerdict::kAdmit ? 1 : 0;
   return decision;
 }
 
-void RelayAdmission::Leave(const void* aRequest) {
-  for (auto& [service, gate] : mGates) {
-    gate.mStart.Withdraw(aRequest);
-    gate.mWaiting.erase(aRequest);
+void RelayAdmission::Withdraw(const void* aRequest) {
+  for (auto& [service, state] : mServices) {
+    state.mWarmUp.Withdraw(aRequest);
+    state.mWaiting.erase(aRequest);
   }
 }
 
 double RelayAdmission::UnreportedRequests(const std::string& aService) {
-  const auto it = mGates.find(aService);
-  if (it == mGates.end() || !Opening()) {
+  const auto it = mServices.find(aService);
+  if (it == mServices.end() || !IsWarmingUp()) {
     return 0;
   }
   // As many as here at each of the others.
   return (mContext.Routers() - 1) *
-         (it->second.mBegun + static_cast<double>(it->second.mWaiting.size()));
+         (it->second.mAdmitted +
+          static_cast<double>(it->second.mWaiting.size()));
 }
 
 void RelayAdmission::RecordDeadline(const std::string& aRoute,
                                     Millis aDeadline) {
-  mFirstDeadlines[aRoute].Record(aDeadline);
+  mRetryDetectors[aRoute].Record(aDeadline);
 }
 
 bool RelayAdmission::IsLikelyRetry(const std::string& aRoute,
                                    Millis aDeadline) const {
-  const auto it = mFirstDeadlines.find(aRoute);
-  return it != mFirstDeadlines.end() && it->second.IsLikelyRetry(aDeadline);
+  const auto it = mRetryDetectors.find(aRoute);
+  return it != mRetryDetectors.end() && it->second.IsLikelyRetry(aDeadline);
 }
 
-void RelayAdmission::MeasureCarried(const TrafficService& aService,
-                                    Gate& aGate) {
+void RelayAdmission::MeasurePathRate(const TrafficService& aService,
+                                     ServiceState& aState) {
   const Millis now = SteadyNow();
-  if (aGate.mCarriedAt >= 0 && now - aGate.mCarriedAt < kMeasureCarried) {
+  if (aState.mPathRateAt >= 0 &&
+      now - aState.mPathRateAt < kPathRateMeasureInterval) {
     return;
   }
-  aGate.mCarriedAt = now;
-  MeasureReading(aService, aGate);
+  aState.mPathRateAt = now;
+  MeasurePrefillCapacity(aService, aState);
   const std::string& zone = mContext.mOptions.mZone;
   EngineSample sample = SampleEngines(mContext.ReadyEngines(aService.mName),
                                       zone, SampleScope::kLocalZone,
                                       [this] { return mContext.Random(); });
-  if (aGate.mReading.mOwnZone) {
+  if (aState.mPrefill.mLocalZoneOnly) {
     std::erase_if(sample.mEngines, [&zone](const UpstreamRecord* aEngine) {
       return aEngine->mZone != zone;
     });
   }
-  aGate.mCarried = 0;
-  const auto paceOf = [this](const std::string& aInstance) {
-    return mContext.mPaces.SlowdownOf(aInstance);
+  aState.mPathRate = 0;
+  const auto slowdownOf = [this](const std::string& aInstance) {
+    return mContext.mSlowdowns.SlowdownOf(aInstance);
   };
   for (const PathShare& path :
-       DividePaths(aService.mEngine, sample.mEngines, paceOf)) {
-    aGate.mCarried += path.Rate() / sample.mShare / Sharers(aGate);
+       DividePaths(aService.mEngine, sample.mEngines, slowdownOf)) {
+    aState.mPathRate += path.Rate() / sample.mShare / SharingRouters(aState);
   }
-  if (aGate.mCarried > 0) {
-    aGate.mLostAt = -1;
-  } else if (aGate.mLostAt < 0) {
-    aGate.mLostAt = SteadyNow();
+  if (aState.mPathRate > 0) {
+    aState.mPathLostAt = -1;
+  } else if (aState.mPathLostAt < 0) {
+    aState.mPathLostAt = SteadyNow();
   }
 }
 
 Millis RelayAdmission::LoadingTimeLeft(const TrafficService& aService,
-                                       Gate& aGate) {
+                                       ServiceState& aState) {
   // The most layers that one engine holds: it loads as many at most.
   int layers = 0;
   for (const UpstreamRecord* engine : mContext.ReadyEngines(aService.mName)) {
@@ -157,30 +162,30 @@
   constexpr double kMillisPerSecond = 1000;
   const auto load =
       static_cast<Millis>(share * profile.mLoadSeconds * kMillisPerSecond);
-  const Millis since = SteadyNow() - aGate.mLostAt;
-  return std::max(kLeastLeft, kOrderTakes + load - since);
+  const Millis since = SteadyNow() - aState.mPathLostAt;
+  return std::max(kMinLoadingTimeLeft, kLoadOrderTime + load - since);
 }
 
-ReturnAdvice RelayAdmission::Return(const TrafficService* aService,
-                                    ReturnCause aCause, Millis aLeft) {
-  Gate& gate = mGates[aService == nullptr ? "" : aService->mName];
+ReturnAdvice RelayAdmission::AdviseReturn(const TrafficService* aService,
+                                          ReturnCause aCause, Millis aLeft) {
+  ServiceState& state = mServices[aService == nullptr ? "" : aService->mName];
   ReturnAdvice advice;
-  RetryScheduleRequest& question = advice.mQuestion;
-  question.mNow = SteadyNow();
-  question.mTimeLeft = aLeft;
-  question.mRandom = mContext.Random();
-  question.mFreeAfter =
-      aCause == ReturnCause::kNoLease ? kLeaseBack : kPlainFree;
+  RetryScheduleRequest& input = advice.mInput;
+  input.mNow = SteadyNow();
+  input.mTimeLeft = aLeft;
+  input.mRandom = mContext.Random();
+  input.mFreeAfter =
+      aCause == ReturnCause::kNoLease ? kLeaseRecoveryTime : kDefaultFreeTime;
   if (aCause == ReturnCause::kFull && aService != nullptr &&
       aService->IsEngine()) {
-    MeasureCarried(*aService, gate);
-    question.mFreePerMilli =
-        std::max(0.0, gate.mCarried - mContext.ArrivalsOf(aService->mName));
-    question.mFreeAfter =
-        gate.mCarried > 0 ? kPlainFree : LoadingTimeLeft(*aService, gate);
+    MeasurePathRate(*aService, state);
+    input.mFreePerMilli =
+        std::max(0.0, state.mPathRate - mContext.ArrivalsOf(aService->mName));
+    input.mFreeAfter = state.mPathRate > 0 ? kDefaultFreeTime
+                                           : LoadingTimeLeft(*aService, state);
   }
-  advice.mAnswer = gate.mReturns.Assign(question);
-  advice.mCallers = gate.mReturns.ExpectedCallers(question.mNow);
+  advice.mAnswer = state.mRetrySchedule.Assign(input);
+  advice.mCallers = state.mRetrySchedule.ExpectedCallers(input.mNow);
   return advice;
 }
 
--- a/daemons/relay/relay_admission.h
+++ b/daemons/relay/relay_admission.h
@@ -23,7 +23,7 @@
 
 /// A time to come back with what it was predicted from.
 struct ReturnAdvice {
-  RetryScheduleRequest mQuestion;
+  RetryScheduleRequest mInput;
   AssignedRetry mAnswer;
   int mCallers = 0;  ///< Callers that were told to come, with this one.
 };
@@ -34,12 +34,12 @@
   explicit RelayAdmission(RelayContext& aContext) : mContext(aContext) {}
 
   /// Whether what other routers let in is not known yet.
-  bool Opening();
+  bool IsWarmingUp();
   /// Asks for a request of an engine service, again and again until it goes.
-  WarmUpDecision Ask(const void* aRequest, const TrafficService& aService,
-                     const WarmUpRequest& aFacts);
+  WarmUpDecision TryAdmit(const void* aRequest, const TrafficService& aService,
+                          const WarmUpRequest& aFacts);
   /// The request asks no more.
-  void Leave(const void* aRequest);
+  void Withdraw(const void* aRequest);
   /// Requests that other routers may have begun in the opening and that are in
   /// no loads yet.
   double UnreportedRequests(const std::string& aService);
@@ -49,44 +49,45 @@
   bool IsLikelyRetry(const std::string& aRoute, Millis aDeadline) const;
   /// When a refused caller should come back. aService: nullptr where it is not
   /// known. aLeft: of the caller's time.
-  ReturnAdvice Return(const TrafficService* aService, ReturnCause aCause,
-                      Millis aLeft);
+  ReturnAdvice AdviseReturn(const TrafficService* aService, ReturnCause aCause,
+                            Millis aLeft);
 
  private:
-  /// What a router's share of the reading is made of.
-  struct Reading {
-    double mPerMilli = 0;   ///< Tokens that the engines read.
-    double mParts = 1;      ///< Zones that divide the routers; 1: none does.
-    bool mOwnZone = false;  ///< Of the own zone's engines only.
+  /// What a router's share of the prefill is made of.
+  struct PrefillCapacity {
+    double mTokensPerMilli = 0;  ///< Tokens that the engines read.
+    double mZoneCount = 1;  ///< Zones that divide the routers; 1: none does.
+    bool mLocalZoneOnly = false;  ///< Of the own zone's engines only.
     Millis mMeasuredAt = -1;
   };
 
   /// What is known of one service.
-  struct Gate {
-    Reading mReading;
-    WarmUpAdmission mStart;
+  struct ServiceState {
+    PrefillCapacity mPrefill;
+    WarmUpAdmission mWarmUp;
     std::set<const void*> mWaiting;
-    int mBegun = 0;  ///< In the opening.
-    RetrySchedule mReturns;
-    double mCarried = 0;     ///< Requests a millisecond that its zone carries.
-    Millis mCarriedAt = -1;  ///< When that was found.
-    Millis mLostAt = -1;     ///< Since when its zone has no whole path.
+    int mAdmitted = 0;  ///< In the opening.
+    RetrySchedule mRetrySchedule;
+    double mPathRate = 0;     ///< Requests a millisecond that its zone carries.
+    Millis mPathRateAt = -1;  ///< When that was found.
+    Millis mPathLostAt = -1;  ///< Since when its zone has no whole path.
   };
 
   /// By the engines of this router's zone, or of all where these lack a layer.
-  void MeasureReading(const TrafficService& aService, Gate& aGate);
+  void MeasurePrefillCapacity(const TrafficService& aService,
+                              ServiceState& aState);
   /// Routers that share what was measured.
-  double Sharers(const Gate& aGate) const;
+  double SharingRouters(const ServiceState& aState) const;
   /// What the paths of the zone carry, or since when it has no whole one.
-  void MeasureCarried(const TrafficService& aService, Gate& aGate);
+  void MeasurePathRate(const TrafficService& aService, ServiceState& aState);
   /// Until the layers that the zone lacks are most likely loaded.
-  Millis LoadingTimeLeft(const TrafficService& aService, Gate& aGate);
+  Millis LoadingTimeLeft(const TrafficService& aService, ServiceState& aState);
 
   RelayContext& mContext;
-  std::map<std::string, Gate> mGates;                    ///< By service.
-  std::map<std::string, RetryDetector> mFirstDeadlines;  ///< By route.
-  Millis mOpenedAt = -1;  ///< When the first request could be let in.
-  bool mOpening = true;
+  std::map<std::string, ServiceState> mServices;         ///< By service.
+  std::map<std::string, RetryDetector> mRetryDetectors;  ///< By route.
+  Millis mWarmUpStartedAt = -1;  ///< When the first request could be let in.
+  bool mWarmingUp = true;
 };
 
 }  // namespace spindleweir
--- a/daemons/relay/relay_answer.cpp
+++ b/daemons/relay/relay_answer.cpp
@@ -1,4 +1,4 @@
-/// The parts of a request that take what an upstream answers.
+/// The stages of a request that take what an upstream answers.
 #include <algorithm>
 #include <optional>
 
@@ -30,13 +30,13 @@
     AttemptFailed(Ran::kUnknown, ResultCode::kUpstreamGarbled, true);
     return;
   }
-  TakeLimit(facts.mLimit);
-  TakeLeaving(facts.mLeaves);
+  ApplyLimit(facts.mLimit);
+  ApplyLeaving(facts.mLeaves);
   if (facts.mRest > 0 && IsCurrent()) {
-    mContext.mRests.Extend(mAttempt->mInstance, facts.mRest, SteadyNow());
+    mContext.mBackoffs.Extend(mAttempt->mInstance, facts.mRest, SteadyNow());
   }
   if (facts.mRan == Ran::kNo) {
-    mContext.Refused(Refuser());
+    mContext.RecordRefusal(Refuser());
     AttemptFailed(Ran::kNo, ResultCode::kUpstreamFull, true);
     return;
   }
@@ -50,19 +50,19 @@
 const std::string& RelayRequest::Refuser() const {
   const LayerPath& path = mAttempt->mPath;
   const auto it =
-      std::find_if(path.begin(), path.end(), [this](const PathStage& aPart) {
-        return aPart.mAddress == mAttempt->mFacts.mCulprit;
+      std::find_if(path.begin(), path.end(), [this](const PathStage& aStage) {
+        return aStage.mAddress == mAttempt->mFacts.mCulprit;
       });
   return it == path.end() ? mAttempt->mInstance : it->mInstance;
 }
 
-void RelayRequest::TakeLimit(const LimitWord& aWord) {
+void RelayRequest::ApplyLimit(const LimitWord& aWord) {
   const std::string& instance = mAttempt->mInstance;
-  const bool isNews =
+  const bool isNewer =
       aWord.mClear && IsCurrent() &&
       mContext.mLimits.OnAnswer(instance, aWord.mPerSecond,
                                 mAttempt->mStartedAt, SteadyNow());
-  if (isNews || !aWord.mClear) {
+  if (isNewer || !aWord.mClear) {
     LogLine(LogLevel::kInfo, "limit_named")
         .Add("instance", instance)
         .Add("request", mFacts.mId)
@@ -73,7 +73,7 @@
   }
 }
 
-void RelayRequest::TakeLeaving(bool aLeaves) {
+void RelayRequest::ApplyLeaving(bool aLeaves) {
   const UpstreamRecord* record = mContext.mRegistry.Find(mAttempt->mInstance);
   if (!aLeaves || record == nullptr || !IsCurrent() ||
       IsLeavingOrGone(record->mState)) {
@@ -94,7 +94,7 @@
   if (mAttempt == nullptr) {
     return;
   }
-  mAttempt->mHeardAt = SteadyNow();
+  mAttempt->mLastDataAt = SteadyNow();
   mAttempt->mSilentSince = mContext.mLoop.RunningNow();
   const bool isStream =
       mAttempt->mFacts.mIsStream && IsSuccess(mAttempt->mHead.mStatus);
@@ -108,7 +108,7 @@
 void RelayRequest::HandleBody(std::string_view aBytes) {
   if (mAttempt->mPassesThrough) {
     mExchange->Write(aBytes);
-    PushBack();
+    ApplyBackpressure();
     return;
   }
   mAttempt->mBody += aBytes;
@@ -129,9 +129,9 @@
   if (memory == nullptr) {
     return true;
   }
-  memory->Set(BufferKind::kPartial, mAttempt->mBody.size() +
-                                        mAttempt->mEvents.Incomplete().size() +
-                                        (mKept ? mKept->mBody.size() : 0));
+  memory->Set(BufferKind::kPartial,
+              mAttempt->mBody.size() + mAttempt->mEvents.Incomplete().size() +
+                  (mFallback ? mFallback->mBody.size() : 0));
   return memory->MayCollect();
 }
 
@@ -145,7 +145,7 @@
   // What fails from here on cannot be tried at another upstream: the caller
   // has the head, and perhaps more.
   mAttempt->mPassesThrough = true;
-  mKept.reset();
+  mFallback.reset();
   const std::string* length =
       FindHeader(mAttempt->mHead.mHeaders, "Content-Length");
   std::optional<std::size_t> bytes;
@@ -159,15 +159,15 @@
   mAttempt->mBody = std::string();
   (void)MayCollect();
   mContext.mCounters.Add("memory_handed_on");
-  PushBack();
+  ApplyBackpressure();
 }
 
-void RelayRequest::PushBack() {
+void RelayRequest::ApplyBackpressure() {
   if (mExchange->MayBringMore()) {
     return;
   }
   mAttempt->mCall->Pause(true);
-  mContext.mGuard->Watch().Suspend(mKey);
+  mContext.mGuard->Detector().Suspend(mKey);
   mContext.mCounters.Add("memory_pauses");
 }
 
@@ -194,8 +194,8 @@
                        std::nullopt);
     }
     const Millis now = SteadyNow();
-    mContext.mGuard->Progress(mKey, now);
-    EndReading();
+    mContext.mGuard->OnEvent(mKey, now);
+    EndPrefill();
     if (mFirstEventAt == 0) {
       mFirstEventAt = now;
     } else {
@@ -209,7 +209,7 @@
     }
   }
   (void)MayCollect();
-  PushBack();
+  ApplyBackpressure();
 }
 
 void RelayRequest::HandleEnd(StreamEnd aEnd) {
@@ -227,12 +227,12 @@
       AttemptFailed(Ran::kUnknown, ResultCode::kUpstreamGarbled, true);
       return;
     case StreamEnd::kComplete:
-      HandleWholeAnswer();
+      HandleFullAnswer();
       return;
   }
 }
 
-void RelayRequest::HandleWholeAnswer() {
+void RelayRequest::HandleFullAnswer() {
   const int status = mAttempt->mHead.mStatus;
   if (mAttempt->mPassesThrough) {
     mExchange->End();
@@ -247,14 +247,14 @@
   if (!isStream) {
     const bool failed = status >= 500;
     if (failed) {
-      mContext.Failed(mAttempt->mInstance, 0);
+      mContext.RecordFailure(mAttempt->mInstance, 0);
       if (MayTryAgain(Ran::kYes)) {
-        mKept = KeptAnswer{mAttempt->mHead, mAttempt->mBody};
+        mFallback = FallbackAnswer{mAttempt->mHead, mAttempt->mBody};
         AttemptFailed(Ran::kYes, ResultCode::kOutcomeUnknown, true);
         return;
       }
     } else {
-      mContext.Succeeded(mAttempt->mInstance);
+      mContext.RecordSuccess(mAttempt->mInstance);
       mContext.RecordPlainTime(mService->mName,
                                SteadyNow() - mAttempt->mStartedAt);
     }
@@ -271,7 +271,7 @@
     AttemptFailed(Ran::kUnknown, ResultCode::kStreamBroken, true);
     return;
   }
-  mContext.Succeeded(mAttempt->mInstance);
+  mContext.RecordSuccess(mAttempt->mInstance);
   if (!mExchange->Started()) {
     mExchange->Start(status,
                      mContext.mOptions.mCallers.mWriteAnswer(mAttempt->mHead),
--- a/daemons/relay/relay_attempt.cpp
+++ b/daemons/relay/relay_attempt.cpp
@@ -1,4 +1,4 @@
-/// The parts of a request that send it to upstreams and try again.
+/// The stages of a request that send it to upstreams and try again.
 #include "daemons/relay/relay_request.h"
 
 #include <algorithm>
@@ -10,26 +10,26 @@
 
 namespace {
 
-constexpr Millis kSilencePeriod = 100;
+constexpr Millis kSilenceCheckInterval = 100;
 /// An upstream that failed is left alone for so long.
 constexpr Millis kAvoidAfterLoss = 1500;
 /// Attempts that did not leave this process, and that upstreams refused.
-constexpr int kMostNotSent = 3;
-constexpr int kMostRefused = 3;
-constexpr int kMostRefusedMidway = 8;
-constexpr Millis kAskForPathAgain = 80;
-constexpr Millis kAskForPathLate = 500;
-constexpr Millis kGapPart = 8;
-constexpr Millis kLeastForAttempt = 20;
-constexpr Millis kAskForRetryAgain = 20;
-/// So long any request waits for control's word on one more retry: a question
+constexpr int kMaxUnsent = 3;
+constexpr int kMaxRefusals = 3;
+constexpr int kMaxRefusalsMidway = 8;
+constexpr Millis kMinPathRetryDelay = 80;
+constexpr Millis kMaxPathRetryDelay = 500;
+constexpr Millis kGapDivisor = 8;
+constexpr Millis kMinTimeForAttempt = 20;
+constexpr Millis kRetryCreditPollInterval = 20;
+/// So long any request waits for control's word on one more retry: a query
 /// takes some milliseconds, and a busy router twice as long.
-constexpr Millis kGrantTakes = 60;
+constexpr Millis kCreditTimeout = 60;
 /// So long a request that has come back is kept where there is no room; its
 /// caller leaves after two seconds without an event. While 40 in 100 of the
 /// engines were slow, 377 requests of 9,400 were refused at their second
 /// attempt, and first comers, which come back, took the places.
-constexpr Millis kHoldRetries = 1500;
+constexpr Millis kMaxRetryHold = 1500;
 
 }  // namespace
 
@@ -43,7 +43,7 @@
       return "retries";
     case Lack::kPath:
       return "path";
-    case Lack::kRoom:
+    case Lack::kCapacity:
       return "room";
   }
   return "";
@@ -58,9 +58,9 @@
   LogLine(LogLevel::kInfo, "lacks")
       .Add("request", mFacts.mId)
       .Add("what", LackName(aLack))
-      .Add("sent", mSent)
-      .Add("refused", mRefused)
-      .Add("retries_left", mContext.RetriesOf(mService->mName)
+      .Add("sent", mRanAttempts)
+      .Add("refused", mRefusedAttempts)
+      .Add("retries_left", mContext.RetryAllowanceOf(mService->mName)
                                .Available(mContext.Routers(), now))
       .Add("routers", mContext.Routers())
       .Add("events", mEvents)
@@ -81,20 +81,21 @@
   }
   mAttempt = std::make_unique<Attempt>();
   mAttempt->mStartedAt = SteadyNow();
-  mAttempt->mHeardAt = mAttempt->mStartedAt;
+  mAttempt->mLastDataAt = mAttempt->mStartedAt;
   mAttempt->mSilentSince = mContext.mLoop.RunningNow();
-  mLacksRoom = false;
+  mLacksCapacity = false;
   const bool found = mService->IsEngine() ? ChooseEnginePath(*mAttempt)
                                           : ChoosePlainUpstream(*mAttempt);
   const UpstreamRecord* first =
       found ? mContext.mRegistry.Find(mAttempt->mInstance) : nullptr;
   if (first == nullptr) {
     mAttempt.reset();
-    SetLack(mLacksRoom ? Lack::kRoom : Lack::kPath);
+    SetLack(mLacksCapacity ? Lack::kCapacity : Lack::kPath);
     if (WaitForPath()) {
       return;
     }
-    GiveUp(mLacksRoom ? ResultCode::kUpstreamFull : ResultCode::kNoUpstream);
+    GiveUp(mLacksCapacity ? ResultCode::kUpstreamFull
+                          : ResultCode::kNoUpstream);
     return;
   }
   mLack = Lack::kNothing;
@@ -103,7 +104,7 @@
 
 bool RelayRequest::WaitForPath() {
   // Any request is worth a wait while the upstreams' first heartbeats come in.
-  const bool starts = MayWaitForStart() && Remaining() > kAskForPathAgain;
+  const bool starts = MayWaitForStartUp() && Remaining() > kMinPathRetryDelay;
   if (!IsWorthWaiting() && !starts) {
     return false;
   }
@@ -111,79 +112,79 @@
   // for long already looks less often.
   const Millis gap = mEvents == 0 ? 0 : SteadyNow() - mLastEventAt;
   const Millis after =
-      std::clamp(gap / kGapPart, kAskForPathAgain, kAskForPathLate);
+      std::clamp(gap / kGapDivisor, kMinPathRetryDelay, kMaxPathRetryDelay);
   mPathTimer = mContext.mLoop.After(after, [this] { StartAttempt(); });
   return true;
 }
 
 bool RelayRequest::ChoosePlainUpstream(Attempt& aAttempt) {
-  ServiceQuery question;
-  question.mZone = mContext.mOptions.mZone;
-  question.mUpstreams = mContext.mRegistry.OfService(mService->mName);
-  const std::size_t known = question.mUpstreams.size();
-  mWithoutRoom.reset();
-  const std::set<std::string> held = mContext.HeldBack();
-  std::erase_if(question.mUpstreams, [&held](const auto* aRecord) {
+  ServiceQuery query;
+  query.mZone = mContext.mOptions.mZone;
+  query.mUpstreams = mContext.mRegistry.OfService(mService->mName);
+  const std::size_t known = query.mUpstreams.size();
+  mFullUpstream.reset();
+  const std::set<std::string> held = mContext.HeldUpstreams();
+  std::erase_if(query.mUpstreams, [&held](const auto* aRecord) {
     return held.contains(aRecord->mInstance);
   });
-  const PlainQuestion plain{.mUpstreams = known,
-                            .mBodyBytes = mExchange->Body().size(),
-                            .mTarget = mRoute->mTargetLatency,
-                            .mArrivedAt = mAskedAt};
-  std::erase_if(question.mUpstreams, [this, &plain](const auto* aRecord) {
+  const PlainServiceQuery plain{.mUpstreams = known,
+                                .mBodyBytes = mExchange->Body().size(),
+                                .mTarget = mRoute->mTargetLatency,
+                                .mArrivedAt = mArrivedAt};
+  std::erase_if(query.mUpstreams, [this, &plain](const auto* aRecord) {
     const UpstreamOccupancy occupancy = mContext.OccupancyOf(*aRecord, plain);
     const bool full = !MaySendTo(occupancy, mContext.mOptions.mUpstreams);
     if (full) {
-      mWithoutRoom = occupancy;
+      mFullUpstream = occupancy;
     }
     return full;
   });
-  mLacksRoom = question.mUpstreams.size() < known;
-  question.mAvoid = mContext.Avoided();
-  question.mAvoid.insert(mTried.begin(), mTried.end());
-  question.mRequestsOf = [this](const std::string& aInstance) {
+  mLacksCapacity = query.mUpstreams.size() < known;
+  query.mAvoid = mContext.AvoidedInstances();
+  query.mAvoid.insert(mTried.begin(), mTried.end());
+  query.mRequestsOf = [this](const std::string& aInstance) {
     return mContext.LoadOf(aInstance).mRequests;
   };
-  question.mFailuresOf = [this](const std::string& aInstance) {
-    return mContext.FailuresOf(aInstance);
+  query.mFailuresOf = [this](const std::string& aInstance) {
+    return mContext.FailureShareOf(aInstance);
   };
-  question.mRandom = [this] { return mContext.Random(); };
-  aAttempt.mInstance = ChooseUpstream(question);
+  query.mRandom = [this] { return mContext.Random(); };
+  aAttempt.mInstance = ChooseUpstream(query);
   return !aAttempt.mInstance.empty();
 }
 
 bool RelayRequest::ChooseEnginePath(Attempt& aAttempt) {
-  PathQuery question = EngineQuestion();
-  PathResult answer = mContext.ChoosePathOf(mService->mName, question);
-  if (answer.mPath.empty() && question.mSampleShare < 1) {
-    question = EngineQuestion(SampleScope::kAllZones);
-    answer = mContext.ChoosePathOf(mService->mName, question);
+  PathQuery query = EngineQuery();
+  PathResult answer = mContext.ChoosePathFor(mService->mName, query);
+  if (answer.mPath.empty() && query.mSampleShare < 1) {
+    query = EngineQuery(SampleScope::kAllZones);
+    answer = mContext.ChoosePathFor(mService->mName, query);
   }
   if (answer.mPath.empty() && !answer.mLacksRoom) {
     LogLine(LogLevel::kInfo, "nobody_left")
         .Add("request", mFacts.mId)
-        .Add("avoided", static_cast<int>(question.mExcludedEngines.size()))
-        .Add("held_back",
-             static_cast<int>(question.mExcludedFirstStages.size()));
+        .Add("avoided", static_cast<int>(query.mExcludedEngines.size()))
+        .Add("held_back", static_cast<int>(query.mExcludedFirstStages.size()));
     // Better one that failed lately than none. But one that refuses would do so
     // until all attempts are used: who can wait does.
-    question.mExcludedEngines =
-        IsWorthWaiting() ? mContext.RefusedLately() : std::set<std::string>();
-    answer = ChoosePath(question);
+    query.mExcludedEngines =
+        IsWorthWaiting() ? mContext.RecentRefusers() : std::set<std::string>();
+    answer = ChoosePath(query);
   }
-  mLacksRoom = answer.mLacksRoom;
+  mLacksCapacity = answer.mLacksRoom;
   if (answer.mPath.empty()) {
     // It may only be that nobody may be asked just now.
-    const bool held = !question.mExcludedFirstStages.empty();
-    question.mExcludedFirstStages.clear();
-    mLacksRoom = mLacksRoom || (held && !ChoosePath(question).mPath.empty());
+    const bool held = !query.mExcludedFirstStages.empty();
+    query.mExcludedFirstStages.clear();
+    mLacksCapacity =
+        mLacksCapacity || (held && !ChoosePath(query).mPath.empty());
     return false;
   }
-  SpendPipe(question, answer);
-  aAttempt.mDealt = answer.mDrawnByWeight;
+  SpendInterZoneBudget(query, answer);
+  aAttempt.mDrawnByWeight = answer.mDrawnByWeight;
   aAttempt.mPath = std::move(answer.mPath);
   aAttempt.mInstance = aAttempt.mPath.front().mInstance;
-  aAttempt.mTokens = question.mTokens;
+  aAttempt.mTokens = query.mTokens;
   return true;
 }
 
@@ -196,9 +197,9 @@
     return;
   }
   bool first = true;
-  for (const PathStage& part : mAttempt->mPath) {
-    mContext.AddLoad(part.mInstance, aSign,
-                     aSign * mAttempt->mTokens * part.mLayers.Count(),
+  for (const PathStage& stage : mAttempt->mPath) {
+    mContext.AddLoad(stage.mInstance, aSign,
+                     aSign * mAttempt->mTokens * stage.mLayers.Count(),
                      first ? aSign : 0);
     first = false;
   }
@@ -210,7 +211,7 @@
   }
   const UpstreamRecord* record = mContext.mRegistry.Find(mAttempt->mInstance);
   return record != nullptr && IsCurrent() && !IsLeavingOrGone(record->mState) &&
-         !mContext.mRests.IsActive(mAttempt->mInstance, SteadyNow()) &&
+         !mContext.mBackoffs.IsActive(mAttempt->mInstance, SteadyNow()) &&
          Remaining() > 0 && !IsBarred();
 }
 
@@ -247,27 +248,28 @@
   mContext.mLimits.OnRequestSent(mAttempt->mInstance);
   mTried.insert(mAttempt->mInstance);
   CountLoad(1);
-  BeginReading(mAttempt->mPath);
+  BeginPrefill(mAttempt->mPath);
   WatchAttempt();
   mAttempt->mCall = StartStreamCall(mContext.mLoop, std::move(options));
   const bool watched = mRoute->mKind == RouteKind::kStream;
   if (watched && mSilenceTimer == nullptr) {
     mSilenceTimer =
-        mContext.mLoop.Every(kSilencePeriod, [this] { CheckSilence(); });
+        mContext.mLoop.Every(kSilenceCheckInterval, [this] { CheckSilence(); });
   }
 }
 
 double RelayRequest::KnownFillOf(const std::string& aAddress) const {
-  for (const PathStage& part : mAttempt->mPath) {
-    const UpstreamRecord* engine = mContext.mRegistry.Find(part.mInstance);
+  for (const PathStage& stage : mAttempt->mPath) {
+    const UpstreamRecord* engine = mContext.mRegistry.Find(stage.mInstance);
     const AcceleratorKind* kind =
-        part.mAddress != aAddress || engine == nullptr
+        stage.mAddress != aAddress || engine == nullptr
             ? nullptr
             : mService->mEngine.FindKind(engine->mKind);
     if (kind != nullptr) {
       const double room = EngineModel(mService->mEngine, *kind)
                               .RequestCapacity(engine->mLayers.Count());
-      return mContext.LoadOf(part.mInstance).mTokenLayers / std::max(1.0, room);
+      return mContext.LoadOf(stage.mInstance).mTokenLayers /
+             std::max(1.0, room);
     }
   }
   return -1;
@@ -276,8 +278,8 @@
 void RelayRequest::LogFailure(Ran aRan, ResultCode aCode) const {
   LogLine(LogLevel::kWarning, "attempt_failed")
       .Add("culprit_fill", KnownFillOf(mAttempt->mFacts.mCulprit))
-      .Add("dealt", mAttempt->mDealt)
-      .Add("loads_age_ms", static_cast<Json::Int64>(mContext.LoadsAge()))
+      .Add("dealt", mAttempt->mDrawnByWeight)
+      .Add("loads_age_ms", static_cast<Json::Int64>(mContext.PeerLoadsAge()))
       .Add("request", mFacts.mId)
       .Add("content", Content())
       .Add("instance", mAttempt->mInstance)
@@ -289,31 +291,32 @@
       .Add("took_ms",
            static_cast<Json::Int64>(SteadyNow() - mAttempt->mStartedAt))
       .Add("silent_ms",
-           static_cast<Json::Int64>(SteadyNow() - mAttempt->mHeardAt));
+           static_cast<Json::Int64>(SteadyNow() - mAttempt->mLastDataAt));
 }
 
 bool RelayRequest::MayTryAgain(Ran aRan) const {
   const bool passesThrough = mAttempt != nullptr && mAttempt->mPassesThrough;
   const bool allowed =
       (aRan == Ran::kNo || mRoute->Repeatable()) && !passesThrough;
-  const int sent = mSent + (aRan == Ran::kNo ? 0 : 1);
+  const int sent = mRanAttempts + (aRan == Ran::kNo ? 0 : 1);
   const int refusals = mExchange->Started() || IsLikelyRetry()
-                           ? kMostRefusedMidway
-                           : kMostRefused;
-  return allowed && sent < mRoute->mMaxAttempts && mRefused < refusals &&
-         mNotSent < kMostNotSent && Remaining() > kLeastForAttempt &&
-         !mExchange->Closed() && !IsBarred();
+                           ? kMaxRefusalsMidway
+                           : kMaxRefusals;
+  return allowed && sent < mRoute->mMaxAttempts &&
+         mRefusedAttempts < refusals && mUnsentAttempts < kMaxUnsent &&
+         Remaining() > kMinTimeForAttempt && !mExchange->Closed() &&
+         !IsBarred();
 }
 
-void RelayRequest::NoteLost() {
+void RelayRequest::RecordLostAttempt() {
   // Of the first of its path alone: where several engines end at once, what
   // passed them all would count as having crashed each. 4 crashes in a moment
   // barred requests that had crashed nothing.
-  mContext.mGuard->AttemptLost({.mInstance = mAttempt->mInstance,
-                                .mStart = mAttempt->mStart,
-                                .mRequestDigest = Content(),
-                                .mStartedAt = mAttempt->mStartedAt,
-                                .mDeliveredEvents = mAttempt->mHadEvents});
+  mContext.mGuard->OnAttemptLost({.mInstance = mAttempt->mInstance,
+                                  .mStart = mAttempt->mStart,
+                                  .mRequestDigest = Content(),
+                                  .mStartedAt = mAttempt->mStartedAt,
+                                  .mDeliveredEvents = mAttempt->mHadEvents});
 }
 
 void RelayRequest::AttemptFailed(Ran aRan, ResultCode aCode, bool aWasSent) {
@@ -321,17 +324,17 @@
   LogFailure(aRan, aCode);
   mMayHaveRun = mMayHaveRun || aRan != Ran::kNo;
   if (aRan != Ran::kNo) {
-    mSent++;
+    mRanAttempts++;
   } else if (aWasSent) {
-    mRefused++;
+    mRefusedAttempts++;
   } else {
-    mNotSent++;
+    mUnsentAttempts++;
   }
   if ((aRan == Ran::kUnknown || !aWasSent) && IsCurrent()) {
-    mContext.Failed(mAttempt->mInstance, kAvoidAfterLoss);
+    mContext.RecordFailure(mAttempt->mInstance, kAvoidAfterLoss);
   }
   if (aRan == Ran::kUnknown && aWasSent) {
-    NoteLost();
+    RecordLostAttempt();
   }
   DropAttempt();
   if (!mayTryAgain) {
@@ -348,33 +351,33 @@
 }
 
 bool RelayRequest::TrySpendRetry() {
-  if (mContext.RetriesOf(mService->mName)
+  if (mContext.RetryAllowanceOf(mService->mName)
           .TrySpend(mContext.Routers(), SteadyNow())) {
     return true;
   }
-  // An equal part of the bound is soon spent where one upstream took many
+  // An equal stage of the bound is soon spent where one upstream took many
   // requests of this router; those of others lie idle then.
-  mContext.mRetryWishes->Want(mService->mName, this);
+  mContext.mRetryCreditRequester->Request(mService->mName, this);
   return false;
 }
 
-bool RelayRequest::AwaitsGrant() {
+bool RelayRequest::MayWaitForCredit() {
   const Millis now = SteadyNow();
-  mGrantAwaitedAt = mGrantAwaitedAt == 0 ? now : mGrantAwaitedAt;
+  mCreditAwaitedAt = mCreditAwaitedAt == 0 ? now : mCreditAwaitedAt;
   return mContext.mOptions.mRetries.mPooledShare > 0 &&
-         now - mGrantAwaitedAt < kGrantTakes && !mExchange->Closed() &&
-         Remaining() > kGrantTakes;
+         now - mCreditAwaitedAt < kCreditTimeout && !mExchange->Closed() &&
+         Remaining() > kCreditTimeout;
 }
 
 void RelayRequest::PayForRetry(ResultCode aCode) {
   if (TrySpendRetry()) {
     mContext.mCounters.Add("retries");
-    mGrantAwaitedAt = 0;
+    mCreditAwaitedAt = 0;
     StartAttempt();
     return;
   }
   SetLack(Lack::kRetries);
-  if (!IsWorthWaiting() && !AwaitsGrant()) {
+  if (!IsWorthWaiting() && !MayWaitForCredit()) {
     GiveUp(aCode);
     return;
   }
@@ -382,7 +385,7 @@
   // stream that was broken off at once lost all that its caller had read: 4 to
   // 6 of a release of 15 engines, each refused by its second engine within 4 ms
   // of the cut.
-  mPathTimer = mContext.mLoop.After(kAskForRetryAgain,
+  mPathTimer = mContext.mLoop.After(kRetryCreditPollInterval,
                                     [this, aCode] { PayForRetry(aCode); });
 }
 
@@ -396,22 +399,22 @@
 bool RelayRequest::IsWorthWaiting() const {
   const Millis waited = SteadyNow() - mExchange->ReceivedAt();
   const bool held = IsLikelyRetry() && !mExchange->Started() &&
-                    waited < std::min(kHoldRetries, mFacts.mDeadline / 2);
+                    waited < std::min(kMaxRetryHold, mFacts.mDeadline / 2);
   if (held) {
-    return !mExchange->Closed() && Remaining() > kAskForPathAgain;
+    return !mExchange->Closed() && Remaining() > kMinPathRetryDelay;
   }
   // The caller of a stream that has begun reads on and knows best how long it
   // waits for the next event. Broken off sooner it loses what it has read,
   // though a retry comes free or an engine is back with most of its time left.
   return mExchange->Started() && !mExchange->Closed() &&
-         Remaining() > kAskForPathAgain;
+         Remaining() > kMinPathRetryDelay;
 }
 
 void RelayRequest::DropAttempt() {
   if (mAttempt == nullptr) {
     return;
   }
-  EndReading();
+  EndPrefill();
   CountLoad(-1);
   if (mAttempt->mCall != nullptr) {
     // It may be on the stack: it goes in the next turn of the loop, and its
@@ -420,7 +423,7 @@
     call->Abandon();
     mContext.mLoop.Post([call] {});
   }
-  mContext.mGuard->Watch().End(mKey);
+  mContext.mGuard->Detector().End(mKey);
   mAttempt.reset();
 }
 
--- a/daemons/relay/relay_context.cpp
+++ b/daemons/relay/relay_context.cpp
@@ -17,27 +17,27 @@
 constexpr double kFailureHalfLife = 3000;
 /// A start lasts this many times as long as a request waits for it: control
 /// elects a leader and hears each upstream once meanwhile.
-constexpr Millis kStartWaits = 2;
+constexpr Millis kStartUpWaits = 2;
 /// Loads of others are forgotten at this age; what comes and goes in a longer
 /// time has mostly ended.
-constexpr Millis kOldestNews = 2500;
+constexpr Millis kMaxPeerReportAge = 2500;
 /// Paths are divided anew this often: until then those of before may lead over
 /// layers that an engine held before it started again.
-constexpr Millis kPathsDividedAnew = 300;
+constexpr Millis kPathRedivisionInterval = 300;
 /// A plain service is taken to answer within this time while no answer came
 /// lately, or within its route's target where that is shorter: the target is
 /// what callers bear, many times what a call takes.
-constexpr Millis kExpectedTime = 100;
-/// Of its requests a router sends this part to an upstream of another zone,
+constexpr Millis kDefaultAnswerTime = 100;
+/// Of its requests a router sends this stage to an upstream of another zone,
 /// where one of its own zone may not be sent to.
-constexpr double kToOtherZones = 0.1;
+constexpr double kOtherZoneShare = 0.1;
 constexpr double kMillisPerSecond = 1000;
 constexpr double kThousandths = 1000;
 /// An upstream that refused is left alone for so long, twice as long each time
 /// that it refuses again after it, up to a bound.
 constexpr Millis kAvoidAfterRefusal = 300;
-constexpr Millis kMostAfterRefusals = 3000;
-constexpr int kMostDoublings = 4;
+constexpr Millis kMaxAvoidAfterRefusals = 3000;
+constexpr int kMaxRefusalDoublings = 4;
 
 MemoryBudgetOptions MemoryOf(const RelayOptions& aOptions) {
   MemoryBudgetOptions options =
@@ -63,8 +63,8 @@
                      return DemandOf(aInstance);
                    },
                .mRandom = [this] { return Random(); }}),
-      mStopIntake({.mGrace = PlannedStop::GraceOf(mOptions)}),
-      mOtherLoadsTrueAt(SteadyNow()),
+      mShutdownAdmission({.mGrace = PlannedStop::GraceOf(mOptions)}),
+      mPeerLoadsAsOf(SteadyNow()),
       mRouters({.mRetention = mOptions.mRetries.mWindow}),
       mRandom(std::random_device{}()),
       mStartedAt(SteadyNow()) {
@@ -76,12 +76,12 @@
 
 void RelayContext::ForgetPredecessor(const UpstreamRecord& aSuccessor) {
   const std::string& instance = aSuccessor.mInstance;
-  mExperience.erase(instance);
-  mExperience[instance].mAvoidUntil = SteadyNow() + kPathsDividedAnew;
-  mOtherLoads.erase(instance);
-  mPaces.Forget(instance);
+  mHistories.erase(instance);
+  mHistories[instance].mAvoidUntil = SteadyNow() + kPathRedivisionInterval;
+  mPeerLoads.erase(instance);
+  mSlowdowns.Forget(instance);
   mLimits.Forget(instance);
-  mRests.Forget(instance);
+  mBackoffs.Forget(instance);
   mRestarted.insert(instance);
   mCounters.Add("upstreams_restarted");
   LogLine(LogLevel::kInfo, "upstream_restarted")
@@ -98,10 +98,10 @@
   if (record != nullptr) {
     const bool near = record->mZone == mOptions.mZone;
     demand.mLocal = ArrivalsOf(record->mService) * kMillisPerSecond *
-                    (near ? 1 : kToOtherZones);
+                    (near ? 1 : kOtherZoneShare);
   }
-  const auto others = mOtherLoads.find(aInstance);
-  if (others != mOtherLoads.end()) {
+  const auto others = mPeerLoads.find(aInstance);
+  if (others != mPeerLoads.end()) {
     demand.mPeersKnown = true;
     demand.mPeers =
         static_cast<double>(others->second.mDemandThousandths) / kThousandths;
@@ -119,19 +119,21 @@
          mTable->Configuration().FindService(aService) != nullptr;
 }
 
-bool RelayContext::Starting() const {
-  return SteadyNow() - mStartedAt < kStartWaits * mOptions.mStartWait;
+bool RelayContext::IsStartingUp() const {
+  return SteadyNow() - mStartedAt < kStartUpWaits * mOptions.mStartWait;
 }
 
-void RelayContext::Accept(const TrafficUpdate& aNews) {
+void RelayContext::ApplyUpdate(const TrafficUpdate& aUpdate) {
   const std::int64_t held = mTable == nullptr ? 0 : mTable->Version();
-  const bool follows = aNews.mBaseVersion == 0 || aNews.mBaseVersion == held;
-  if (aNews.mVersion <= held || !follows) {
+  const bool follows =
+      aUpdate.mBaseVersion == 0 || aUpdate.mBaseVersion == held;
+  if (aUpdate.mVersion <= held || !follows) {
     return;
   }
   const TrafficConfiguration* base =
       mTable == nullptr ? nullptr : &mTable->Configuration();
-  mTable = std::make_shared<const RouteTable>(ApplyTrafficUpdate(base, aNews));
+  mTable =
+      std::make_shared<const RouteTable>(ApplyTrafficUpdate(base, aUpdate));
   mCounters.Set("traffic_version", mTable->Version());
   LogLine(LogLevel::kInfo, "configuration_in_force")
       .Add("version", static_cast<Json::Int64>(mTable->Version()))
@@ -140,28 +142,28 @@
 
 void RelayContext::AddLoad(const std::string& aInstance, int aRequests,
                            double aTokenLayers, int aFirsts) {
-  LoadShare& load = mOwnLoads[aInstance];
+  LoadShare& load = mLocalLoads[aInstance];
   load.mInstance = aInstance;
   load.mRequests += aRequests;
   load.mTokenLayers += std::llround(aTokenLayers);
   load.mFirstStageRequests += aFirsts;
   if (load.mRequests <= 0) {
-    mOwnLoads.erase(aInstance);
+    mLocalLoads.erase(aInstance);
   }
 }
 
-void RelayContext::AddReading(const std::string& aInstance,
+void RelayContext::AddPrefill(const std::string& aInstance,
                               double aTokenLayers) {
-  const auto it = mOwnLoads.find(aInstance);
-  if (it != mOwnLoads.end()) {
+  const auto it = mLocalLoads.find(aInstance);
+  if (it != mLocalLoads.end()) {
     it->second.mPrefillTokenLayers = std::max<std::int64_t>(
         0, it->second.mPrefillTokenLayers + std::llround(aTokenLayers));
   }
 }
 
 EngineLoad RelayContext::LoadOf(const std::string& aInstance) const {
-  EngineLoad load{.mSlowdown = mPaces.SlowdownOf(aInstance)};
-  for (const auto* loads : {&mOwnLoads, &mOtherLoads}) {
+  EngineLoad load{.mSlowdown = mSlowdowns.SlowdownOf(aInstance)};
+  for (const auto* loads : {&mLocalLoads, &mPeerLoads}) {
     const auto it = loads->find(aInstance);
     if (it != loads->end()) {
       const LoadShare& share = it->second;
@@ -176,107 +178,109 @@
   return load;
 }
 
-LoadShares RelayContext::OwnLoads() const {
-  LoadShares loads = mOwnLoads;
+LoadShares RelayContext::LocalLoads() const {
+  LoadShares loads = mLocalLoads;
   const Millis now = SteadyNow();
-  for (const auto& [instance, experience] : mExperience) {
+  for (const auto& [instance, history] : mHistories) {
     // Of another zone it may be the link that is lost, not the upstream.
     const UpstreamRecord* record = mRegistry.Find(instance);
     const bool near = record != nullptr && record->mZone == mOptions.mZone;
-    if (near && now < experience.mUnreachableUntil) {
+    if (near && now < history.mUnreachableUntil) {
       loads[instance].mInstance = instance;
       loads[instance].mUnreachableReporters = 1;
     }
   }
-  mPaces.AddReports(loads, now);
+  mSlowdowns.AddReports(loads, now);
   mLimits.AddReport(loads, now);
   return loads;
 }
 
-void RelayContext::SetOtherLoads(LoadShares aLoads, Millis aTrueAt) {
-  mOtherLoads = std::move(aLoads);
-  mOtherLoadsTrueAt = aTrueAt;
-  mPaces.ApplyPeerReports(mOtherLoads, SteadyNow());
-  mLimits.ApplyPeerReports(mOtherLoads, SteadyNow());
+void RelayContext::SetPeerLoads(LoadShares aLoads, Millis aTrueAt) {
+  mPeerLoads = std::move(aLoads);
+  mPeerLoadsAsOf = aTrueAt;
+  mSlowdowns.ApplyPeerReports(mPeerLoads, SteadyNow());
+  mLimits.ApplyPeerReports(mPeerLoads, SteadyNow());
 }
 
-void RelayContext::ForgetOtherLoads() {
-  mOtherLoads.clear();
-  mPaces.ApplyPeerReports(mOtherLoads, SteadyNow());
+void RelayContext::ClearPeerLoads() {
+  mPeerLoads.clear();
+  mSlowdowns.ApplyPeerReports(mPeerLoads, SteadyNow());
 }
 
-void RelayContext::Succeeded(const std::string& aInstance) {
-  const auto it = mExperience.find(aInstance);
-  if (it != mExperience.end()) {
-    it->second.mFailures *= 1 - kOutcomeWeight;
+void RelayContext::RecordSuccess(const std::string& aInstance) {
+  const auto it = mHistories.find(aInstance);
+  if (it != mHistories.end()) {
+    it->second.mFailureShare *= 1 - kOutcomeWeight;
     it->second.mRefusals = 0;
   }
 }
 
-void RelayContext::Failed(const std::string& aInstance, Millis aAvoidFor) {
-  UpstreamExperience& experience = mExperience[aInstance];
+void RelayContext::RecordFailure(const std::string& aInstance,
+                                 Millis aAvoidFor) {
+  UpstreamHistory& history = mHistories[aInstance];
   const Millis now = SteadyNow();
-  experience.mFailures =
-      FailuresOf(aInstance) * (1 - kOutcomeWeight) + kOutcomeWeight;
-  experience.mFailedAt = now;
-  experience.mAvoidUntil = std::max(experience.mAvoidUntil, now + aAvoidFor);
+  history.mFailureShare =
+      FailureShareOf(aInstance) * (1 - kOutcomeWeight) + kOutcomeWeight;
+  history.mFailedAt = now;
+  history.mAvoidUntil = std::max(history.mAvoidUntil, now + aAvoidFor);
 }
 
-void RelayContext::Refused(const std::string& aInstance) {
-  UpstreamExperience& experience = mExperience[aInstance];
+void RelayContext::RecordRefusal(const std::string& aInstance) {
+  UpstreamHistory& history = mHistories[aInstance];
   const Millis now = SteadyNow();
-  if (now < experience.mRefusedUntil) {
+  if (now < history.mRefusedUntil) {
     // Requests that were under way together are refused together.
     return;
   }
-  experience.mRefusedUntil =
+  history.mRefusedUntil =
       now +
-      std::min(kMostAfterRefusals, kAvoidAfterRefusal << experience.mRefusals);
-  experience.mRefusals = std::min(experience.mRefusals + 1, kMostDoublings);
+      std::min(kMaxAvoidAfterRefusals, kAvoidAfterRefusal << history.mRefusals);
+  history.mRefusals = std::min(history.mRefusals + 1, kMaxRefusalDoublings);
 }
 
-void RelayContext::Unreachable(const std::string& aInstance, Millis aFor) {
-  Failed(aInstance, aFor);
-  UpstreamExperience& experience = mExperience[aInstance];
-  experience.mUnreachableUntil = SteadyNow() + aFor;
+void RelayContext::RecordUnreachable(const std::string& aInstance,
+                                     Millis aFor) {
+  RecordFailure(aInstance, aFor);
+  UpstreamHistory& history = mHistories[aInstance];
+  history.mUnreachableUntil = SteadyNow() + aFor;
 }
 
-double RelayContext::FailuresOf(const std::string& aInstance) const {
-  const auto it = mExperience.find(aInstance);
-  if (it == mExperience.end() || it->second.mFailedAt < 0) {
+double RelayContext::FailureShareOf(const std::string& aInstance) const {
+  const auto it = mHistories.find(aInstance);
+  if (it == mHistories.end() || it->second.mFailedAt < 0) {
     return 0;
   }
   const auto age = static_cast<double>(SteadyNow() - it->second.mFailedAt);
-  return it->second.mFailures * std::exp2(-age / kFailureHalfLife);
+  return it->second.mFailureShare * std::exp2(-age / kFailureHalfLife);
 }
 
-std::set<std::string> RelayContext::HeldBack() {
+std::set<std::string> RelayContext::HeldUpstreams() {
   const Millis now = SteadyNow();
   std::set<std::string> held = mLimits.HeldUpstreams(now);
-  held.merge(mRests.HeldUpstreams(now));
+  held.merge(mBackoffs.HeldUpstreams(now));
   return held;
 }
 
-std::set<std::string> RelayContext::RefusedLately() const {
+std::set<std::string> RelayContext::RecentRefusers() const {
   const Millis now = SteadyNow();
   std::set<std::string> refused;
-  for (const auto& [instance, experience] : mExperience) {
-    if (now < experience.mRefusedUntil) {
+  for (const auto& [instance, history] : mHistories) {
+    if (now < history.mRefusedUntil) {
       refused.insert(instance);
     }
   }
   return refused;
 }
 
-std::set<std::string> RelayContext::Avoided() const {
-  std::set<std::string> avoided = RefusedLately();
+std::set<std::string> RelayContext::AvoidedInstances() const {
+  std::set<std::string> avoided = RecentRefusers();
   const Millis now = SteadyNow();
-  for (const auto& [instance, experience] : mExperience) {
-    if (now < experience.mAvoidUntil) {
+  for (const auto& [instance, history] : mHistories) {
+    if (now < history.mAvoidUntil) {
       avoided.insert(instance);
     }
   }
-  for (const auto& [instance, load] : mOtherLoads) {
+  for (const auto& [instance, load] : mPeerLoads) {
     if (load.mUnreachableReporters > 0) {
       avoided.insert(instance);
     }
@@ -284,68 +288,70 @@
   return avoided;
 }
 
-RetryAllowance& RelayContext::RetriesOf(const std::string& aService) {
+RetryAllowance& RelayContext::RetryAllowanceOf(const std::string& aService) {
   RetryAllowanceOptions options = mOptions.mRetries;
   options.mStartedAt = mStartedAt;
   return mRetries.try_emplace(aService, options).first->second;
 }
 
-InterZoneBudget& RelayContext::PipeOf(const std::string& aService) {
-  return mPipes.try_emplace(aService, InterZoneBudgetOptions{}).first->second;
+InterZoneBudget& RelayContext::InterZoneBudgetOf(const std::string& aService) {
+  return mInterZoneBudgets.try_emplace(aService, InterZoneBudgetOptions{})
+      .first->second;
 }
 
-void RelayContext::PathAsked(const std::string& aService) {
-  mPaths[aService].mArrivals.Add(SteadyNow());
+void RelayContext::RecordArrival(const std::string& aService) {
+  mServiceRouting[aService].mArrivals.Add(SteadyNow());
 }
 
 double RelayContext::ArrivalsOf(const std::string& aService) {
-  return mPaths[aService].mArrivals.PerMilli(SteadyNow());
+  return mServiceRouting[aService].mArrivals.PerMilli(SteadyNow());
 }
 
 void RelayContext::RecordPlainTime(const std::string& aService, Millis aTime) {
-  mPaths[aService].mUsualTime.Record(aTime, SteadyNow());
+  mServiceRouting[aService].mTypicalTime.Record(aTime, SteadyNow());
 }
 
 UpstreamOccupancy RelayContext::OccupancyOf(const UpstreamRecord& aRecord,
-                                            const PlainQuestion& aQuestion) {
-  ServicePaths& paths = mPaths[aRecord.mService];
+                                            const PlainServiceQuery& aQuery) {
+  ServiceRouting& paths = mServiceRouting[aRecord.mService];
   const Millis now = SteadyNow();
-  const auto own = mOwnLoads.find(aRecord.mInstance);
+  const auto own = mLocalLoads.find(aRecord.mInstance);
   UpstreamOccupancy occupancy;
   occupancy.mSlots = aRecord.mSlots;
   occupancy.mLocal =
-      own == mOwnLoads.end() ? 0 : static_cast<double>(own->second.mRequests);
+      own == mLocalLoads.end() ? 0 : static_cast<double>(own->second.mRequests);
   occupancy.mPeers = LoadOf(aRecord.mInstance).mRequests - occupancy.mLocal;
-  occupancy.mBodyBytes = static_cast<double>(aQuestion.mBodyBytes);
+  occupancy.mBodyBytes = static_cast<double>(aQuery.mBodyBytes);
   occupancy.mLocalBytes = occupancy.mLocal * occupancy.mBodyBytes;
   occupancy.mRouters = Routers();
   occupancy.mLocalRate =
-      paths.mArrivals.PerMilliExcluding(aQuestion.mArrivedAt, now) /
-      static_cast<double>(std::max<std::size_t>(1, aQuestion.mUpstreams));
-  const Millis expected = aQuestion.mTarget > 0
-                              ? std::min(aQuestion.mTarget, kExpectedTime)
-                              : kExpectedTime;
-  occupancy.mTypicalTime = paths.mUsualTime.At(expected, now);
-  occupancy.mPeerReportAge = std::min(kOldestNews, LoadsAge());
+      paths.mArrivals.PerMilliExcluding(aQuery.mArrivedAt, now) /
+      static_cast<double>(std::max<std::size_t>(1, aQuery.mUpstreams));
+  const Millis expected = aQuery.mTarget > 0
+                              ? std::min(aQuery.mTarget, kDefaultAnswerTime)
+                              : kDefaultAnswerTime;
+  occupancy.mTypicalTime = paths.mTypicalTime.At(expected, now);
+  occupancy.mPeerReportAge = std::min(kMaxPeerReportAge, PeerLoadsAge());
   return occupancy;
 }
 
-void RelayContext::TakeRouters(int aRouters, const std::string& aToldBy) {
+void RelayContext::UpdateRouterCount(int aRouters,
+                                     const std::string& aReportedBy) {
   const int before = Routers();
   mRouters.OnReport(aRouters, SteadyNow());
   if (Routers() != before) {
     LogLine(LogLevel::kInfo, "routers_known")
         .Add("routers", Routers())
         .Add("before", before)
-        .Add("by", aToldBy);
+        .Add("by", aReportedBy);
   }
 }
 
 const std::vector<const UpstreamRecord*>& RelayContext::ReadyEngines(
     const std::string& aService) {
-  ServicePaths& paths = mPaths[aService];
-  if (paths.mReadyOf != mRegistry.LastChangeRevision()) {
-    paths.mReadyOf = mRegistry.LastChangeRevision();
+  ServiceRouting& paths = mServiceRouting[aService];
+  if (paths.mReadyRevision != mRegistry.LastChangeRevision()) {
+    paths.mReadyRevision = mRegistry.LastChangeRevision();
     paths.mReady = mRegistry.OfService(aService);
     std::erase_if(paths.mReady, [](const UpstreamRecord* aRecord) {
       return aRecord->mState != UpstreamState::kReady;
@@ -354,19 +360,19 @@
   return paths.mReady;
 }
 
-PathResult RelayContext::ChoosePathOf(const std::string& aService,
-                                      const PathQuery& aQuestion) {
-  ServicePaths& paths = mPaths[aService];
+PathResult RelayContext::ChoosePathFor(const std::string& aService,
+                                       const PathQuery& aQuery) {
+  ServiceRouting& paths = mServiceRouting[aService];
   const Millis now = SteadyNow();
   const double others = Routers() - 1;
-  const Millis age = std::min(kOldestNews, LoadsAge());
-  const double sinceNews =
+  const Millis age = std::min(kMaxPeerReportAge, PeerLoadsAge());
+  const double unreported =
       others * paths.mArrivals.PerMilli(now) * static_cast<double>(age);
-  PathResult answer = paths.mChoice.Choose(
-      aQuestion, {.mUnreportedRequests = std::max(
-                      sinceNews, mAdmission->UnreportedRequests(aService)),
-                  .mRevision = mRegistry.Revision() + mPaces.Revision(),
-                  .mNow = now});
+  PathResult answer = paths.mChooser.Choose(
+      aQuery, {.mUnreportedRequests = std::max(
+                   unreported, mAdmission->UnreportedRequests(aService)),
+               .mRevision = mRegistry.Revision() + mSlowdowns.Revision(),
+               .mNow = now});
   mCounters.Add("paths", answer.mPath.empty()    ? "way=\"none\""
                          : answer.mDrawnByWeight ? "way=\"dealt\""
                                                  : "way=\"cheapest\"");
--- a/daemons/relay/relay_context.h
+++ b/daemons/relay/relay_context.h
@@ -1,4 +1,4 @@
-/// What the parts of a relaying router share.
+/// What the stages of a relaying router share.
 #pragma once
 
 #include <map>
@@ -38,8 +38,8 @@
 namespace spindleweir {
 
 /// What this router saw of an upstream, beside its own work there.
-struct UpstreamExperience {
-  double mFailures = 0;  ///< Moving share of attempts that failed, 0 to 1.
+struct UpstreamHistory {
+  double mFailureShare = 0;  ///< Moving share of attempts that failed, 0 to 1.
   Millis mFailedAt = -1;
   Millis mAvoidUntil = -1;
   Millis mRefusedUntil = -1;
@@ -48,16 +48,17 @@
 };
 
 /// What paths of one service are chosen by.
-struct ServicePaths {
-  PathChooser mChoice;
+struct ServiceRouting {
+  PathChooser mChooser;
   ArrivalRate mArrivals;  ///< At this router.
   std::vector<const UpstreamRecord*> mReady;
-  std::int64_t mReadyOf = -1;  ///< The change of the registry that it has.
-  TypicalTime mUsualTime{TypicalTimeOptions{}};  ///< Of a plain service.
+  std::int64_t mReadyRevision =
+      -1;  ///< The change of the registry that it has.
+  TypicalTime mTypicalTime{TypicalTimeOptions{}};  ///< Of a plain service.
 };
 
 /// A request that may be sent to an upstream of a plain service.
-struct PlainQuestion {
+struct PlainServiceQuery {
   std::size_t mUpstreams = 1;  ///< That the service has.
   std::size_t mBodyBytes = 0;
   Millis mTarget = 0;     ///< Of its route; 0: not told.
@@ -65,7 +66,7 @@
 };
 
 class RelayAdmission;
-class RetryWishes;
+class RetryCreditRequester;
 class StreamGuard;
 
 /// The state of one router. Single-threaded.
@@ -77,73 +78,73 @@
   const std::shared_ptr<const RouteTable>& Table() const { return mTable; }
   /// Takes news of the configuration where it is newer than what is held and
   /// follows on it.
-  void Accept(const TrafficUpdate& aNews);
+  void ApplyUpdate(const TrafficUpdate& aUpdate);
   /// Whether the configuration in force has a service, or there is none yet.
   bool KnowsService(const std::string& aService) const;
   bool LeaseHolds() const { return mLease.IsValid(SteadyNow()); }
   /// Whether this process started so lately that what it lacks may still come
   /// by itself: the configuration, its confirmation, heartbeats of upstreams.
-  bool Starting() const;
+  bool IsStartingUp() const;
 
   /// Notes work that begins or ends at an upstream.
   void AddLoad(const std::string& aInstance, int aRequests, double aTokenLayers,
                int aFirsts);
   /// Notes tokens that an engine has to read, or has read.
-  void AddReading(const std::string& aInstance, double aTokenLayers);
+  void AddPrefill(const std::string& aInstance, double aTokenLayers);
   /// All work known at an upstream: own and of other routers.
   EngineLoad LoadOf(const std::string& aInstance) const;
-  LoadShares OwnLoads() const;
+  LoadShares LocalLoads() const;
   /// aTrueAt: when they were, on the whole, as they are told.
-  void SetOtherLoads(LoadShares aLoads, Millis aTrueAt);
+  void SetPeerLoads(LoadShares aLoads, Millis aTrueAt);
   /// How old what is known of other routers' work is, on the whole.
-  Millis LoadsAge() const { return SteadyNow() - mOtherLoadsTrueAt; }
+  Millis PeerLoadsAge() const { return SteadyNow() - mPeerLoadsAsOf; }
   /// What is known of other routers' work is too old to be used.
-  void ForgetOtherLoads();
+  void ClearPeerLoads();
 
-  void Succeeded(const std::string& aInstance);
-  void Failed(const std::string& aInstance, Millis aAvoidFor);
+  void RecordSuccess(const std::string& aInstance);
+  void RecordFailure(const std::string& aInstance, Millis aAvoidFor);
   /// It refused to run a request, which is no failure of what it runs.
-  void Refused(const std::string& aInstance);
+  void RecordRefusal(const std::string& aInstance);
   /// No connection could be made.
-  void Unreachable(const std::string& aInstance, Millis aFor);
+  void RecordUnreachable(const std::string& aInstance, Millis aFor);
   /// The start of the incarnation that is known; 0: none, or not told.
   std::int64_t StartOf(const std::string& aInstance) const;
   /// Gives those that were followed by another incarnation of their name since
   /// the last call.
-  std::set<std::string> TakeRestarted() {
+  std::set<std::string> TakeRestartedInstances() {
     return std::exchange(mRestarted, {});
   }
-  double FailuresOf(const std::string& aInstance) const;
+  double FailureShareOf(const std::string& aInstance) const;
   /// Instances that no request may be sent to at present, whatever else there
   /// is: first attempts, further ones and moves alike.
-  std::set<std::string> HeldBack();
+  std::set<std::string> HeldUpstreams();
   /// Instances that refused to run a request a moment ago.
-  std::set<std::string> RefusedLately() const;
+  std::set<std::string> RecentRefusers() const;
   /// Instances that are not to be used at present, these among them.
-  std::set<std::string> Avoided() const;
+  std::set<std::string> AvoidedInstances() const;
 
-  RetryAllowance& RetriesOf(const std::string& aService);
-  InterZoneBudget& PipeOf(const std::string& aService);
+  RetryAllowance& RetryAllowanceOf(const std::string& aService);
+  InterZoneBudget& InterZoneBudgetOf(const std::string& aService);
   /// The upstreams of a service that are ready.
   const std::vector<const UpstreamRecord*>& ReadyEngines(
       const std::string& aService);
   /// What is known of the work at an upstream of a plain service, where one
   /// more request may be sent to it.
   UpstreamOccupancy OccupancyOf(const UpstreamRecord& aRecord,
-                                const PlainQuestion& aQuestion);
+                                const PlainServiceQuery& aQuery);
   /// Routers that share limits, as far as is known.
   int Routers() const { return mRouters.Value(); }
-  /// A control, aToldBy, told how many there are.
-  void TakeRouters(int aRouters, const std::string& aToldBy);
+  /// A control, aReportedBy, told how many there are.
+  void UpdateRouterCount(int aRouters, const std::string& aReportedBy);
   /// A request of a plain service took so long at its upstream.
   void RecordPlainTime(const std::string& aService, Millis aTime);
   /// A request that asks for a path of engines, or an upstream.
-  void PathAsked(const std::string& aService);
+  void RecordArrival(const std::string& aService);
   /// Requests a millisecond that come here for it.
   double ArrivalsOf(const std::string& aService);
   /// A path for it, by what is known of the work of all routers.
-  PathResult ChoosePathOf(const std::string& aService,
-                          const PathQuery& aQuestion);
+  PathResult ChoosePathFor(const std::string& aService,
+                           const PathQuery& aQuery);
   double Random();
 
   EventLoop& mLoop;
@@ -156,16 +157,16 @@
   ConfigurationLease mLease;
   ControlDirectory mDirectory;
   UpstreamRegistry mRegistry;
-  HeartbeatCollector mTaker;
-  EngineSlowdowns mPaces;
+  HeartbeatCollector mHeartbeatCollector;
+  EngineSlowdowns mSlowdowns;
   AdvertisedLimits mLimits;
-  BackoffPeriods mRests;
+  BackoffPeriods mBackoffs;
   CrashWatch mCrashes;
-  ShutdownAdmission mStopIntake;
+  ShutdownAdmission mShutdownAdmission;
   bool mStopping = false;
-  StreamGuard* mGuard = nullptr;         ///< Set once all parts are made.
+  StreamGuard* mGuard = nullptr;         ///< Set once all stages are made.
   RelayAdmission* mAdmission = nullptr;  ///< The same.
-  RetryWishes* mRetryWishes = nullptr;   ///< The same.
+  RetryCreditRequester* mRetryCreditRequester = nullptr;  ///< The same.
 
  private:
   /// What was learnt of the one before says nothing of its successor.
@@ -173,14 +174,14 @@
   LimitDemand DemandOf(const std::string& aInstance);
 
   std::shared_ptr<const RouteTable> mTable;
-  LoadShares mOwnLoads;
-  LoadShares mOtherLoads;
-  Millis mOtherLoadsTrueAt;
-  std::map<std::string, UpstreamExperience> mExperience;
+  LoadShares mLocalLoads;
+  LoadShares mPeerLoads;
+  Millis mPeerLoadsAsOf;
+  std::map<std::string, UpstreamHistory> mHistories;
   std::set<std::string> mRestarted;
   std::map<std::string, RetryAllowance> mRetries;
-  std::map<std::string, InterZoneBudget> mPipes;
-  std::map<std::string, ServicePaths> mPaths;  ///< By service.
+  std::map<std::string, InterZoneBudget> mInterZoneBudgets;
+  std::map<std::string, ServiceRouting> mServiceRouting;  ///< By service.
   RouterCount mRouters;
   std::mt19937_64 mRandom;
   Millis mStartedAt;
--- a/daemons/relay/relay_moves.cpp
+++ b/daemons/relay/relay_moves.cpp
@@ -1,4 +1,4 @@
-/// The parts of a request that choose paths of engines and move between them.
+/// The stages of a request that choose paths of engines and move between them.
 #include "daemons/relay/relay_request.h"
 
 #include <algorithm>
@@ -12,46 +12,46 @@
 namespace {
 
 /// A stream that is silent for so long is taken up elsewhere.
-constexpr Millis kSilenceBeforeFirst = 1000;
-constexpr Millis kSilenceBetween = 800;
+constexpr Millis kFirstEventSilenceTimeout = 1000;
+constexpr Millis kEventSilenceTimeout = 800;
 /// An upstream that leaves serves on for seconds: streams that last longer
 /// go on elsewhere before, spread over some time.
-constexpr Millis kLeaveAfter = 1000;
+constexpr Millis kLeaveDelay = 1000;
 constexpr double kLeaveSpread = 700;
-constexpr double kPathFill = 0.95;
+constexpr double kMaxPathFill = 0.95;
 constexpr Millis kOrderTimeout = 1000;
 /// Moves of one attempt to another path.
-constexpr int kMostMoves = 4;
+constexpr int kMaxMoves = 4;
 /// What is known of other streams' moves is older than this.
-constexpr Millis kSearchAgain = 300;
+constexpr Millis kSlowSearchInterval = 300;
 /// Many streams leave the same engines at the same moment, at all routers: the
 /// cheapest for one is dearer by up to so much for another.
-constexpr double kMoveSpread = 1;
+constexpr double kMoveCostJitter = 1;
 /// Tokens of an event, where it is not told.
 constexpr double kTokensPerEvent = 3;
 /// An order that was answered with this or more changed nothing.
-constexpr int kLeastRefusal = 400;
+constexpr int kMinRefusalStatus = 400;
 
 /// Those of the first path, with their layers, that the second has not.
-LayerPath PartsOnlyIn(const LayerPath& aPath, const LayerPath& aOther) {
-  LayerPath parts;
+LayerPath StagesOnlyIn(const LayerPath& aPath, const LayerPath& aOther) {
+  LayerPath stages;
   std::set_difference(aPath.begin(), aPath.end(), aOther.begin(), aOther.end(),
-                      std::back_inserter(parts),
+                      std::back_inserter(stages),
                       [](const PathStage& aLeft, const PathStage& aRight) {
                         return aLeft.mLayers.mFrom < aRight.mLayers.mFrom ||
                                (aLeft.mLayers.mFrom == aRight.mLayers.mFrom &&
                                 aLeft.mInstance < aRight.mInstance);
                       });
-  return parts;
+  return stages;
 }
 
-const char* NameOf(MoveReason aWhy) {
-  switch (aWhy) {
+const char* NameOf(MoveReason aReason) {
+  switch (aReason) {
     case MoveReason::kLeaving:
       return "leaving";
     case MoveReason::kUnreachable:
       return "unreachable";
-    case MoveReason::kStandsStill:
+    case MoveReason::kStalled:
       return "stands still";
     case MoveReason::kRestarted:
       return "restarted";
@@ -63,76 +63,76 @@
 
 }  // namespace
 
-PathQuery RelayRequest::EngineQuestion(SampleScope aReach) const {
+PathQuery RelayRequest::EngineQuery(SampleScope aScope) const {
   const EngineProfile& engine = mService->mEngine;
-  PathQuery question;
-  question.mProfile = &engine;
-  question.mZone = mContext.mOptions.mZone;
+  PathQuery query;
+  query.mProfile = &engine;
+  query.mZone = mContext.mOptions.mZone;
   const double guess = mFacts.mExpectedTokens > 0 ? mFacts.mExpectedTokens
                                                   : engine.mTypicalAnswerTokens;
-  question.mAnswerTokens =
+  query.mAnswerTokens =
       mFacts.mMostTokens > 0 ? std::min(guess, mFacts.mMostTokens) : guess;
-  question.mPrefillTokens = mFacts.mPromptTokens;
-  question.mTokens = mFacts.mPromptTokens + question.mAnswerTokens;
-  question.mMaxFill = kPathFill;
-  question.mMayCrossZones =
-      mContext.PipeOf(mService->mName)
-          .Allows(engine, mContext.Routers(), SteadyNow());
+  query.mPrefillTokens = mFacts.mPromptTokens;
+  query.mTokens = mFacts.mPromptTokens + query.mAnswerTokens;
+  query.mMaxFill = kMaxPathFill;
+  query.mMayCrossZones = mContext.InterZoneBudgetOf(mService->mName)
+                             .Allows(engine, mContext.Routers(), SteadyNow());
   const std::function<double()> random = [this] { return mContext.Random(); };
   EngineSample sample = SampleEngines(mContext.ReadyEngines(mService->mName),
-                                      question.mZone, aReach, random);
-  question.mEngines = std::move(sample.mEngines);
-  question.mSampleShare = sample.mShare;
-  question.mLoadOf = [this](const std::string& aInstance) {
+                                      query.mZone, aScope, random);
+  query.mEngines = std::move(sample.mEngines);
+  query.mSampleShare = sample.mShare;
+  query.mLoadOf = [this](const std::string& aInstance) {
     return mContext.LoadOf(aInstance);
   };
-  question.mExcludedEngines = mContext.Avoided();
-  question.mExcludedFirstStages = mContext.HeldBack();
-  question.mRandom = random;
-  return question;
+  query.mExcludedEngines = mContext.AvoidedInstances();
+  query.mExcludedFirstStages = mContext.HeldUpstreams();
+  query.mRandom = random;
+  return query;
 }
 
-void RelayRequest::BeginReading(const LayerPath& aParts) {
+void RelayRequest::BeginPrefill(const LayerPath& aStages) {
   const double tokens = mFacts.mPromptTokens + mEvents * kTokensPerEvent;
-  for (const PathStage& part : aParts) {
-    const double work = tokens * part.mLayers.Count();
-    mAttempt->mReading.push_back({part.mInstance, work});
-    mContext.AddReading(part.mInstance, work);
+  for (const PathStage& stage : aStages) {
+    const double work = tokens * stage.mLayers.Count();
+    mAttempt->mPrefills.push_back({stage.mInstance, work});
+    mContext.AddPrefill(stage.mInstance, work);
   }
 }
 
-void RelayRequest::EndReading() {
-  for (const Reading& reading : mAttempt->mReading) {
-    mContext.AddReading(reading.mInstance, -reading.mTokenLayers);
+void RelayRequest::EndPrefill() {
+  for (const PrefillWork& work : mAttempt->mPrefills) {
+    mContext.AddPrefill(work.mInstance, -work.mTokenLayers);
   }
-  mAttempt->mReading.clear();
+  mAttempt->mPrefills.clear();
 }
 
 std::string RelayRequest::FirstInstance() const {
   const bool running = mAttempt != nullptr && mAttempt->mCall != nullptr &&
-                       mAttempt->mOrder == nullptr;
+                       mAttempt->mMoveOrder == nullptr;
   return running ? mAttempt->mInstance : "";
 }
 
 void RelayRequest::MoveOff(const std::set<std::string>& aInstances,
-                           MoveReason aWhy) {
+                           MoveReason aReason) {
   if (mAttempt == nullptr || mAttempt->mPath.empty() || mEnded) {
     return;
   }
-  const auto hit = [&aInstances](const PathStage& aPart) {
-    return aInstances.contains(aPart.mInstance);
+  const auto hit = [&aInstances](const PathStage& aStage) {
+    return aInstances.contains(aStage.mInstance);
   };
   const LayerPath& path = mAttempt->mPath;
   if (std::none_of(path.begin(), path.end(), hit)) {
     return;
   }
   if (!hit(path.front())) {
-    LayerPath next = Without(aInstances);
+    LayerPath next = ReplaceStages(aInstances);
     if (!next.empty()) {
-      Repath(std::move(next), aWhy);
+      Repath(std::move(next), aReason);
       return;
     }
-    if (aWhy == MoveReason::kUnreachable || aWhy == MoveReason::kRestarted) {
+    if (aReason == MoveReason::kUnreachable ||
+        aReason == MoveReason::kRestarted) {
       // Nobody has room for what is lost. A stream that waits until it has
       // been silent for long keeps the memory of the path's other engines:
       // going on at once gained 0.007 of the worth of 25 days with trouble.
@@ -143,43 +143,43 @@
   // The first cannot be replaced by an order. One that leaves still ends what
   // it has; one that is lost does not.
   const UpstreamRecord* first = mContext.mRegistry.Find(mAttempt->mInstance);
-  const bool leaves = aWhy != MoveReason::kRestarted && first != nullptr &&
+  const bool leaves = aReason != MoveReason::kRestarted && first != nullptr &&
                       first->mState == UpstreamState::kLeaving;
   if (leaves) {
-    mAttempt->mLeaveAt = SteadyNow() + kLeaveAfter +
+    mAttempt->mLeaveAt = SteadyNow() + kLeaveDelay +
                          static_cast<Millis>(kLeaveSpread * mContext.Random());
     return;
   }
   SwitchAttempt(ResultCode::kOutcomeUnknown);
 }
 
-StreamTargets RelayRequest::Aim() const {
+StreamTargets RelayRequest::Targets() const {
   return {.mFirstEvent = mRoute->mTargetLatency, .mPause = mRoute->mTargetGap};
 }
 
-std::set<std::string> RelayRequest::SlowParts() const {
-  const std::map<std::string, double>& slow = mContext.mPaces.SlowEngines();
-  std::set<std::string> parts;
+std::set<std::string> RelayRequest::SlowStages() const {
+  const std::map<std::string, double>& slow = mContext.mSlowdowns.SlowEngines();
+  std::set<std::string> stages;
   const LayerPath& path = mAttempt->mPath;
   for (std::size_t i = 1; i < path.size(); i++) {
     if (slow.contains(path[i].mInstance)) {
-      parts.insert(path[i].mInstance);
+      stages.insert(path[i].mInstance);
     }
   }
-  return parts;
+  return stages;
 }
 
-LayerPath RelayRequest::WithoutSlow(const std::set<std::string>& aSlow) {
+LayerPath RelayRequest::ReplaceSlowStages(const std::set<std::string>& aSlow) {
   if (aSlow.empty()) {
     return {};
   }
-  LayerPath next = Without(aSlow);
+  LayerPath next = ReplaceStages(aSlow);
   if (!next.empty()) {
     return next;
   }
   for (const std::string& instance : aSlow) {
     // Not all of them can be replaced: one is better than none.
-    next = Without({instance});
+    next = ReplaceStages({instance});
     if (!next.empty()) {
       return next;
     }
@@ -187,21 +187,22 @@
   return {};
 }
 
-bool RelayRequest::LeaveSlow(Millis aNow) {
+bool RelayRequest::MoveOffSlow(Millis aNow) {
   const bool may = mAttempt != nullptr && !mAttempt->mPath.empty() && !mEnded &&
-                   mAttempt->mOrder == nullptr && mAttempt->mMoves < kMostMoves;
+                   mAttempt->mMoveOrder == nullptr &&
+                   mAttempt->mMoves < kMaxMoves;
   if (!may || aNow - std::max(mAttempt->mMovedAt, mAttempt->mSearchedAt) <
-                  kSearchAgain) {
+                  kSlowSearchInterval) {
     return false;
   }
   mAttempt->mSearchedAt = aNow;
-  const PathQuery question = EngineQuestion();
-  const PathTiming held = EstimateTiming(question, mAttempt->mPath);
-  LayerPath next = WithoutSlow(SlowParts());
-  const PathTiming then = next.empty() ? held : EstimateTiming(question, next);
+  const PathQuery query = EngineQuery();
+  const PathTiming held = EstimateTiming(query, mAttempt->mPath);
+  LayerPath next = ReplaceSlowStages(SlowStages());
+  const PathTiming then = next.empty() ? held : EstimateTiming(query, next);
   const bool firstSlow =
-      mContext.mPaces.SlowEngines().contains(mAttempt->mInstance);
-  if (firstSlow && IsTooSlow(then, kTokensPerEvent, Aim())) {
+      mContext.mSlowdowns.SlowEngines().contains(mAttempt->mInstance);
+  if (firstSlow && IsTooSlow(then, kTokensPerEvent, Targets())) {
     // Its first cannot be replaced by an order.
     SwitchAttempt(ResultCode::kOutcomeUnknown);
     return true;
@@ -212,63 +213,62 @@
   return true;
 }
 
-LayerPath RelayRequest::Without(const std::set<std::string>& aInstances) {
-  const PathQuery question = EngineQuestion();
-  LayerPath next = WithoutIn(question, aInstances);
-  const bool sawAll = question.mSampleShare >= 1;
+LayerPath RelayRequest::ReplaceStages(const std::set<std::string>& aInstances) {
+  const PathQuery query = EngineQuery();
+  LayerPath next = ReplaceStagesAmong(query, aInstances);
+  const bool sawAll = query.mSampleShare >= 1;
   return !next.empty() || sawAll
              ? next
-             : WithoutIn(EngineQuestion(SampleScope::kAllZones), aInstances);
+             : ReplaceStagesAmong(EngineQuery(SampleScope::kAllZones),
+                                  aInstances);
 }
 
-LayerPath RelayRequest::WithoutIn(PathQuery aQuestion,
-                                  const std::set<std::string>& aInstances) {
-  PathQuery question = std::move(aQuestion);
-  question.mPrefillTokens += mEvents;
-  question.mStartsAtEngine = true;
-  question.mCostJitter = kMoveSpread;
-  for (const PathStage& part : mAttempt->mPath) {
-    question.mExcludedEngines.insert(part.mInstance);
+LayerPath RelayRequest::ReplaceStagesAmong(
+    PathQuery aQuery, const std::set<std::string>& aInstances) {
+  PathQuery query = std::move(aQuery);
+  query.mPrefillTokens += mEvents;
+  query.mStartsAtEngine = true;
+  query.mCostJitter = kMoveCostJitter;
+  for (const PathStage& stage : mAttempt->mPath) {
+    query.mExcludedEngines.insert(stage.mInstance);
   }
-  question.mExcludedEngines.insert(aInstances.begin(), aInstances.end());
-  question.mExcludedEngines.insert(mAttempt->mRefusedParts.begin(),
-                                   mAttempt->mRefusedParts.end());
+  query.mExcludedEngines.insert(aInstances.begin(), aInstances.end());
+  query.mExcludedEngines.insert(mAttempt->mRefusedStages.begin(),
+                                mAttempt->mRefusedStages.end());
   LayerPath next;
   for (std::size_t i = 0; i < mAttempt->mPath.size(); i++) {
-    const PathStage& part = mAttempt->mPath[i];
-    if (!aInstances.contains(part.mInstance)) {
-      next.push_back(part);
+    const PathStage& stage = mAttempt->mPath[i];
+    if (!aInstances.contains(stage.mInstance)) {
+      next.push_back(stage);
       continue;
     }
-    question.mLayers = part.mLayers;
+    query.mLayers = stage.mLayers;
     const UpstreamRecord* before =
         mContext.mRegistry.Find(mAttempt->mPath[i - 1].mInstance);
-    question.mZone =
-        before == nullptr ? mContext.mOptions.mZone : before->mZone;
-    const PathResult answer = ChoosePath(question);
+    query.mZone = before == nullptr ? mContext.mOptions.mZone : before->mZone;
+    const PathResult answer = ChoosePath(query);
     if (answer.mPath.empty()) {
       return {};
     }
-    SpendPipe(question, answer);
+    SpendInterZoneBudget(query, answer);
     for (const PathStage& added : answer.mPath) {
-      question.mExcludedEngines.insert(added.mInstance);
+      query.mExcludedEngines.insert(added.mInstance);
       next.push_back(added);
     }
   }
   return next;
 }
 
-void RelayRequest::SpendPipe(const PathQuery& aQuestion,
-                             const PathResult& aAnswer) {
-  mContext.PipeOf(mService->mName)
-      .Spend(*aQuestion.mProfile,
-             aQuestion.mPrefillTokens + aQuestion.mAnswerTokens,
+void RelayRequest::SpendInterZoneBudget(const PathQuery& aQuery,
+                                        const PathResult& aAnswer) {
+  mContext.InterZoneBudgetOf(mService->mName)
+      .Spend(*aQuery.mProfile, aQuery.mPrefillTokens + aQuery.mAnswerTokens,
              aAnswer.mZoneCrossings);
 }
 
-void RelayRequest::Repath(LayerPath aPath, MoveReason aWhy) {
+void RelayRequest::Repath(LayerPath aPath, MoveReason aReason) {
   const UpstreamRecord* first = mContext.mRegistry.Find(mAttempt->mInstance);
-  if (first == nullptr || mAttempt->mMoves >= kMostMoves) {
+  if (first == nullptr || mAttempt->mMoves >= kMaxMoves) {
     return;
   }
   mAttempt->mMoves++;
@@ -280,65 +280,68 @@
   options.mOnHead = [status](const AnswerHead& aHead) {
     *status = aHead.mStatus;
   };
-  options.mOnEnd = [this, status, aWhy](StreamEnd) { EndOrder(*status, aWhy); };
+  options.mOnEnd = [this, status, aReason](StreamEnd) {
+    EndOrder(*status, aReason);
+  };
   LogLine(LogLevel::kInfo, "repath")
       .Add("request", mFacts.mId)
-      .Add("why", NameOf(aWhy))
+      .Add("why", NameOf(aReason))
       .Add("first", mAttempt->mInstance)
       .Add("silent_ms",
-           static_cast<Json::Int64>(SteadyNow() - mAttempt->mHeardAt));
-  mContext.mCounters.Add("moves", std::string("why=\"") + NameOf(aWhy) + "\"");
-  const LayerPath added = PartsOnlyIn(aPath, mAttempt->mPath);
-  mAttempt->mPathBefore = mAttempt->mPath;
-  mAttempt->mSilentBefore = mAttempt->mSilentSince;
+           static_cast<Json::Int64>(SteadyNow() - mAttempt->mLastDataAt));
+  mContext.mCounters.Add("moves",
+                         std::string("why=\"") + NameOf(aReason) + "\"");
+  const LayerPath added = StagesOnlyIn(aPath, mAttempt->mPath);
+  mAttempt->mPreviousPath = mAttempt->mPath;
+  mAttempt->mPreviousSilentSince = mAttempt->mSilentSince;
   SetPath(std::move(aPath));
   mAttempt->mMovedAt = SteadyNow();
   mAttempt->mSilentSince = mContext.mLoop.RunningNow();
-  BeginReading(added);
+  BeginPrefill(added);
   WatchAttempt();
-  mAttempt->mOrder = StartStreamCall(mContext.mLoop, std::move(options));
+  mAttempt->mMoveOrder = StartStreamCall(mContext.mLoop, std::move(options));
 }
 
 void RelayRequest::SetPath(LayerPath aPath) {
-  EndReading();
+  EndPrefill();
   CountLoad(-1);
   mAttempt->mPath = std::move(aPath);
   CountLoad(1);
 }
 
-void RelayRequest::EndOrder(int aStatus, MoveReason aWhy) {
+void RelayRequest::EndOrder(int aStatus, MoveReason aReason) {
   LogLine(LogLevel::kInfo, "repath_answered")
       .Add("request", mFacts.mId)
       .Add("status", aStatus);
-  if (mAttempt == nullptr || mAttempt->mOrder == nullptr) {
+  if (mAttempt == nullptr || mAttempt->mMoveOrder == nullptr) {
     return;
   }
   // It is on the stack.
-  const std::shared_ptr<StreamCall> order = std::move(mAttempt->mOrder);
+  const std::shared_ptr<StreamCall> order = std::move(mAttempt->mMoveOrder);
   mContext.mLoop.Post([order] {});
-  if (aStatus >= kLeastRefusal) {
-    UndoMove(aWhy);
+  if (aStatus >= kMinRefusalStatus) {
+    UndoMove(aReason);
   }
 }
 
-void RelayRequest::UndoMove(MoveReason aWhy) {
+void RelayRequest::UndoMove(MoveReason aReason) {
   const LayerPath refused = mAttempt->mPath;
-  const LayerPath before = std::move(mAttempt->mPathBefore);
+  const LayerPath before = std::move(mAttempt->mPreviousPath);
   std::set<std::string> left;
-  for (const PathStage& part : PartsOnlyIn(before, refused)) {
-    left.insert(part.mInstance);
+  for (const PathStage& stage : StagesOnlyIn(before, refused)) {
+    left.insert(stage.mInstance);
   }
-  for (const PathStage& part : PartsOnlyIn(refused, before)) {
-    mAttempt->mRefusedParts.insert(part.mInstance);
+  for (const PathStage& stage : StagesOnlyIn(refused, before)) {
+    mAttempt->mRefusedStages.insert(stage.mInstance);
   }
   SetPath(before);
-  const bool heardSince = mAttempt->mHeardAt > mAttempt->mMovedAt;
-  if (!heardSince) {
-    mAttempt->mSilentSince = mAttempt->mSilentBefore;
+  const bool receivedSince = mAttempt->mLastDataAt > mAttempt->mMovedAt;
+  if (!receivedSince) {
+    mAttempt->mSilentSince = mAttempt->mPreviousSilentSince;
   }
   WatchAttempt();
-  if (aWhy != MoveReason::kSlow) {
-    MoveOff(left, aWhy);
+  if (aReason != MoveReason::kSlow) {
+    MoveOff(left, aReason);
   }
 }
 
@@ -350,13 +353,13 @@
     mKey = mContext.mGuard->Add(this);
   }
   std::vector<std::string> instances;
-  for (const PathStage& part : mAttempt->mPath) {
-    instances.push_back(part.mInstance);
+  for (const PathStage& stage : mAttempt->mPath) {
+    instances.push_back(stage.mInstance);
   }
   const StreamStallTimeouts patience =
-      StallTimeoutsOf(EstimateTiming(EngineQuestion(), mAttempt->mPath),
-                      kTokensPerEvent, Aim());
-  mContext.mGuard->Watch().Begin(
+      StallTimeoutsOf(EstimateTiming(EngineQuery(), mAttempt->mPath),
+                      kTokensPerEvent, Targets());
+  mContext.mGuard->Detector().Begin(
       mKey, std::move(instances), SteadyNow(),
       {.mFirstEvent = patience.mFirstEvent, .mGap = patience.mGap});
 }
@@ -368,15 +371,15 @@
   }
   const Millis now = SteadyNow();
   if (mAttempt->mLeaveAt > 0 && now >= mAttempt->mLeaveAt) {
-    mAttempt->mLeaveAt = now + kLeaveAfter;
+    mAttempt->mLeaveAt = now + kLeaveDelay;
     SwitchAttempt(ResultCode::kOutcomeUnknown);
     return;
   }
   // Not by the clock: after a standstill of this process timers come before
   // what waits in its sockets, and all its streams would begin anew elsewhere.
   const Millis silent = mContext.mLoop.RunningNow() - mAttempt->mSilentSince;
-  const bool begun = mAttempt->mHeardAt > mAttempt->mStartedAt;
-  const Millis most = begun ? kSilenceBetween : kSilenceBeforeFirst;
+  const bool begun = mAttempt->mLastDataAt > mAttempt->mStartedAt;
+  const Millis most = begun ? kEventSilenceTimeout : kFirstEventSilenceTimeout;
   if (silent >= most) {
     SwitchAttempt(ResultCode::kOutcomeUnknown);
   }
@@ -396,14 +399,14 @@
     return false;
   }
   LogFailure(Ran::kUnknown, aCode);
-  NoteLost();
+  RecordLostAttempt();
   mMayHaveRun = true;
-  mSent++;
+  mRanAttempts++;
   DropAttempt();
   mContext.mCounters.Add("retries");
   mAttempt = std::move(next);
   mAttempt->mStartedAt = SteadyNow();
-  mAttempt->mHeardAt = mAttempt->mStartedAt;
+  mAttempt->mLastDataAt = mAttempt->mStartedAt;
   mAttempt->mSilentSince = mContext.mLoop.RunningNow();
   Send(*first);
   return true;
--- a/daemons/relay/relay_request.cpp
+++ b/daemons/relay/relay_request.cpp
@@ -12,11 +12,11 @@
 
 namespace {
 
-/// The part of its time that a request waits at most for a router to start.
-constexpr Millis kStartWaitPart = 2;
-constexpr Millis kLookAgain = 20;
+/// The stage of its time that a request waits at most for a router to start.
+constexpr Millis kStartUpWaitDivisor = 2;
+constexpr Millis kStartUpPollInterval = 20;
 /// Callers leave a stream after about two seconds without an event.
-constexpr Millis kPatience = 1800;
+constexpr Millis kMaxWarmUpWait = 1800;
 constexpr double kMillisPerSecond = 1000;
 
 ReturnCause CauseOf(ResultCode aGivenUpFor) {
@@ -79,20 +79,21 @@
   Admit();
 }
 
-bool RelayRequest::MayWaitForStart() const {
+bool RelayRequest::MayWaitForStartUp() const {
   const Millis waited = SteadyNow() - mExchange->ReceivedAt();
   const Millis wait = mContext.mOptions.mStartWait;
-  const Millis most = mFacts.mDeadline > 0
-                          ? std::min(wait, mFacts.mDeadline / kStartWaitPart)
-                          : wait;
-  return mContext.Starting() && waited < most && !mExchange->Closed();
+  const Millis most =
+      mFacts.mDeadline > 0
+          ? std::min(wait, mFacts.mDeadline / kStartUpWaitDivisor)
+          : wait;
+  return mContext.IsStartingUp() && waited < most && !mExchange->Closed();
 }
 
-bool RelayRequest::WaitForStart() {
-  if (!MayWaitForStart()) {
+bool RelayRequest::WaitForStartUp() {
+  if (!MayWaitForStartUp()) {
     return false;
   }
-  mPathTimer = mContext.mLoop.After(kLookAgain, [this] { Admit(); });
+  mPathTimer = mContext.mLoop.After(kStartUpPollInterval, [this] { Admit(); });
   return true;
 }
 
@@ -100,7 +101,7 @@
   mTable = mContext.Table();
   const bool confirmed =
       mTable != nullptr && (!mTable->NeedsKeys() || mContext.LeaseHolds());
-  if (!confirmed && WaitForStart()) {
+  if (!confirmed && WaitForStartUp()) {
     return;
   }
   if (mTable == nullptr) {
@@ -139,40 +140,41 @@
   // caller says: one number must not set what is usual for the others.
   mContext.mAdmission->RecordDeadline(
       mRoute->mName, std::min(mFacts.mDeadline, mRoute->mTimeout));
-  PickService();
-  if (!mContext.mStopIntake.Admits(mService->mName, mFacts.mExpectedTokens,
-                                   wait, SteadyNow())) {
+  ChooseService();
+  if (!mContext.mShutdownAdmission.Admits(
+          mService->mName, mFacts.mExpectedTokens, wait, SteadyNow())) {
     Refuse(ResultCode::kStopping, ReturnCause::kElsewhere);
     return;
   }
-  mContext.RetriesOf(mService->mName).RequestStarted(SteadyNow());
-  mAskedAt = SteadyNow();
-  mContext.PathAsked(mService->mName);
-  AwaitTurn();
+  mContext.RetryAllowanceOf(mService->mName).RequestStarted(SteadyNow());
+  mArrivedAt = SteadyNow();
+  mContext.RecordArrival(mService->mName);
+  AwaitWarmUp();
 }
 
-void RelayRequest::AwaitTurn() {
-  if (!mService->IsEngine() || !mContext.mAdmission->Opening()) {
-    mContext.mAdmission->Leave(this);
+void RelayRequest::AwaitWarmUp() {
+  if (!mService->IsEngine() || !mContext.mAdmission->IsWarmingUp()) {
+    mContext.mAdmission->Withdraw(this);
     StartAttempt();
     return;
   }
   const Millis patience =
       mFacts.mDeadline > 0
-          ? std::min(kPatience, mFacts.mDeadline / kStartWaitPart)
-          : kPatience;
+          ? std::min(kMaxWarmUpWait, mFacts.mDeadline / kStartUpWaitDivisor)
+          : kMaxWarmUpWait;
   const WarmUpDecision decision =
-      mContext.mAdmission->Ask(this, *mService,
-                               {.mReceivedAt = mExchange->ReceivedAt(),
-                                .mTarget = mRoute->mTargetLatency,
-                                .mWaitLimit = patience,
-                                .mPriority = mRoute->mPriority,
-                                .mPromptTokens = mFacts.mPromptTokens});
+      mContext.mAdmission->TryAdmit(this, *mService,
+                                    {.mReceivedAt = mExchange->ReceivedAt(),
+                                     .mTarget = mRoute->mTargetLatency,
+                                     .mWaitLimit = patience,
+                                     .mPriority = mRoute->mPriority,
+                                     .mPromptTokens = mFacts.mPromptTokens});
   if (decision.mVerdict == WarmUpVerdict::kWait) {
-    mPathTimer = mContext.mLoop.After(decision.mAfter, [this] { AwaitTurn(); });
+    mPathTimer =
+        mContext.mLoop.After(decision.mAfter, [this] { AwaitWarmUp(); });
     return;
   }
-  CountTurn(decision);
+  RecordWarmUp(decision);
   if (decision.mVerdict != WarmUpVerdict::kAdmit) {
     Refuse(ResultCode::kUpstreamFull, ReturnCause::kFull);
     return;
@@ -180,7 +182,7 @@
   StartAttempt();
 }
 
-void RelayRequest::CountTurn(const WarmUpDecision& aDecision) {
+void RelayRequest::RecordWarmUp(const WarmUpDecision& aDecision) {
   const bool goes = aDecision.mVerdict == WarmUpVerdict::kAdmit;
   LogLine(LogLevel::kInfo, "opening")
       .Add("request", mFacts.mId)
@@ -196,7 +198,7 @@
                          goes ? "outcome=\"let_in\"" : "outcome=\"refused\"");
 }
 
-void RelayRequest::PickService() {
+void RelayRequest::ChooseService() {
   double total = 0;
   for (const RouteTarget& target : mRoute->mTargets) {
     total += target.mWeight;
@@ -244,8 +246,8 @@
     End("broken_off", 0);
     return;
   }
-  if (mKept.has_value()) {
-    Forward(mKept->mHead, mKept->mBody);
+  if (mFallback.has_value()) {
+    Forward(mFallback->mHead, mFallback->mBody);
     return;
   }
   if (!mMayHaveRun) {
@@ -257,19 +259,19 @@
          ReturnCause::kNever);
 }
 
-Json::Value RelayRequest::RoomLacked() const {
+Json::Value RelayRequest::FullUpstreamInputs() const {
   Json::Value room(Json::objectValue);
-  if (!mWithoutRoom.has_value()) {
+  if (!mFullUpstream.has_value()) {
     return room;
   }
-  room["slots"] = mWithoutRoom->mSlots;
-  room["own"] = mWithoutRoom->mLocal;
-  room["others_told"] = mWithoutRoom->mPeers;
-  room["others_unreported"] = UnreportedRequests(*mWithoutRoom);
-  room["routers"] = mWithoutRoom->mRouters;
-  room["own_per_s"] = mWithoutRoom->mLocalRate * kMillisPerSecond;
-  room["usual_ms"] = static_cast<Json::Int64>(mWithoutRoom->mTypicalTime);
-  room["news_ms"] = static_cast<Json::Int64>(mWithoutRoom->mPeerReportAge);
+  room["slots"] = mFullUpstream->mSlots;
+  room["own"] = mFullUpstream->mLocal;
+  room["others_told"] = mFullUpstream->mPeers;
+  room["others_unreported"] = UnreportedRequests(*mFullUpstream);
+  room["routers"] = mFullUpstream->mRouters;
+  room["own_per_s"] = mFullUpstream->mLocalRate * kMillisPerSecond;
+  room["usual_ms"] = static_cast<Json::Int64>(mFullUpstream->mTypicalTime);
+  room["news_ms"] = static_cast<Json::Int64>(mFullUpstream->mPeerReportAge);
   return room;
 }
 
@@ -284,7 +286,7 @@
     const Millis left = mFacts.mDeadline > 0
                             ? std::max<Millis>(1, mFacts.mDeadline - passed)
                             : 0;
-    advice = mContext.mAdmission->Return(mService, aCause, left);
+    advice = mContext.mAdmission->AdviseReturn(mService, aCause, left);
   }
   const Millis retryAfter = advice.mAnswer.mAfter;
   mExchange->Reply(
@@ -299,11 +301,10 @@
       .Add("lease_age_ms",
            static_cast<Json::Int64>(mContext.mLease.Age(SteadyNow())))
       .Add("held_ms", static_cast<Json::Int64>(passed))
-      .Add("room", RoomLacked())
-      .Add("held_back", static_cast<int>(mContext.HeldBack().size()))
-      .Add("free_after_ms",
-           static_cast<Json::Int64>(advice.mQuestion.mFreeAfter))
-      .Add("free_per_ms", advice.mQuestion.mFreePerMilli)
+      .Add("room", FullUpstreamInputs())
+      .Add("held_back", static_cast<int>(mContext.HeldUpstreams().size()))
+      .Add("free_after_ms", static_cast<Json::Int64>(advice.mInput.mFreeAfter))
+      .Add("free_per_ms", advice.mInput.mFreePerMilli)
       .Add("room_expected", advice.mAnswer.mRoomExpected)
       .Add("callers_told", advice.mCallers)
       .Add("retry_after_ms", static_cast<Json::Int64>(retryAfter));
@@ -319,7 +320,7 @@
 
 void RelayRequest::HandleTimeout() {
   AbandonAttempt();
-  mKept.reset();
+  mFallback.reset();
   GiveUp(ResultCode::kDeadlineExceeded);
 }
 
@@ -359,14 +360,14 @@
   mEnded = true;
   if (IsSuccess(aStatus)) {
     mContext.mCrashes.OnRequestCompleted(Content(), SteadyNow());
-    mContext.mStopIntake.Record(mService->mName, mFacts.mExpectedTokens,
-                                SteadyNow() - mExchange->ReceivedAt());
+    mContext.mShutdownAdmission.Record(mService->mName, mFacts.mExpectedTokens,
+                                       SteadyNow() - mExchange->ReceivedAt());
   }
   Json::Value path(Json::arrayValue);
   if (mAttempt != nullptr) {
-    for (const PathStage& part : mAttempt->mPath) {
-      path.append(part.mAddress + "=" + std::to_string(part.mLayers.mFrom) +
-                  "-" + std::to_string(part.mLayers.mTo));
+    for (const PathStage& stage : mAttempt->mPath) {
+      path.append(stage.mAddress + "=" + std::to_string(stage.mLayers.mFrom) +
+                  "-" + std::to_string(stage.mLayers.mTo));
     }
   }
   const Millis received = mExchange->ReceivedAt();
@@ -385,7 +386,7 @@
            mAttempt == nullptr
                ? -1
                : mContext.mLimits.LimitOf(mAttempt->mInstance).value_or(-1))
-      .Add("sent", mSent + (mAttempt == nullptr ? 0 : 1))
+      .Add("sent", mRanAttempts + (mAttempt == nullptr ? 0 : 1))
       .Add("events", mEvents)
       .Add("expected_tokens", mFacts.mExpectedTokens)
       .Add("first_ms", static_cast<Json::Int64>(
@@ -399,7 +400,7 @@
   // reference to this goes.
   DropAttempt();
   StopWatching();
-  mContext.mAdmission->Leave(this);
+  mContext.mAdmission->Withdraw(this);
   mTimeout.reset();
   mSilenceTimer.reset();
   mPathTimer.reset();
--- a/daemons/relay/relay_router.cpp
+++ b/daemons/relay/relay_router.cpp
@@ -17,11 +17,11 @@
 
 /// While a zone has no whole path, callers are better sent elsewhere; but not
 /// for ever, since then all zones may have none.
-constexpr Millis kWaitForPaths = 12000;
+constexpr Millis kMaxPathWait = 12000;
 
 }  // namespace
 
-/// The parts of a relaying router, in the order in which they are made.
+/// The stages of a relaying router, in the order in which they are made.
 struct RelayRouter::Parts {
   Parts(EventLoop& aLoop, RelayOptions aOptions)
       : mContext(aLoop, std::move(aOptions)),
@@ -34,8 +34,8 @@
         mGuard(mContext),
         mAdmission(mContext),
         mLink(mContext),
-        mRetryWishes(mContext, mLink),
-        mBeats(mContext, mLink),
+        mRetryCreditRequester(mContext, mLink),
+        mHeartbeatRelay(mContext, mLink),
         mStartedAt(SteadyNow()),
         mServer(
             aLoop,
@@ -48,16 +48,17 @@
              .mRefuse = [this](StreamExchange& aExchange,
                                ResultCode aCode) { Refuse(aExchange, aCode); },
              .mMemory = mContext.mMemory,
-             .mOnCut = [this](
-                           std::size_t aCallers,
-                           std::size_t aBytes) { LogCut(aCallers, aBytes); }}),
+             .mOnCut =
+                 [this](std::size_t aCallers, std::size_t aBytes) {
+                   LogEviction(aCallers, aBytes);
+                 }}),
         mStop(mContext, mServer,
               {.mOpenRequests =
                    [this] { return static_cast<int>(mRequests.size()); },
                .mEndRequests = [this] { EndRequests(); }}) {
     mContext.mGuard = &mGuard;
     mContext.mAdmission = &mAdmission;
-    mContext.mRetryWishes = &mRetryWishes;
+    mContext.mRetryCreditRequester = &mRetryCreditRequester;
   }
 
   void Handle(const std::shared_ptr<StreamExchange>& aExchange) {
@@ -100,44 +101,43 @@
                     std::string(InfoOf(aCode).mName));
   }
 
-  void LogCut(std::size_t aCallers, std::size_t aBytes) {
-    const MemoryBudget& account = *mContext.mMemory;
+  void LogEviction(std::size_t aCallers, std::size_t aBytes) {
+    const MemoryBudget& budget = *mContext.mMemory;
     mContext.mCounters.Add("memory_cut", {},
                            static_cast<std::int64_t>(aCallers));
     LogLine(LogLevel::kWarning, "memory_cut")
         .Add("callers", static_cast<Json::UInt64>(aCallers))
         .Add("bytes", static_cast<Json::UInt64>(aBytes))
-        .Add("held", static_cast<Json::UInt64>(account.Held()))
-        .Add("committed", static_cast<Json::UInt64>(account.Committed()))
-        .Add("bound", static_cast<Json::UInt64>(account.Options().mMaxBytes))
-        .Add("waiting",
-             static_cast<Json::UInt64>(account.WaitingConnections()));
+        .Add("held", static_cast<Json::UInt64>(budget.Held()))
+        .Add("committed", static_cast<Json::UInt64>(budget.Committed()))
+        .Add("bound", static_cast<Json::UInt64>(budget.Options().mMaxBytes))
+        .Add("waiting", static_cast<Json::UInt64>(budget.WaitingConnections()));
   }
 
   void SetMemoryGauges() {
-    const MemoryBudget& account = *mContext.mMemory;
+    const MemoryBudget& budget = *mContext.mMemory;
     Counters& counters = mContext.mCounters;
     const auto set = [&counters](const char* aName, std::size_t aValue) {
       counters.Set(aName, static_cast<std::int64_t>(aValue));
     };
-    set("memory_bound_bytes", account.Options().mMaxBytes);
-    set("memory_held_bytes", account.Held());
-    set("memory_committed_bytes", account.Committed());
-    set("memory_share_bytes", account.StreamShare());
-    set("memory_waiting", account.WaitingConnections());
+    set("memory_bound_bytes", budget.Options().mMaxBytes);
+    set("memory_held_bytes", budget.Held());
+    set("memory_committed_bytes", budget.Committed());
+    set("memory_share_bytes", budget.StreamShare());
+    set("memory_waiting", budget.WaitingConnections());
     for (std::size_t i = 0; i < kBufferKinds; i++) {
       const auto kind = static_cast<BufferKind>(i);
       const std::string name = std::string("memory_") + NameOf(kind) + "_bytes";
-      set(name.c_str(), account.Held(kind));
+      set(name.c_str(), budget.Held(kind));
     }
   }
 
   void ApplyLimits() {
     if (mContext.Table() == nullptr ||
-        mContext.Table()->Version() == mLimitsOf) {
+        mContext.Table()->Version() == mLimitsVersion) {
       return;
     }
-    mLimitsOf = mContext.Table()->Version();
+    mLimitsVersion = mContext.Table()->Version();
     const TrafficLimits& limits = mContext.Table()->Configuration().mLimits;
     StreamServerLimits applied;
     if (limits.mHeaderBytes > 0) {
@@ -192,10 +192,10 @@
   StreamGuard mGuard;
   RelayAdmission mAdmission;
   SyncLink mLink;
-  RetryWishes mRetryWishes;
-  BeatRelay mBeats;
+  RetryCreditRequester mRetryCreditRequester;
+  HeartbeatRelay mHeartbeatRelay;
   Millis mStartedAt;
-  std::int64_t mLimitsOf = 0;
+  std::int64_t mLimitsVersion = 0;
   std::unordered_map<RelayRequest*, std::shared_ptr<RelayRequest>> mRequests;
   StreamServer mServer;
   PlannedStop mStop;
@@ -223,22 +223,22 @@
   if (context.Table()->NeedsKeys() && !context.LeaseHolds()) {
     return false;
   }
-  return mParts->HasPaths() || SteadyNow() - mParts->mStartedAt > kWaitForPaths;
+  return mParts->HasPaths() || SteadyNow() - mParts->mStartedAt > kMaxPathWait;
 }
 
 void RelayRouter::ApplyHeartbeat(const UpstreamRecord& aRecord,
                                  const BeatDone& aDone) {
-  mParts->mBeats.ApplyHeartbeat(aRecord, aDone);
+  mParts->mHeartbeatRelay.ApplyHeartbeat(aRecord, aDone);
 }
 
 void RelayRouter::ApplyLeave(const std::string& aInstance,
                              const BeatDone& aDone, std::int64_t aStart) {
-  mParts->mBeats.ApplyLeave(aInstance, aDone, aStart);
+  mParts->mHeartbeatRelay.ApplyLeave(aInstance, aDone, aStart);
 }
 
 void RelayRouter::RecordInvalidHeartbeat(const std::string& aInstance,
-                                         const Error& aWhy) {
-  mParts->mContext.mBadWords.Note("heartbeat", aInstance, aWhy);
+                                         const Error& aReason) {
+  mParts->mContext.mBadWords.Note("heartbeat", aInstance, aReason);
 }
 
 void RelayRouter::SetSeeds(std::vector<Endpoint> aSeeds) {
@@ -270,7 +270,7 @@
   counters.Set("upstreams_leaving", states[2]);
   counters.Set("upstreams_gone", states[3]);
   std::int64_t begun = 0;
-  for (const auto& [instance, load] : context.OwnLoads()) {
+  for (const auto& [instance, load] : context.LocalLoads()) {
     begun += load.mFirstStageRequests;
   }
   counters.Set("attempts_told", begun);
@@ -280,7 +280,8 @@
   double left = 0;
   for (const TrafficService& service :
        context.Table()->Configuration().mServices) {
-    left += context.RetriesOf(service.mName).Available(context.Routers(), now);
+    left += context.RetryAllowanceOf(service.mName)
+                .Available(context.Routers(), now);
   }
   counters.Set("retries_left", static_cast<std::int64_t>(left));
 }
--- a/daemons/relay/retry_credit_requester.cpp
+++ b/daemons/relay/retry_credit_requester.cpp
@@ -11,58 +11,63 @@
 
 namespace {
 
-constexpr Millis kTimeout = 300;
+constexpr Millis kRequestTimeout = 300;
 /// After an answer that did not give all: a pool fills by tenths of a window,
 /// and all routers may ask.
-constexpr Millis kAskAgain = 200;
+constexpr Millis kShortGrantDelay = 200;
 /// In one question, so that one router does not take all.
-constexpr int kMostWanted = 32;
+constexpr int kMaxRequested = 32;
 
 }  // namespace
 
-RetryWishes::RetryWishes(RelayContext& aContext, SyncLink& aLink)
+RetryCreditRequester::RetryCreditRequester(RelayContext& aContext,
+                                           SyncLink& aLink)
     : mContext(aContext), mLink(aLink) {}
 
-void RetryWishes::Want(const std::string& aService, const void* aRequest) {
-  Wish& wish = mWishes[aService];
-  wish.mRequests.insert(aRequest);
-  if (!wish.mAsking && SteadyNow() >= wish.mNotBefore) {
-    Ask(aService, wish);
+void RetryCreditRequester::Request(const std::string& aService,
+                                   const void* aRequest) {
+  PendingRequests& pending = mPending[aService];
+  pending.mRequests.insert(aRequest);
+  if (!pending.mPolling && SteadyNow() >= pending.mNotBefore) {
+    Send(aService, pending);
   }
 }
 
-void RetryWishes::Ask(const std::string& aService, Wish& aWish) {
+void RetryCreditRequester::Send(const std::string& aService,
+                                PendingRequests& aPending) {
   const bool pooled = mContext.mOptions.mRetries.mPooledShare > 0;
   if (!pooled || mLink.Controls().empty()) {
-    aWish.mRequests.clear();
+    aPending.mRequests.clear();
     return;
   }
-  const int wanted =
-      std::min(kMostWanted, static_cast<int>(aWish.mRequests.size()));
-  aWish.mRequests.clear();
-  aWish.mAsking = true;
+  const int requested =
+      std::min(kMaxRequested, static_cast<int>(aPending.mRequests.size()));
+  aPending.mRequests.clear();
+  aPending.mPolling = true;
   const RetryWish message{.mProcess = mContext.mOptions.mId,
                           .mService = aService,
-                          .mWanted = wanted};
+                          .mWanted = requested};
   mContext.mRpc.Call(
-      mLink.Controls().front(), rpc_method::kRetries, ToJson(message), kTimeout,
-      [this, aService, wanted](const RpcResult& aResult) {
+      mLink.Controls().front(), rpc_method::kRetries, ToJson(message),
+      kRequestTimeout, [this, aService, requested](const RpcResult& aResult) {
         const int granted =
             aResult.mOk ? FromJson<RetryGrant>(aResult.mAnswer).mGranted : 0;
-        Take(aService, wanted, granted);
+        ApplyGrant(aService, requested, granted);
       });
 }
 
-void RetryWishes::Take(const std::string& aService, int aWanted, int aGranted) {
-  Wish& wish = mWishes[aService];
-  wish.mAsking = false;
-  wish.mNotBefore = aGranted < aWanted ? SteadyNow() + kAskAgain : 0;
+void RetryCreditRequester::ApplyGrant(const std::string& aService,
+                                      int aRequested, int aGranted) {
+  PendingRequests& pending = mPending[aService];
+  pending.mPolling = false;
+  pending.mNotBefore =
+      aGranted < aRequested ? SteadyNow() + kShortGrantDelay : 0;
   if (aGranted > 0) {
-    mContext.RetriesOf(aService).AddCredits(aGranted, SteadyNow());
+    mContext.RetryAllowanceOf(aService).AddCredits(aGranted, SteadyNow());
   }
   LogLine(LogLevel::kInfo, "retries_granted")
       .Add("service", aService)
-      .Add("wanted", aWanted)
+      .Add("wanted", aRequested)
       .Add("granted", aGranted);
   mContext.mCounters.Add("retries_granted", {}, aGranted);
 }
--- a/daemons/relay/retry_credit_requester.h
+++ b/daemons/relay/retry_credit_requester.h
@@ -13,28 +13,28 @@
 
 /// The asking side of control.retries. What is granted is credited to the
 /// allowance of the service; who wants one looks there again.
-class RetryWishes {
+class RetryCreditRequester {
  public:
-  RetryWishes(RelayContext& aContext, SyncLink& aLink);
+  RetryCreditRequester(RelayContext& aContext, SyncLink& aLink);
 
   /// aRequest, whatever it is, wants one; asked again while it waits it counts
   /// once.
-  void Want(const std::string& aService, const void* aRequest);
+  void Request(const std::string& aService, const void* aRequest);
 
  private:
-  /// What is wanted for one service.
-  struct Wish {
+  /// What is requested for one service.
+  struct PendingRequests {
     std::set<const void*> mRequests;  ///< That no question has told yet.
-    bool mAsking = false;
+    bool mPolling = false;
     Millis mNotBefore = 0;
   };
 
-  void Ask(const std::string& aService, Wish& aWish);
-  void Take(const std::string& aService, int aWanted, int aGranted);
+  void Send(const std::string& aService, PendingRequests& aPending);
+  void ApplyGrant(const std::string& aService, int aRequested, int aGranted);
 
   RelayContext& mContext;
   SyncLink& mLink;
-  std::map<std::string, Wish> mWishes;  ///< By service.
+  std::map<std::string, PendingRequests> mPending;  ///< By service.
 };
 
 }  // namespace spindleweir
--- a/daemons/relay/stream_guard.cpp
+++ b/daemons/relay/stream_guard.cpp
@@ -10,104 +10,104 @@
 
 namespace {
 
-constexpr Millis kStepPeriod = 20;
+constexpr Millis kStepInterval = 20;
 /// A step this late shows that this process had no processor.
-constexpr Millis kLate = 45;
-constexpr Millis kLateFor = 60;
+constexpr Millis kLateThreshold = 45;
+constexpr Millis kLateWindow = 60;
 /// An upstream that does not take a connection in this time is dead or cut
 /// off: the round trip between zones is a few milliseconds.
 constexpr Millis kProbeTimeout = 40;
-constexpr Millis kProbeAgain = 150;
-constexpr Millis kUnreachableFor = 2000;
+constexpr Millis kProbeInterval = 150;
+constexpr Millis kAvoidAfterUnreachable = 2000;
 /// A stream that pauses for so long although all of its upstreams can be
 /// reached: its first one is asked where it stands still.
-constexpr Millis kAskAfter = 300;
-constexpr Millis kAskAgain = 300;
-constexpr Millis kAskTimeout = 400;
-constexpr Millis kStandsStillFor = 1500;
-constexpr std::size_t kMostReport = 256 * 1024;
-/// Streams that look for a path without slow engines in one step: each takes
+constexpr Millis kStatePollAfter = 300;
+constexpr Millis kStatePollInterval = 300;
+constexpr Millis kStatePollTimeout = 400;
+constexpr Millis kAvoidAfterStall = 1500;
+constexpr std::size_t kMaxReportBytes = 256 * 1024;
+/// Streams that check for a path without slow engines in one step: each takes
 /// up to a millisecond of a small VM, and events are to be passed on meanwhile.
-constexpr int kMostPathSearches = 4;
+constexpr int kMaxPathSearches = 4;
 
 }  // namespace
 
 StreamGuard::StreamGuard(RelayContext& aContext) : mContext(aContext) {
-  mTimer = mContext.mLoop.Every(kStepPeriod, [this] { Step(); });
+  mTimer = mContext.mLoop.Every(kStepInterval, [this] { Step(); });
 }
 
 StreamKey StreamGuard::Add(GuardedStream* aStream) {
-  const StreamKey key = mNext++;
+  const StreamKey key = mNextKey++;
   mStreams[key] = aStream;
   return key;
 }
 
 void StreamGuard::Remove(StreamKey aKey) {
   mStreams.erase(aKey);
-  mWatch.End(aKey);
+  mStallDetector.End(aKey);
 }
 
 void StreamGuard::Step() {
   const Millis now = SteadyNow();
-  if (mSteppedAt > 0 && now - mSteppedAt > kLate) {
+  if (mSteppedAt > 0 && now - mSteppedAt > kLateThreshold) {
     mLateAt = now;
   }
   mSteppedAt = now;
   MoveOffRestarted();
   MoveOffLeaving();
-  if (LateSince(now - kLateFor)) {
+  if (WasLateSince(now - kLateWindow)) {
     // What came meanwhile has not been read yet: pauses prove nothing.
     return;
   }
-  for (const std::string& instance : mWatch.SuspectInstances(now)) {
+  for (const std::string& instance : mStallDetector.SuspectInstances(now)) {
     ProbeIfDue(instance, now);
   }
   for (const std::string& instance : mContext.mCrashes.InstancesToProbe(now)) {
     ProbeIfDue(instance, now);
   }
-  StepPaces(now);
-  std::set<std::string> firsts;
-  for (StreamKey key : mWatch.SilentStreams(kAskAfter, now)) {
+  UpdateSlowdowns(now);
+  std::set<std::string> firstStages;
+  for (StreamKey key : mStallDetector.SilentStreams(kStatePollAfter, now)) {
     const auto it = mStreams.find(key);
     if (it != mStreams.end()) {
-      firsts.insert(it->second->FirstInstance());
+      firstStages.insert(it->second->FirstInstance());
     }
   }
-  for (const std::string& first : firsts) {
-    const Look& look = mStates[first];
-    if (!first.empty() && look.mCall == nullptr &&
-        now - look.mAt >= kAskAgain) {
-      AskState(first);
+  for (const std::string& first : firstStages) {
+    const InstanceCheck& check = mStates[first];
+    if (!first.empty() && check.mCall == nullptr &&
+        now - check.mAt >= kStatePollInterval) {
+      PollState(first);
     }
   }
 }
 
-void StreamGuard::Progress(StreamKey aKey, Millis aNow) {
-  const std::optional<EventWait> inTime = mWatch.OnEvent(aKey, aNow);
+void StreamGuard::OnEvent(StreamKey aKey, Millis aNow) {
+  const std::optional<EventWait> inTime = mStallDetector.OnEvent(aKey, aNow);
   if (inTime.has_value()) {
-    mContext.mPaces.RecordOnTime(inTime->mInstances, inTime->mFrom);
+    mContext.mSlowdowns.RecordOnTime(inTime->mInstances, inTime->mFrom);
   }
 }
 
-void StreamGuard::StepPaces(Millis aNow) {
-  EngineSlowdowns& paces = mContext.mPaces;
-  for (const EventWait& late : mWatch.TakeLateWaits(aNow)) {
-    paces.RecordLate(late.mInstances, late.mFrom, aNow);
+void StreamGuard::UpdateSlowdowns(Millis aNow) {
+  EngineSlowdowns& slowdowns = mContext.mSlowdowns;
+  for (const EventWait& late : mStallDetector.TakeLateWaits(aNow)) {
+    slowdowns.RecordLate(late.mInstances, late.mFrom, aNow);
   }
   const auto random = [this] { return mContext.Random(); };
   for (const std::string& instance :
-       paces.EnginesToPoll(aNow, mContext.Routers(), random)) {
+       slowdowns.EnginesToPoll(aNow, mContext.Routers(), random)) {
     if (mStates[instance].mCall == nullptr) {
       mContext.mCounters.Add("pace_questions");
-      AskState(instance);
+      PollState(instance);
     }
   }
-  JudgePaces(aNow);
-  LeaveSlow(aNow);
+  EvaluateSlowdowns(aNow);
+  MoveOffSlow(aNow);
 }
 
-void StreamGuard::JudgePaces(Millis aNow) {
-  for (const SlowdownChange& change : mContext.mPaces.Evaluate(aNow)) {
+void StreamGuard::EvaluateSlowdowns(Millis aNow) {
+  for (const SlowdownChange& change : mContext.mSlowdowns.Evaluate(aNow)) {
     mContext.mCounters.Add("paces_judged",
                            change.mIsSlow ? "as=\"slow\"" : "as=\"well\"");
     LogLine(LogLevel::kInfo, "engine_pace")
@@ -121,76 +121,76 @@
   }
 }
 
-void StreamGuard::LeaveSlow(Millis aNow) {
-  const std::map<std::string, double>& slow = mContext.mPaces.SlowEngines();
+void StreamGuard::MoveOffSlow(Millis aNow) {
+  const std::map<std::string, double>& slow = mContext.mSlowdowns.SlowEngines();
   if (slow.empty()) {
     return;
   }
   int searches = 0;
   // The longest silent has the least time left.
-  for (StreamKey key : mWatch.StreamsThrough(slow)) {
+  for (StreamKey key : mStallDetector.StreamsThrough(slow)) {
     const auto it = mStreams.find(key);
     if (it == mStreams.end()) {
       continue;
     }
-    searches += it->second->LeaveSlow(aNow) ? 1 : 0;
-    if (searches >= kMostPathSearches) {
+    searches += it->second->MoveOffSlow(aNow) ? 1 : 0;
+    if (searches >= kMaxPathSearches) {
       return;
     }
   }
 }
 
 void StreamGuard::MoveOffLeaving() {
-  if (mContext.mRegistry.Revision() == mLookedAt) {
+  if (mContext.mRegistry.Revision() == mCheckedRevision) {
     return;
   }
-  mLookedAt = mContext.mRegistry.Revision();
-  DropUnknown();
+  mCheckedRevision = mContext.mRegistry.Revision();
+  ForgetUnknown();
   std::set<std::string> leaving;
   for (const UpstreamRecord* record : mContext.mRegistry.OfService("")) {
     const bool leaves = record->mState == UpstreamState::kLeaving ||
                         record->mState == UpstreamState::kGone;
-    if (leaves && mLeftBehind.insert(record->mInstance).second) {
+    if (leaves && mHandledLeaving.insert(record->mInstance).second) {
       leaving.insert(record->mInstance);
     }
   }
   if (!leaving.empty()) {
-    LeaveBehind(leaving, MoveReason::kLeaving);
+    MoveStreamsOff(leaving, MoveReason::kLeaving);
   }
 }
 
-void StreamGuard::DropUnknown() {
+void StreamGuard::ForgetUnknown() {
   const auto unknown = [this](const std::string& aInstance) {
     return mContext.mRegistry.Find(aInstance) == nullptr;
   };
   const auto ended = [&unknown](const auto& aItem) {
     return aItem.second.mCall == nullptr && unknown(aItem.first);
   };
-  std::erase_if(mLeftBehind, unknown);
+  std::erase_if(mHandledLeaving, unknown);
   std::erase_if(mProbes, ended);
   std::erase_if(mStates, ended);
-  mContext.mPaces.ForgetIf(unknown);
+  mContext.mSlowdowns.ForgetIf(unknown);
 }
 
 void StreamGuard::MoveOffRestarted() {
-  const std::set<std::string> restarted = mContext.TakeRestarted();
+  const std::set<std::string> restarted = mContext.TakeRestartedInstances();
   if (restarted.empty()) {
     return;
   }
   for (const std::string& instance : restarted) {
-    mLeftBehind.erase(instance);
+    mHandledLeaving.erase(instance);
   }
-  LeaveBehind(restarted, MoveReason::kRestarted);
+  MoveStreamsOff(restarted, MoveReason::kRestarted);
 }
 
 void StreamGuard::ProbeIfDue(const std::string& aInstance, Millis aNow) {
-  const Look& look = mProbes[aInstance];
-  if (look.mCall == nullptr && aNow - look.mAt >= kProbeAgain) {
+  const InstanceCheck& check = mProbes[aInstance];
+  if (check.mCall == nullptr && aNow - check.mAt >= kProbeInterval) {
     Probe(aInstance);
   }
 }
 
-void StreamGuard::AttemptLost(LostAttempt aAttempt) {
+void StreamGuard::OnAttemptLost(LostAttempt aAttempt) {
   const std::string instance = aAttempt.mInstance;
   const Millis now = SteadyNow();
   mContext.mCrashes.OnAttemptLost(std::move(aAttempt), now);
@@ -224,9 +224,9 @@
     CountCrash(aInstance);
     return;
   }
-  Look& look = mProbes[aInstance];
-  look.mAt = SteadyNow();
-  look.mStart = record->mStart;
+  InstanceCheck& check = mProbes[aInstance];
+  check.mAt = SteadyNow();
+  check.mStart = record->mStart;
   const auto connected = std::make_shared<bool>(false);
   StreamCallOptions options;
   options.mServer = ParseEndpoint(record->mAddress, "address of an upstream");
@@ -238,18 +238,18 @@
   options.mOnEnd = [this, aInstance, connected](StreamEnd) {
     ProbeEnded(aInstance, *connected);
   };
-  look.mCall = StartStreamCall(mContext.mLoop, std::move(options));
+  check.mCall = StartStreamCall(mContext.mLoop, std::move(options));
 }
 
 void StreamGuard::ProbeEnded(const std::string& aInstance, bool aConnected) {
-  Look& look = mProbes[aInstance];
-  const Millis took = SteadyNow() - look.mAt;
+  InstanceCheck& check = mProbes[aInstance];
+  const Millis took = SteadyNow() - check.mAt;
   // The call is on the stack: it goes in the next turn of the loop.
-  const std::shared_ptr<StreamCall> call = std::move(look.mCall);
+  const std::shared_ptr<StreamCall> call = std::move(check.mCall);
   mContext.mLoop.Post([call] {});
   mContext.mCounters.Add("probes");
   const bool refused = took < kProbeTimeout;
-  const bool restarted = look.mStart != mContext.StartOf(aInstance);
+  const bool restarted = check.mStart != mContext.StartOf(aInstance);
   if (restarted) {
     CountCrash(aInstance);
     return;
@@ -258,39 +258,39 @@
     mContext.mCrashes.OnUpstreamAlive(aInstance);
     return;
   }
-  if (!refused && LateSince(look.mAt)) {
+  if (!refused && WasLateSince(check.mAt)) {
     return;
   }
   LogLine(LogLevel::kInfo, "upstream_unreachable")
       .Add("instance", aInstance)
       .Add("after_ms", static_cast<Json::Int64>(took));
-  mContext.Unreachable(aInstance, kUnreachableFor);
-  LeaveBehind({aInstance}, MoveReason::kUnreachable);
+  mContext.RecordUnreachable(aInstance, kAvoidAfterUnreachable);
+  MoveStreamsOff({aInstance}, MoveReason::kUnreachable);
   if (refused) {
-    // Without an answer it may as well be cut off.
+    // ReplaceStages an answer it may as well be cut off.
     CountCrash(aInstance);
   }
 }
 
-void StreamGuard::AskState(const std::string& aInstance) {
+void StreamGuard::PollState(const std::string& aInstance) {
   const UpstreamRecord* record = mContext.mRegistry.Find(aInstance);
   if (record == nullptr) {
     return;
   }
-  Look& look = mStates[aInstance];
-  look.mAt = SteadyNow();
-  look.mStart = record->mStart;
-  look.mBody.clear();
+  InstanceCheck& check = mStates[aInstance];
+  check.mAt = SteadyNow();
+  check.mStart = record->mStart;
+  check.mBody.clear();
   StreamCallOptions options = CallOf(mContext.mOptions.mEngines.mAskState(),
-                                     record->mAddress, kAskTimeout);
+                                     record->mAddress, kStatePollTimeout);
   options.mOnData = [this, aInstance](std::string_view aBytes) {
     std::string& body = mStates[aInstance].mBody;
-    if (body.size() + aBytes.size() <= kMostReport) {
+    if (body.size() + aBytes.size() <= kMaxReportBytes) {
       body += aBytes;
     }
   };
   options.mOnEnd = [this, aInstance](StreamEnd aEnd) {
-    Look& ended = mStates[aInstance];
+    InstanceCheck& ended = mStates[aInstance];
     const std::shared_ptr<StreamCall> call = std::move(ended.mCall);
     mContext.mLoop.Post([call] {});
     // Up to 256 KB, of each instance that was ever asked.
@@ -300,26 +300,26 @@
       return;
     }
     try {
-      TakeState(aInstance, mContext.mOptions.mEngines.mReadState(body));
+      ApplyState(aInstance, mContext.mOptions.mEngines.mReadState(body));
     } catch (const Error& error) {
       mContext.mBadWords.Note("report", aInstance, error);
     }
   };
-  look.mCall = StartStreamCall(mContext.mLoop, std::move(options));
+  check.mCall = StartStreamCall(mContext.mLoop, std::move(options));
 }
 
-void StreamGuard::TakeState(const std::string& aInstance,
-                            const EngineState& aState) {
+void StreamGuard::ApplyState(const std::string& aInstance,
+                             const EngineState& aState) {
   const std::int64_t known = mStates[aInstance].mStart;
   if (known > 0 && aState.mStart > known) {
     // Its heartbeat has not come this far yet.
-    mContext.Failed(aInstance, kStandsStillFor);
-    LeaveBehind({aInstance}, MoveReason::kRestarted);
+    mContext.RecordFailure(aInstance, kAvoidAfterStall);
+    MoveStreamsOff({aInstance}, MoveReason::kRestarted);
     return;
   }
   const Millis now = SteadyNow();
-  mContext.mPaces.OnEngineReport(aInstance, aState.mPace, now);
-  JudgePaces(now);
+  mContext.mSlowdowns.OnEngineReport(aInstance, aState.mPace, now);
+  EvaluateSlowdowns(now);
   std::set<std::string> addresses;
   for (const StalledRequest& stalled : aState.mStalled) {
     addresses.insert(stalled.mAddress);
@@ -329,21 +329,21 @@
     const bool current = record->mState != UpstreamState::kGone;
     if (current && addresses.contains(record->mAddress)) {
       instances.insert(record->mInstance);
-      mContext.Failed(record->mInstance, kStandsStillFor);
+      mContext.RecordFailure(record->mInstance, kAvoidAfterStall);
     }
   }
   if (!instances.empty()) {
-    LeaveBehind(instances, MoveReason::kStandsStill);
+    MoveStreamsOff(instances, MoveReason::kStalled);
   }
 }
 
-void StreamGuard::LeaveBehind(const std::set<std::string>& aInstances,
-                              MoveReason aWhy) {
+void StreamGuard::MoveStreamsOff(const std::set<std::string>& aInstances,
+                                 MoveReason aReason) {
   // A stream that moves may end and take itself off the list.
   const std::map<StreamKey, GuardedStream*> streams = mStreams;
   for (const auto& [key, stream] : streams) {
     if (mStreams.contains(key)) {
-      stream->MoveOff(aInstances, aWhy);
+      stream->MoveOff(aInstances, aReason);
     }
   }
 }
--- a/daemons/relay/stream_guard.h
+++ b/daemons/relay/stream_guard.h
@@ -18,7 +18,7 @@
 enum class MoveReason {
   kLeaving,      ///< It serves on for some time.
   kUnreachable,  ///< It takes no connection: it is lost.
-  kStandsStill,  ///< Streams that pass it do not come on.
+  kStalled,      ///< Streams that pass it do not come on.
   kRestarted,    ///< It started again and knows nothing of them.
   kSlow,         ///< Streams that pass it are late, or will be.
 };
@@ -29,10 +29,10 @@
   virtual ~GuardedStream() = default;
   /// Goes on without these instances, where it uses one of them.
   virtual void MoveOff(const std::set<std::string>& aInstances,
-                       MoveReason aWhy) = 0;
+                       MoveReason aReason) = 0;
   /// Goes on without slow engines, where that is sooner. Returns whether it
   /// looked for another path, which takes its time.
-  virtual bool LeaveSlow(Millis aNow) = 0;
+  virtual bool MoveOffSlow(Millis aNow) = 0;
   /// The first instance of its path; empty: none at present.
   virtual std::string FirstInstance() const = 0;
 };
@@ -45,38 +45,39 @@
   /// Begins to watch a stream; the key is valid until Remove.
   StreamKey Add(GuardedStream* aStream);
   void Remove(StreamKey aKey);
-  StallDetector& Watch() { return mWatch; }
+  StallDetector& Detector() { return mStallDetector; }
   /// Moves streams off incarnations that were followed by others. To be called
   /// once all news that came together are taken, and before new streams begin.
   void MoveOffRestarted();
   /// An attempt was lost at an instance: finds out whether it crashed.
-  void AttemptLost(LostAttempt aAttempt);
+  void OnAttemptLost(LostAttempt aAttempt);
   /// An event of a stream came.
-  void Progress(StreamKey aKey, Millis aNow);
+  void OnEvent(StreamKey aKey, Millis aNow);
 
  private:
   void Step();
-  void StepPaces(Millis aNow);
-  void JudgePaces(Millis aNow);
-  void LeaveSlow(Millis aNow);
+  void UpdateSlowdowns(Millis aNow);
+  void EvaluateSlowdowns(Millis aNow);
+  void MoveOffSlow(Millis aNow);
   /// Whether this process itself was late since then.
-  bool LateSince(Millis aSince) const { return mLateAt >= aSince; }
+  bool WasLateSince(Millis aSince) const { return mLateAt >= aSince; }
   void Probe(const std::string& aInstance);
   void ProbeEnded(const std::string& aInstance, bool aConnected);
   /// Looks at an instance, unless that is under way or was just done.
   void ProbeIfDue(const std::string& aInstance, Millis aNow);
   /// An instance crashed: counts it for the requests that it may be by.
   void CountCrash(const std::string& aInstance);
-  void AskState(const std::string& aInstance);
-  void TakeState(const std::string& aInstance, const EngineState& aState);
-  void LeaveBehind(const std::set<std::string>& aInstances, MoveReason aWhy);
+  void PollState(const std::string& aInstance);
+  void ApplyState(const std::string& aInstance, const EngineState& aState);
+  void MoveStreamsOff(const std::set<std::string>& aInstances,
+                      MoveReason aReason);
   void MoveOffLeaving();
   /// Nothing is kept of instances that the registry has forgotten: each start
   /// of a replica may bring a new one.
-  void DropUnknown();
+  void ForgetUnknown();
 
-  /// A look at one instance.
-  struct Look {
+  /// A check at one instance.
+  struct InstanceCheck {
     std::unique_ptr<StreamCall> mCall;
     Millis mAt = -1;
     std::int64_t mStart = 0;  ///< Of the incarnation that is looked at.
@@ -84,13 +85,13 @@
   };
 
   RelayContext& mContext;
-  StallDetector mWatch;
+  StallDetector mStallDetector;
   std::map<StreamKey, GuardedStream*> mStreams;
-  std::map<std::string, Look> mProbes;
-  std::map<std::string, Look> mStates;
-  std::set<std::string> mLeftBehind;  ///< Leaving ones that were handled.
-  std::int64_t mLookedAt = 0;         ///< Revision of the registry.
-  StreamKey mNext = 1;
+  std::map<std::string, InstanceCheck> mProbes;
+  std::map<std::string, InstanceCheck> mStates;
+  std::set<std::string> mHandledLeaving;  ///< Leaving ones that were handled.
+  std::int64_t mCheckedRevision = 0;      ///< Revision of the registry.
+  StreamKey mNextKey = 1;
   Millis mSteppedAt = 0;
   Millis mLateAt = -1;  ///< When this process last was late itself.
   std::unique_ptr<Timer> mTimer;
--- a/daemons/relay/sync_link.cpp
+++ b/daemons/relay/sync_link.cpp
@@ -11,115 +11,118 @@
 
 namespace {
 
-constexpr Millis kStepPeriod = 100;
+constexpr Millis kStepInterval = 100;
 /// While there is no lease: 0.1 s more is a tenth of what callers wait at most.
-constexpr Millis kLackingStepPeriod = 25;
+constexpr Millis kNoLeaseStepInterval = 25;
 /// Upstreams that ended are looked for so often: it goes through all of them.
-constexpr Millis kForgetPeriod = 1000;
+constexpr Millis kCleanUpInterval = 1000;
 /// Loads of others that are older than this say nothing any more.
-constexpr Millis kLoadsKept = 2500;
-constexpr int kNameBytes = 6;
-/// A question that failed within this time was turned away: one that nobody
+constexpr Millis kPeerLoadsRetention = 2500;
+constexpr int kIncarnationNameBytes = 6;
+/// A request that failed within this time was turned away: one that nobody
 /// answers fails after 300 ms at the least.
-constexpr Millis kRefusedWithin = 200;
+constexpr Millis kRefusalWindow = 200;
 /// The nearest control is heard where it answered within this time: it is asked
 /// each half second at most, but for its back-off.
-constexpr Millis kNearHeard = 1500;
+constexpr Millis kNearestContactWindow = 1500;
 /// Others are asked seldom only while it answers within so many of its periods:
 /// a silence of it is made up for as fast as the others used to be asked.
-constexpr Millis kFreshPeriods = 3;
-/// Records of crashes in one question: some 20 KB.
-constexpr std::size_t kMostCrashes = 128;
+constexpr Millis kFreshIntervals = 3;
+/// Records of crashes in one request: some 20 KB.
+constexpr std::size_t kMaxCrashes = 128;
 
 }  // namespace
 
 SyncLink::SyncLink(RelayContext& aContext)
     : mContext(aContext),
-      mProcess(aContext.mOptions.mId + "/" + RandomHex(kNameBytes)) {
+      mProcess(aContext.mOptions.mId + "/" + RandomHex(kIncarnationNameBytes)) {
   Step();
 }
 
-bool SyncLink::NearIsFresh() const {
-  const auto it = mSources.find(mNear);
-  return mNearAt > 0 && it != mSources.end() && it->second.mPeriod > 0 &&
-         SteadyNow() - mNearAt < kFreshPeriods * it->second.mPeriod;
+bool SyncLink::IsNearestFresh() const {
+  const auto it = mSources.find(mNearest);
+  return mNearestAnsweredAt > 0 && it != mSources.end() &&
+         it->second.mPollInterval > 0 &&
+         SteadyNow() - mNearestAnsweredAt <
+             kFreshIntervals * it->second.mPollInterval;
 }
 
-PolledControl SyncLink::Asked(const std::string& aAddress) {
+PolledControl SyncLink::PollInputOf(const std::string& aAddress) {
   const Source& source = mSources[aAddress];
-  return {.mInterval = source.mPeriod,
+  return {.mInterval = source.mPollInterval,
           .mFailures = source.mFailures,
           .mWasRefused = source.mWasRefused,
-          .mIsNearest = aAddress == mNear,
+          .mIsNearest = aAddress == mNearest,
           .mLacksConfiguration = mContext.Table() == nullptr,
-          .mNearestAnswers = NearIsFresh(),
+          .mNearestAnswers = IsNearestFresh(),
           .mCosts = mContext.mOptions.mCosts,
           .mLacksLease = LacksLease(),
           .mRouterCount = mContext.Routers(),
-          .mJitter = source.mSpread};
+          .mJitter = source.mJitter};
 }
 
 void SyncLink::Step() {
   const Millis now = SteadyNow();
-  SourceChoiceInput question;
-  question.mDirectory = &mContext.mDirectory;
-  question.mProcess = mProcess;
-  question.mZone = mContext.mOptions.mZone;
-  question.mFailedAt = mFailedAt;
-  question.mNow = now;
-  mControls = ChooseSources(question);
-  const std::string near = mControls.empty() ? "" : mControls.front().Text();
-  if (near != mNear) {
-    mNear = near;
-    mNearAt = 0;
+  SourceChoiceInput request;
+  request.mDirectory = &mContext.mDirectory;
+  request.mProcess = mProcess;
+  request.mZone = mContext.mOptions.mZone;
+  request.mFailedAt = mFailedAt;
+  request.mNow = now;
+  mControls = ChooseSources(request);
+  const std::string nearest = mControls.empty() ? "" : mControls.front().Text();
+  if (nearest != mNearest) {
+    mNearest = nearest;
+    mNearestAnsweredAt = 0;
   }
   for (const Endpoint& address : mControls) {
     const Source& source = mSources[address.Text()];
-    if (!source.mAsking &&
-        now - source.mAskedAt >= NextPollDelay(Asked(address.Text()))) {
-      Ask(address);
+    if (!source.mPolling &&
+        now - source.mPolledAt >= NextPollDelay(PollInputOf(address.Text()))) {
+      Poll(address);
     }
   }
-  if (now - mForgotAt >= kForgetPeriod) {
-    mForgotAt = now;
+  if (now - mCleanedUpAt >= kCleanUpInterval) {
+    mCleanedUpAt = now;
     mContext.mRegistry.RemoveEnded(now);
     mContext.mCrashes.RemoveExpired(now);
     mContext.mLimits.RetainKnown([this](const std::string& aInstance) {
       return mContext.mRegistry.Find(aInstance) != nullptr;
     });
   }
-  if (now - mLoadsAt > kLoadsKept) {
-    mContext.ForgetOtherLoads();
+  if (now - mLoadsReceivedAt > kPeerLoadsRetention) {
+    mContext.ClearPeerLoads();
   }
-  mTimer = mContext.mLoop.After(LacksLease() ? kLackingStepPeriod : kStepPeriod,
-                                [this] { Step(); });
+  mTimer = mContext.mLoop.After(
+      LacksLease() ? kNoLeaseStepInterval : kStepInterval, [this] { Step(); });
 }
 
 bool SyncLink::LacksLease() const {
   return mContext.Table() == nullptr || !mContext.LeaseHolds();
 }
 
-std::int64_t SyncLink::AddBeats(const Source& aSource,
-                                SyncQuestion& aQuestion) {
-  const CollectedHeartbeats untold =
-      mContext.mTaker.Unreported(aSource.mLife, SteadyNow());
-  if (!untold.mChanged.empty()) {
-    aQuestion.mTakenUpstreams = PackUpstreams(untold.mChanged);
+std::int64_t SyncLink::AddHeartbeats(const Source& aSource,
+                                     SyncQuestion& aRequest) {
+  const CollectedHeartbeats unreported =
+      mContext.mHeartbeatCollector.Unreported(aSource.mIncarnation,
+                                              SteadyNow());
+  if (!unreported.mChanged.empty()) {
+    aRequest.mTakenUpstreams = PackUpstreams(unreported.mChanged);
   }
-  aQuestion.mTakenBeats = ToJson(HeartbeatTable::Of(untold.mHeartbeats));
-  return untold.mNumber;
+  aRequest.mTakenBeats = ToJson(HeartbeatTable::Of(unreported.mHeartbeats));
+  return unreported.mNumber;
 }
 
 std::int64_t SyncLink::AddCrashes(const Source& aSource,
-                                  SyncQuestion& aQuestion) {
-  aQuestion.mKnowsCrashes = aSource.mCrashRevision;
+                                  SyncQuestion& aRequest) {
+  aRequest.mKnowsCrashes = aSource.mCrashRevision;
   const CrashLedger::Changes changes = mContext.mCrashes.Ledger().ChangesSince(
-      aSource.mCrashesTold, false, kMostCrashes, SteadyNow());
-  aQuestion.mCrashes = WriteRows(changes.mRecords);
+      aSource.mAcknowledgedCrashes, false, kMaxCrashes, SteadyNow());
+  aRequest.mCrashes = WriteRows(changes.mRecords);
   return changes.mUpToRevision;
 }
 
-void SyncLink::TakeCrashes(Source& aSource, const SyncAnswer& aAnswer) {
+void SyncLink::ApplyCrashes(Source& aSource, const SyncAnswer& aAnswer) {
   aSource.mCrashRevision = aAnswer.mCrashRevision;
   for (const CrashRecord& record :
        ReadCrashes(aAnswer.mCrashes, mContext.mBadWords.At("crashes"))) {
@@ -135,58 +138,59 @@
   }
 }
 
-void SyncLink::Ask(const Endpoint& aAddress) {
+void SyncLink::Poll(const Endpoint& aAddress) {
   Source& source = mSources[aAddress.Text()];
-  source.mAsking = true;
-  source.mAskedAt = SteadyNow();
-  source.mSpread = mContext.Random();
-  SyncQuestion question;
-  question.mProcess = mProcess;
-  question.mZone = mContext.mOptions.mZone;
-  question.mKnows = source.mLife;
-  question.mRevision = source.mRevision;
-  question.mConfiguration =
+  source.mPolling = true;
+  source.mPolledAt = SteadyNow();
+  source.mJitter = mContext.Random();
+  SyncQuestion request;
+  request.mProcess = mProcess;
+  request.mZone = mContext.mOptions.mZone;
+  request.mKnows = source.mIncarnation;
+  request.mRevision = source.mRevision;
+  request.mConfiguration =
       mContext.Table() == nullptr ? 0 : mContext.Table()->Version();
-  question.mSilent = WriteRows(mContext.mRegistry.SilentUpstreams());
-  question.mHearsNear = mNearAt > 0 && SteadyNow() - mNearAt < kNearHeard;
-  question.mTakesAt =
+  request.mSilent = WriteRows(mContext.mRegistry.SilentUpstreams());
+  request.mHearsNear = mNearestAnsweredAt > 0 &&
+                       SteadyNow() - mNearestAnsweredAt < kNearestContactWindow;
+  request.mTakesAt =
       mContext.mStopping ? "" : mContext.mOptions.mHeartbeatAddress;
-  const std::string life = source.mLife;
-  std::int64_t beats = 0;
-  if (aAddress.Text() == mNear) {
-    beats = AddBeats(source, question);
-    question.mKnowsLoads = source.mLoadsNumber;
-    LoadShares own = mContext.OwnLoads();
-    question.mLoads = LoadTable::Of(own);
-    question.mTellsLoads = mTold.Record(std::move(own));
+  const std::string incarnation = source.mIncarnation;
+  std::int64_t heartbeats = 0;
+  if (aAddress.Text() == mNearest) {
+    heartbeats = AddHeartbeats(source, request);
+    request.mKnowsLoads = source.mLoadsNumber;
+    LoadShares local = mContext.LocalLoads();
+    request.mLoads = LoadTable::Of(local);
+    request.mTellsLoads = mReportedLoads.Record(std::move(local));
   }
-  const std::int64_t crashes = AddCrashes(source, question);
-  const Millis askedAt = source.mAskedAt;
-  const Millis timeout = PollTimeout(Asked(aAddress.Text()));
-  mContext.mRpc.Call(aAddress, rpc_method::kSync, ToJson(question), timeout,
-                     [this, aAddress, askedAt, life, beats,
-                      crashes](const RpcResult& aResult) {
-                       mSources[aAddress.Text()].mAsking = false;
-                       if (!aResult.mOk) {
-                         Failed(aAddress, askedAt);
-                         return;
-                       }
-                       const auto answer =
-                           FromJson<SyncAnswer>(aResult.mAnswer);
-                       if (beats > 0 && answer.mLife == life) {
-                         mContext.mTaker.Acknowledge(life, beats);
-                       }
-                       if (answer.mLife == life) {
-                         mSources[aAddress.Text()].mCrashesTold = crashes;
-                       }
-                       Take(aAddress, answer, askedAt);
-                     });
+  const std::int64_t crashes = AddCrashes(source, request);
+  const Millis polledAt = source.mPolledAt;
+  const Millis timeout = PollTimeout(PollInputOf(aAddress.Text()));
+  mContext.mRpc.Call(
+      aAddress, rpc_method::kSync, ToJson(request), timeout,
+      [this, aAddress, polledAt, incarnation, heartbeats,
+       crashes](const RpcResult& aResult) {
+        mSources[aAddress.Text()].mPolling = false;
+        if (!aResult.mOk) {
+          OnPollFailed(aAddress, polledAt);
+          return;
+        }
+        const auto answer = FromJson<SyncAnswer>(aResult.mAnswer);
+        if (heartbeats > 0 && answer.mLife == incarnation) {
+          mContext.mHeartbeatCollector.Acknowledge(incarnation, heartbeats);
+        }
+        if (answer.mLife == incarnation) {
+          mSources[aAddress.Text()].mAcknowledgedCrashes = crashes;
+        }
+        ApplyAnswer(aAddress, answer, polledAt);
+      });
 }
 
-void SyncLink::Failed(const Endpoint& aAddress, Millis aAskedAt) {
+void SyncLink::OnPollFailed(const Endpoint& aAddress, Millis aPolledAt) {
   mContext.mCounters.Add("sync_failures");
   Source& source = mSources[aAddress.Text()];
-  source.mWasRefused = SteadyNow() - aAskedAt < kRefusedWithin;
+  source.mWasRefused = SteadyNow() - aPolledAt < kRefusalWindow;
   source.mFailures += source.mWasRefused ? 0 : 1;
   const auto [it, first] =
       mFailedAt.insert_or_assign(aAddress.Text(), SteadyNow());
@@ -195,8 +199,8 @@
   }
 }
 
-void SyncLink::TakeUpstream(const UpstreamRecord& aRecord,
-                            const std::string& aBy) {
+void SyncLink::ApplyUpstream(const UpstreamRecord& aRecord,
+                             const std::string& aBy) {
   if (!mContext.mRegistry.Merge(aRecord, SteadyNow())) {
     return;
   }
@@ -208,9 +212,9 @@
       .Add("by", aBy);
 }
 
-void SyncLink::TakeLoads(Source& aSource, const SyncAnswer& aAnswer,
-                         Millis aAskedAt) {
-  mLoadsAt = SteadyNow();
+void SyncLink::ApplyLoads(Source& aSource, const SyncAnswer& aAnswer,
+                          Millis aPolledAt) {
+  mLoadsReceivedAt = SteadyNow();
   const bool unchanged = aAnswer.mLoadsNumber == aSource.mLoadsNumber &&
                          aAnswer.mPackedLoads.empty();
   if (unchanged && aAnswer.mLoadsNumber != 0) {
@@ -219,25 +223,25 @@
   aSource.mLoadsNumber = aAnswer.mLoadsNumber;
   // Others tell their work as often as this router, to this control or by way
   // of another: on the whole what is told is one such period old.
-  mContext.SetOtherLoads(
-      mTold.SubtractReported(
+  mContext.SetPeerLoads(
+      mReportedLoads.SubtractReported(
           mContext.mBadWords.Loads("loads", aAnswer.mPackedLoads),
           aAnswer.mSummedLoads),
-      aAskedAt - aAnswer.mAskEvery - aAnswer.mLoadsAgo);
+      aPolledAt - aAnswer.mAskEvery - aAnswer.mLoadsAgo);
 }
 
-void SyncLink::Take(const Endpoint& aAddress, const SyncAnswer& aAnswer,
-                    Millis aAskedAt) {
+void SyncLink::ApplyAnswer(const Endpoint& aAddress, const SyncAnswer& aAnswer,
+                           Millis aPolledAt) {
   const Millis now = SteadyNow();
   Source& source = mSources[aAddress.Text()];
-  if (source.mLife != aAnswer.mLife) {
+  if (source.mIncarnation != aAnswer.mLife) {
     source.mLoadsNumber = 0;
     // A process that started again knows what is on its disk, at most.
-    source.mCrashesTold = 0;
+    source.mAcknowledgedCrashes = 0;
   }
-  source.mLife = aAnswer.mLife;
+  source.mIncarnation = aAnswer.mLife;
   source.mRevision = aAnswer.mRevision;
-  source.mPeriod = aAnswer.mAskEvery;
+  source.mPollInterval = aAnswer.mAskEvery;
   source.mFailures = 0;
   source.mWasRefused = false;
   if (mFailedAt.erase(aAddress.Text()) > 0) {
@@ -248,30 +252,30 @@
   for (const ControlInfo& info : aAnswer.mControls) {
     mContext.mDirectory.OnSeen(info, now);
   }
-  for (const UpstreamUpdate& news : aAnswer.mNewsOfUpstreams) {
+  for (const UpstreamUpdate& update : aAnswer.mNewsOfUpstreams) {
     for (const UpstreamRecord& record :
-         mContext.mBadWords.Unpack("news", news)) {
-      TakeUpstream(record, aAnswer.mSelf.mId);
+         mContext.mBadWords.Unpack("news", update)) {
+      ApplyUpstream(record, aAnswer.mSelf.mId);
     }
   }
   for (const UpstreamRecord& record : ReadRows<UpstreamRecord>(
            aAnswer.mNotSilent, mContext.mBadWords.At("news"))) {
-    TakeUpstream(record, aAnswer.mSelf.mId);
+    ApplyUpstream(record, aAnswer.mSelf.mId);
   }
   mContext.mGuard->MoveOffRestarted();
-  TakeCrashes(source, aAnswer);
-  if (aAddress.Text() == mNear) {
-    mNearAt = now;
-    TakeLoads(source, aAnswer, aAskedAt);
+  ApplyCrashes(source, aAnswer);
+  if (aAddress.Text() == mNearest) {
+    mNearestAnsweredAt = now;
+    ApplyLoads(source, aAnswer, aPolledAt);
   }
-  mContext.TakeRouters(aAnswer.mRouters, aAnswer.mSelf.mId);
-  for (const TrafficUpdate& news : aAnswer.mNews) {
-    mContext.Accept(news);
+  mContext.UpdateRouterCount(aAnswer.mRouters, aAnswer.mSelf.mId);
+  for (const TrafficUpdate& update : aAnswer.mNews) {
+    mContext.ApplyUpdate(update);
   }
   const std::int64_t held =
       mContext.Table() == nullptr ? 0 : mContext.Table()->Version();
   if (aAnswer.mConfirmedAgo >= 0) {
-    mContext.mLease.Confirm(aAnswer.mConfirmedVersion, held, aAskedAt,
+    mContext.mLease.Confirm(aAnswer.mConfirmedVersion, held, aPolledAt,
                             aAnswer.mConfirmedAgo);
   }
 }
