--- a/daemons/relay/relay_context.cpp
+++ b/daemons/relay/relay_context.cpp
@@ -11,30 +11,31 @@
 
 namespace {
 
-/// How much one outcome moves the share of failures.
+/// Weight of one outcome in the moving share of failures.
 constexpr double kOutcomeWeight = 0.2;
-/// Failures count half after this time.
-constexpr double kFailureHalfLife = 3000;
-/// A start lasts this many times as long as a request waits for it: control
-/// elects a leader and hears each upstream once meanwhile.
+/// The share of failures halves in this time, in milliseconds.
+constexpr double kFailureHalfLifeMillis = 3000;
+/// The start-up phase lasts this many times as long as a request waits for it:
+/// meanwhile control elects a leader and receives one heartbeat of each
+/// upstream.
 constexpr Millis kStartUpWaits = 2;
-/// Loads of others are forgotten at this age; what comes and goes in a longer
-/// time has mostly ended.
+/// Loads reported by peers are treated as at most this old: most requests that
+/// they count have ended by then.
 constexpr Millis kMaxPeerReportAge = 2500;
-/// Paths are divided anew this often: until then those of before may lead over
-/// layers that an engine held before it started again.
+/// Paths are computed anew at this interval. Until then the previous ones may
+/// use layers that an engine held before it restarted.
 constexpr Millis kPathRedivisionInterval = 300;
-/// A plain service is taken to answer within this time while no answer came
-/// lately, or within its route's target where that is shorter: the target is
-/// what callers bear, many times what a call takes.
+/// Typical response time of a plain service if none was recorded recently,
+/// unless the target of its route is shorter. The target itself is no estimate:
+/// it is what callers accept, many times the duration of a call.
 constexpr Millis kDefaultAnswerTime = 100;
-/// Of its requests a router sends this stage to an upstream of another zone,
-/// where one of its own zone may not be sent to.
+/// Share of a router's requests that it sends to an upstream of another zone if
+/// no upstream of its own zone may be used.
 constexpr double kOtherZoneShare = 0.1;
 constexpr double kMillisPerSecond = 1000;
 constexpr double kThousandths = 1000;
-/// An upstream that refused is left alone for so long, twice as long each time
-/// that it refuses again after it, up to a bound.
+/// An upstream that refused a request is avoided for this time. The time
+/// doubles with each further refusal, up to a maximum.
 constexpr Millis kAvoidAfterRefusal = 300;
 constexpr Millis kMaxAvoidAfterRefusals = 3000;
 constexpr int kMaxRefusalDoublings = 4;
@@ -96,9 +97,9 @@
   LimitDemand demand{.mRouters = Routers()};
   const UpstreamRecord* record = mRegistry.Find(aInstance);
   if (record != nullptr) {
-    const bool near = record->mZone == mOptions.mZone;
+    const bool isLocal = record->mZone == mOptions.mZone;
     demand.mLocal = ArrivalsOf(record->mService) * kMillisPerSecond *
-                    (near ? 1 : kOtherZoneShare);
+                    (isLocal ? 1 : kOtherZoneShare);
   }
   const auto others = mPeerLoads.find(aInstance);
   if (others != mPeerLoads.end()) {
@@ -182,10 +183,11 @@
   LoadShares loads = mLocalLoads;
   const Millis now = SteadyNow();
   for (const auto& [instance, history] : mHistories) {
-    // Of another zone it may be the link that is lost, not the upstream.
+    // For an upstream of another zone, the link may have failed rather than the
+    // upstream.
     const UpstreamRecord* record = mRegistry.Find(instance);
-    const bool near = record != nullptr && record->mZone == mOptions.mZone;
-    if (near && now < history.mUnreachableUntil) {
+    const bool isLocal = record != nullptr && record->mZone == mOptions.mZone;
+    if (isLocal && now < history.mUnreachableUntil) {
       loads[instance].mInstance = instance;
       loads[instance].mUnreachableReporters = 1;
     }
@@ -229,7 +231,8 @@
   UpstreamHistory& history = mHistories[aInstance];
   const Millis now = SteadyNow();
   if (now < history.mRefusedUntil) {
-    // Requests that were under way together are refused together.
+    // Requests that were in flight at the same time are refused together and
+    // count once.
     return;
   }
   history.mRefusedUntil =
@@ -251,7 +254,7 @@
     return 0;
   }
   const auto age = static_cast<double>(SteadyNow() - it->second.mFailedAt);
-  return it->second.mFailureShare * std::exp2(-age / kFailureHalfLife);
+  return it->second.mFailureShare * std::exp2(-age / kFailureHalfLifeMillis);
 }
 
 std::set<std::string> RelayContext::HeldUpstreams() {
@@ -315,11 +318,12 @@
                                             const PlainServiceQuery& aQuery) {
   ServiceRouting& paths = mServiceRouting[aRecord.mService];
   const Millis now = SteadyNow();
-  const auto own = mLocalLoads.find(aRecord.mInstance);
+  const auto local = mLocalLoads.find(aRecord.mInstance);
   UpstreamOccupancy occupancy;
   occupancy.mSlots = aRecord.mSlots;
-  occupancy.mLocal =
-      own == mLocalLoads.end() ? 0 : static_cast<double>(own->second.mRequests);
+  occupancy.mLocal = local == mLocalLoads.end()
+                         ? 0
+                         : static_cast<double>(local->second.mRequests);
   occupancy.mPeers = LoadOf(aRecord.mInstance).mRequests - occupancy.mLocal;
   occupancy.mBodyBytes = static_cast<double>(aQuery.mBodyBytes);
   occupancy.mLocalBytes = occupancy.mLocal * occupancy.mBodyBytes;
--- a/daemons/relay/relay_context.h
+++ b/daemons/relay/relay_context.h
@@ -1,4 +1,4 @@
-/// What the stages of a relaying router share.
+/// State that the components of a relaying router share.
 #pragma once
 
 #include <map>
@@ -37,32 +37,36 @@
 
 namespace spindleweir {
 
-/// What this router saw of an upstream, beside its own work there.
+/// Outcomes that this router observed at an upstream.
 struct UpstreamHistory {
-  double mFailureShare = 0;  ///< Moving share of attempts that failed, 0 to 1.
+  /// Exponentially weighted share of failed attempts, 0 to 1.
+  double mFailureShare = 0;
   Millis mFailedAt = -1;
   Millis mAvoidUntil = -1;
   Millis mRefusedUntil = -1;
-  int mRefusals = 0;  ///< In a row, each after the time of the one before.
+  /// Consecutive refusals, each after the back-off of the previous one.
+  int mRefusals = 0;
   Millis mUnreachableUntil = -1;
 };
 
-/// What paths of one service are chosen by.
+/// State from which paths of one service are chosen.
 struct ServiceRouting {
   PathChooser mChooser;
-  ArrivalRate mArrivals;  ///< At this router.
+  ArrivalRate mArrivals;  ///< Requests that arrive at this router.
   std::vector<const UpstreamRecord*> mReady;
-  std::int64_t mReadyRevision =
-      -1;  ///< The change of the registry that it has.
-  TypicalTime mTypicalTime{TypicalTimeOptions{}};  ///< Of a plain service.
+  /// Registry revision from which mReady was built.
+  std::int64_t mReadyRevision = -1;
+  /// Only used for plain services.
+  TypicalTime mTypicalTime{TypicalTimeOptions{}};
 };
 
-/// A request that may be sent to an upstream of a plain service.
+/// A request for which an upstream of a plain service is needed.
 struct PlainServiceQuery {
-  std::size_t mUpstreams = 1;  ///< That the service has.
+  std::size_t mUpstreams = 1;  ///< Number of upstreams of the service.
   std::size_t mBodyBytes = 0;
-  Millis mTarget = 0;     ///< Of its route; 0: not told.
-  Millis mArrivedAt = 0;  ///< When it was counted as an arrival.
+  Millis mTarget = 0;  ///< Target latency of the route; 0: not set.
+  /// Time at which the request was recorded as an arrival.
+  Millis mArrivedAt = 0;
 };
 
 class RelayAdmission;
@@ -74,75 +78,82 @@
  public:
   RelayContext(EventLoop& aLoop, RelayOptions aOptions);
 
-  /// The configuration in force; nullptr: none yet.
+  /// The configuration in force; nullptr if none has been received yet.
   const std::shared_ptr<const RouteTable>& Table() const { return mTable; }
-  /// Takes news of the configuration where it is newer than what is held and
-  /// follows on it.
+  /// Applies a configuration update if it is newer than the configuration in
+  /// force and based on it.
   void ApplyUpdate(const TrafficUpdate& aUpdate);
-  /// Whether the configuration in force has a service, or there is none yet.
+  /// Whether the configuration in force has the service, or none has been
+  /// received yet.
   bool KnowsService(const std::string& aService) const;
   bool LeaseHolds() const { return mLease.IsValid(SteadyNow()); }
-  /// Whether this process started so lately that what it lacks may still come
-  /// by itself: the configuration, its confirmation, heartbeats of upstreams.
+  /// Whether this process started so recently that missing state may still
+  /// arrive without a request: the configuration, its confirmation, and the
+  /// heartbeats of upstreams.
   bool IsStartingUp() const;
 
-  /// Notes work that begins or ends at an upstream.
+  /// Adds work that begins at an upstream; negative values remove work that
+  /// ended.
   void AddLoad(const std::string& aInstance, int aRequests, double aTokenLayers,
                int aFirsts);
-  /// Notes tokens that an engine has to read, or has read.
+  /// Adds tokens, times layers, that an engine has yet to prefill; a negative
+  /// value removes them.
   void AddPrefill(const std::string& aInstance, double aTokenLayers);
-  /// All work known at an upstream: own and of other routers.
+  /// All known work at an upstream: from this router and from its peers.
   EngineLoad LoadOf(const std::string& aInstance) const;
   LoadShares LocalLoads() const;
-  /// aTrueAt: when they were, on the whole, as they are told.
+  /// Replaces the loads reported by peers. aTrueAt: the average time at which
+  /// they were measured.
   void SetPeerLoads(LoadShares aLoads, Millis aTrueAt);
-  /// How old what is known of other routers' work is, on the whole.
+  /// Average age of the loads reported by peers.
   Millis PeerLoadsAge() const { return SteadyNow() - mPeerLoadsAsOf; }
-  /// What is known of other routers' work is too old to be used.
+  /// Drops the loads reported by peers when they are too old to be used.
   void ClearPeerLoads();
 
   void RecordSuccess(const std::string& aInstance);
   void RecordFailure(const std::string& aInstance, Millis aAvoidFor);
-  /// It refused to run a request, which is no failure of what it runs.
+  /// Records that the upstream refused a request. That doesn't count as a
+  /// failure of the requests that it runs.
   void RecordRefusal(const std::string& aInstance);
-  /// No connection could be made.
+  /// Records that no connection to the upstream could be made.
   void RecordUnreachable(const std::string& aInstance, Millis aFor);
-  /// The start of the incarnation that is known; 0: none, or not told.
+  /// The start of the known incarnation; 0 if unknown or not reported.
   std::int64_t StartOf(const std::string& aInstance) const;
-  /// Gives those that were followed by another incarnation of their name since
-  /// the last call.
+  /// Returns the instances that were replaced by a new incarnation since the
+  /// previous call.
   std::set<std::string> TakeRestartedInstances() {
     return std::exchange(mRestarted, {});
   }
   double FailureShareOf(const std::string& aInstance) const;
-  /// Instances that no request may be sent to at present, whatever else there
-  /// is: first attempts, further ones and moves alike.
+  /// Instances to which no request may be sent at present, even if there is no
+  /// alternative. Applies to first attempts, retries and moves.
   std::set<std::string> HeldUpstreams();
-  /// Instances that refused to run a request a moment ago.
+  /// Instances that refused a request a short time ago.
   std::set<std::string> RecentRefusers() const;
-  /// Instances that are not to be used at present, these among them.
+  /// Instances that should not be used at present; includes RecentRefusers().
   std::set<std::string> AvoidedInstances() const;
 
   RetryAllowance& RetryAllowanceOf(const std::string& aService);
   InterZoneBudget& InterZoneBudgetOf(const std::string& aService);
-  /// The upstreams of a service that are ready.
+  /// The ready upstreams of a service.
   const std::vector<const UpstreamRecord*>& ReadyEngines(
       const std::string& aService);
-  /// What is known of the work at an upstream of a plain service, where one
+  /// The known work at an upstream of a plain service, to decide whether one
   /// more request may be sent to it.
   UpstreamOccupancy OccupancyOf(const UpstreamRecord& aRecord,
                                 const PlainServiceQuery& aQuery);
-  /// Routers that share limits, as far as is known.
+  /// The known number of routers that share limits.
   int Routers() const { return mRouters.Value(); }
-  /// A control, aReportedBy, told how many there are.
+  /// Applies the number of routers as reported by the control aReportedBy.
   void UpdateRouterCount(int aRouters, const std::string& aReportedBy);
-  /// A request of a plain service took so long at its upstream.
+  /// Records how long a request of a plain service took at its upstream.
   void RecordPlainTime(const std::string& aService, Millis aTime);
-  /// A request that asks for a path of engines, or an upstream.
+  /// Records the arrival of a request that needs an upstream or a path of
+  /// engines.
   void RecordArrival(const std::string& aService);
-  /// Requests a millisecond that come here for it.
+  /// Arrival rate at this router, in requests per millisecond.
   double ArrivalsOf(const std::string& aService);
-  /// A path for it, by what is known of the work of all routers.
+  /// Chooses a path, given the known work of all routers.
   PathResult ChoosePathFor(const std::string& aService,
                            const PathQuery& aQuery);
   double Random();
@@ -164,12 +175,15 @@
   CrashWatch mCrashes;
   ShutdownAdmission mShutdownAdmission;
   bool mStopping = false;
-  StreamGuard* mGuard = nullptr;         ///< Set once all stages are made.
-  RelayAdmission* mAdmission = nullptr;  ///< The same.
-  RetryCreditRequester* mRetryCreditRequester = nullptr;  ///< The same.
+  StreamGuard* mGuard = nullptr;  ///< Set once all components are constructed.
+  /// Set once all components are constructed.
+  RelayAdmission* mAdmission = nullptr;
+  /// Set once all components are constructed.
+  RetryCreditRequester* mRetryCreditRequester = nullptr;
 
  private:
-  /// What was learnt of the one before says nothing of its successor.
+  /// Drops what was observed of the previous incarnation; none of it applies to
+  /// its successor.
   void ForgetPredecessor(const UpstreamRecord& aSuccessor);
   LimitDemand DemandOf(const std::string& aInstance);
 
--- a/daemons/relay/relay_request.cpp
+++ b/daemons/relay/relay_request.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-/// The stage of its time that a request waits at most for a router to start.
+/// A request waits at most for this fraction (1/N) of its deadline while the
+/// router starts up or warms up.
 constexpr Millis kStartUpWaitDivisor = 2;
 constexpr Millis kStartUpPollInterval = 20;
 /// Callers leave a stream after about two seconds without an event.
@@ -22,7 +23,7 @@
 ReturnCause CauseOf(ResultCode aGivenUpFor) {
   switch (aGivenUpFor) {
     case ResultCode::kCrashesUpstreams:
-      // Whoever is barred has no time at which to come back.
+      // A barred request is never run, so that there is no time to return at.
       return ReturnCause::kNever;
     case ResultCode::kStopping:
       return ReturnCause::kElsewhere;
@@ -82,11 +83,11 @@
 bool RelayRequest::MayWaitForStartUp() const {
   const Millis waited = SteadyNow() - mExchange->ReceivedAt();
   const Millis wait = mContext.mOptions.mStartWait;
-  const Millis most =
+  const Millis maxWait =
       mFacts.mDeadline > 0
           ? std::min(wait, mFacts.mDeadline / kStartUpWaitDivisor)
           : wait;
-  return mContext.IsStartingUp() && waited < most && !mExchange->Closed();
+  return mContext.IsStartingUp() && waited < maxWait && !mExchange->Closed();
 }
 
 bool RelayRequest::WaitForStartUp() {
@@ -111,7 +112,7 @@
   mRoute = mTable->FindRoute(mFacts.mHost, mExchange->Head().mTarget);
   mNeedsLease = mTable->NeedsKeys() && (mRoute == nullptr || !mRoute->mPublic);
   if (mNeedsLease && !mContext.LeaseHolds()) {
-    // Neither a key nor its absence can be trusted any more.
+    // Without a valid lease neither a key nor its absence can be trusted.
     Refuse(ResultCode::kLeaseExpired, ReturnCause::kNoLease);
     return;
   }
@@ -136,8 +137,8 @@
   if (mRoute->mResumable) {
     mLastEvent = mFacts.mLastEvent;
   }
-  // No request of the route has more time than its time-out, whatever its
-  // caller says: one number must not set what is usual for the others.
+  // The deadline is capped by the timeout of the route, so that one large value
+  // from a caller doesn't distort the typical deadline of the route.
   mContext.mAdmission->RecordDeadline(
       mRoute->mName, std::min(mFacts.mDeadline, mRoute->mTimeout));
   ChooseService();
@@ -158,7 +159,7 @@
     StartAttempt();
     return;
   }
-  const Millis patience =
+  const Millis waitLimit =
       mFacts.mDeadline > 0
           ? std::min(kMaxWarmUpWait, mFacts.mDeadline / kStartUpWaitDivisor)
           : kMaxWarmUpWait;
@@ -166,7 +167,7 @@
       mContext.mAdmission->TryAdmit(this, *mService,
                                     {.mReceivedAt = mExchange->ReceivedAt(),
                                      .mTarget = mRoute->mTargetLatency,
-                                     .mWaitLimit = patience,
+                                     .mWaitLimit = waitLimit,
                                      .mPriority = mRoute->mPriority,
                                      .mPromptTokens = mFacts.mPromptTokens});
   if (decision.mVerdict == WarmUpVerdict::kWait) {
@@ -183,10 +184,10 @@
 }
 
 void RelayRequest::RecordWarmUp(const WarmUpDecision& aDecision) {
-  const bool goes = aDecision.mVerdict == WarmUpVerdict::kAdmit;
+  const bool admitted = aDecision.mVerdict == WarmUpVerdict::kAdmit;
   LogLine(LogLevel::kInfo, "opening")
       .Add("request", mFacts.mId)
-      .Add("let_in", goes)
+      .Add("let_in", admitted)
       .Add("waited_ms",
            static_cast<Json::Int64>(SteadyNow() - mExchange->ReceivedAt()))
       .Add("turn_in_ms", static_cast<Json::Int64>(aDecision.mAfter))
@@ -194,8 +195,8 @@
       .Add("share_per_ms", aDecision.mShare)
       .Add("waiting", aDecision.mWaiting)
       .Add("routers", mContext.Routers());
-  mContext.mCounters.Add("opening",
-                         goes ? "outcome=\"let_in\"" : "outcome=\"refused\"");
+  mContext.mCounters.Add(
+      "opening", admitted ? "outcome=\"let_in\"" : "outcome=\"refused\"");
 }
 
 void RelayRequest::ChooseService() {
@@ -251,8 +252,8 @@
     return;
   }
   if (!mMayHaveRun) {
-    const bool refusal = InfoOf(aCode).mRan == Ran::kNo;
-    Refuse(refusal ? aCode : ResultCode::kNoUpstream, CauseOf(aCode));
+    const bool refused = InfoOf(aCode).mRan == Ran::kNo;
+    Refuse(refused ? aCode : ResultCode::kNoUpstream, CauseOf(aCode));
     return;
   }
   Refuse(InfoOf(aCode).mRan == Ran::kNo ? ResultCode::kOutcomeUnknown : aCode,
@@ -396,15 +397,15 @@
       .Add("version",
            static_cast<Json::Int64>(mTable == nullptr ? 0 : mTable->Version()));
   Count(aOutcome, aStatus);
-  // From here on nothing of the router is used: it may end before the last
-  // reference to this goes.
+  // Nothing of the router may be used below: the router may be destroyed before
+  // the last reference to this request is released.
   DropAttempt();
   StopWatching();
   mContext.mAdmission->Withdraw(this);
   mTimeout.reset();
   mSilenceTimer.reset();
   mPathTimer.reset();
-  // The last reference may go with the call: nothing of this is used after.
+  // The call may release the last reference: no member may be used after it.
   const std::function<void()> call = std::move(mOnEnd);
   mOnEnd = nullptr;
   if (call) {
--- a/daemons/relay/relay_request.h
+++ b/daemons/relay/relay_request.h
@@ -1,5 +1,5 @@
-/// One caller's request on its way: route, key, attempts at upstreams, the
-/// relay of the answer.
+/// One request of a caller: selects its route and service, checks its key,
+/// sends attempts to upstreams and relays the answer.
 #pragma once
 
 #include <functional>
@@ -18,11 +18,11 @@
 
 namespace spindleweir {
 
-/// Lives until its answer has ended or its caller is gone.
+/// Exists until its answer has ended or its caller has disconnected.
 class RelayRequest : public std::enable_shared_from_this<RelayRequest>,
                      private GuardedStream {
  public:
-  /// aOnEnd is called once, when nothing more will happen.
+  /// aOnEnd is called exactly once, when the request has ended.
   RelayRequest(RelayContext& aContext,
                std::shared_ptr<StreamExchange> aExchange,
                std::function<void()> aOnEnd);
@@ -31,51 +31,58 @@
   RelayRequest& operator=(const RelayRequest&) = delete;
 
   void Begin();
-  /// This process ends. Who has no answer yet gets one, a stream is cut.
+  /// Ends the request because this process stops: replies if no answer was
+  /// started, otherwise cuts the stream.
   void EndByStop();
 
  private:
-  /// What an engine must read before an event can come.
+  /// Tokens, times layers, that an engine has to prefill before the next event.
   struct PrefillWork {
     std::string mInstance;
     double mTokenLayers = 0;
   };
 
-  /// One upstream, or one path of engines, that the request is sent to.
+  /// One upstream, or one path of engines, to which the request is sent.
   struct Attempt {
     std::string mInstance;
-    std::int64_t mStart = 0;  ///< Of the incarnation that it was sent to.
+    /// Of the incarnation to which the attempt was sent.
+    std::int64_t mStart = 0;
     LayerPath mPath;
-    double mTokens = 0;           ///< Memory promised for each layer.
-    bool mDrawnByWeight = false;  ///< The path was dealt, not the cheapest.
+    double mTokens = 0;  ///< Tokens of memory that each layer reserves.
+    /// The path is a weighted draw, not the cheapest.
+    bool mDrawnByWeight = false;
     Millis mStartedAt = 0;
     Millis mLastDataAt = 0;
-    /// Since when it says nothing, by EventLoop::RunningNow().
+    /// Start of the silence, by EventLoop::RunningNow(). A move sets it anew.
     Millis mSilentSince = 0;
     AnswerHead mHead;
     AnswerFacts mFacts;
     EventReader mEvents;
-    std::string mBody;        ///< Of an answer that is not a stream.
-    bool mHadEvents = false;  ///< One came, or a stage of a whole answer.
-    bool mPassesThrough =
-        false;  ///< It goes on as it comes, for lack of memory.
+    std::string mBody;  ///< Of an answer that isn't a stream.
+    /// An event, or a part of an unstreamed answer, came.
+    bool mHadEvents = false;
+    /// For lack of memory the answer is relayed without being collected.
+    bool mPassesThrough = false;
     std::unique_ptr<StreamCall> mCall;
-    std::unique_ptr<StreamCall> mMoveOrder;  ///< To move to another path.
-    LayerPath mPreviousPath;                 ///< The order's, for its refusal.
-    Millis mPreviousSilentSince = 0;         ///< mSilentSince before the order.
-    /// Parts of paths that its first engine refused to move to.
+    /// Order to the first stage to move to another path.
+    std::unique_ptr<StreamCall> mMoveOrder;
+    LayerPath mPreviousPath;  ///< Path before the order, in case it is refused.
+    Millis mPreviousSilentSince = 0;  ///< mSilentSince before the order.
+    /// Stages of paths to which the first stage refused to move.
     std::set<std::string> mRefusedStages;
     int mMoves = 0;
     Millis mMovedAt = 0;
-    Millis mSearchedAt = 0;  ///< For a path without slow engines.
+    Millis mSearchedAt = 0;  ///< Last search for a path without slow engines.
     std::vector<PrefillWork> mPrefills;
-    Millis mLeaveAt = 0;  ///< The first leaves: gone on elsewhere from then.
+    /// If the first stage leaves: when to switch to another path.
+    Millis mLeaveAt = 0;
   };
 
-  /// What a request that can't go on has too little of.
+  /// The resource for lack of which a request cannot proceed.
   enum class Lack { kNothing, kAttempts, kRetries, kPath, kCapacity };
 
-  /// A whole answer of an upstream that is used where no better one comes.
+  /// An answer with a server error, used if no further attempt gives a better
+  /// one.
   struct FallbackAnswer {
     AnswerHead mHead;
     std::string mBody;
@@ -85,120 +92,127 @@
                MoveReason aReason) override;
   bool MoveOffSlow(Millis aNow) override;
   std::string FirstInstance() const override;
-  /// The slow stages of the path but its first, which cannot be replaced.
+  /// The slow stages of the path, without the first stage, which cannot be
+  /// replaced.
   std::set<std::string> SlowStages() const;
-  /// The path without its slow stages, or without some; empty: no better one.
+  /// The path with all slow stages replaced, or with one of them; empty if
+  /// there is no such path.
   LayerPath ReplaceSlowStages(const std::set<std::string>& aSlow);
   StreamTargets Targets() const;
-  /// The path without some instances, the other stages kept; empty: none.
+  /// The path with these instances replaced and the other stages retained;
+  /// empty if there is no replacement.
   LayerPath ReplaceStages(const std::set<std::string>& aInstances);
-  /// The same by the engines of a query only.
+  /// As ReplaceStages, but only with engines of the query.
   LayerPath ReplaceStagesAmong(PathQuery aQuery,
                                const std::set<std::string>& aInstances);
   void Repath(LayerPath aPath, MoveReason aReason);
-  /// The order was answered; 0: it was not.
+  /// Called when the move order has ended. aStatus: 0 if it wasn't answered.
   void EndOrder(int aStatus, MoveReason aReason);
-  /// The engines go on with the path that they had: so does what is told of it,
-  /// and another one is looked for.
+  /// Restores the previous path, which the engines go on using after they
+  /// refused a move, and searches for another one.
   void UndoMove(MoveReason aReason);
   void SetPath(LayerPath aPath);
   void WatchAttempt();
   void StopWatching();
-  /// Notes that these stages read all tokens so far.
+  /// Records that these stages have to prefill all tokens so far.
   void BeginPrefill(const LayerPath& aStages);
   void EndPrefill();
   PathQuery EngineQuery(SampleScope aScope = SampleScope::kLocalZone) const;
   void SpendInterZoneBudget(const PathQuery& aQuery, const PathResult& aAnswer);
 
   void Admit();
-  /// Whether this router has just started and the request has not waited for
-  /// that for long.
+  /// Whether this router has just started and the request has not used up its
+  /// share of waiting for that.
   bool MayWaitForStartUp() const;
-  /// Looks at the request again in a moment, where this router has just
-  /// started; false: it has to be answered now.
+  /// Schedules another admission if this router has just started; false if the
+  /// request has to be answered now.
   bool WaitForStartUp();
   void ChooseService();
-  /// Starts the first attempt as soon as the opening lets it in.
+  /// Starts the first attempt as soon as the warm-up admits it.
   void AwaitWarmUp();
-  /// Logs and counts how the opening ended for it.
+  /// Logs and counts the outcome of the warm-up for this request.
   void RecordWarmUp(const WarmUpDecision& aDecision);
   void StartAttempt();
-  /// Tries again in a moment, where a stream has begun; false: not worth it.
+  /// Schedules another attempt; false if the request should not wait.
   bool WaitForPath();
   bool ChooseEnginePath(Attempt& aAttempt);
   bool ChoosePlainUpstream(Attempt& aAttempt);
   void Send(const UpstreamRecord& aFirst);
   bool MaySend() const;
   void HandleHead(const AnswerHead& aHead);
-  /// Who refused the attempt: the stage of its path that the answer names, else
-  /// the upstream that answered.
+  /// The instance that refused the attempt: the stage of its path that the
+  /// answer names, otherwise the upstream that answered.
   const std::string& Refuser() const;
-  /// Takes what an answer says of its upstream's limit.
+  /// Applies the limit that an answer advertises for its upstream.
   void ApplyLimit(const LimitWord& aWord);
-  /// Takes an answer's word that its upstream leaves.
+  /// Applies the notice in an answer that its upstream is leaving.
   void ApplyLeaving(bool aLeaves);
   void HandleData(std::string_view aBytes);
   void HandleEnd(StreamEnd aEnd);
   void HandleEvents(std::string_view aBytes);
   void HandleFullAnswer();
-  /// Takes more of an answer that is not a stream.
+  /// Collects or relays more bytes of an answer that isn't a stream.
   void HandleBody(std::string_view aBytes);
-  /// Whether the answer's status would tell the caller that its call has not
-  /// run, though the upstream did not say so.
+  /// Whether the status of the answer would promise the caller that its call
+  /// has not run, though the upstream did not state that.
   bool WouldMisreportNotRun() const;
-  /// Starts the answer before it is whole, for lack of memory.
+  /// Starts to relay the answer before it is complete, for lack of memory.
   void PassThrough();
-  /// Stops work from the upstream where the caller is slow.
+  /// Pauses reading from the upstream while the caller reads slowly.
   void ApplyBackpressure();
-  /// Notes what is held of an answer that is collected; false: too much.
+  /// Updates the memory held for a collected answer; false if it exceeds the
+  /// allowance.
   bool MayCollect();
   void ClaimMemory();
   void CheckSilence();
   void HandleTimeout();
   void HandleCallerGone();
 
-  /// Leaves an attempt that may still go on for a better one; false, and
-  /// nothing changes, where there is none.
+  /// Replaces an attempt that may still proceed by a better one. Returns false,
+  /// without a change, if there is none.
   bool SwitchAttempt(ResultCode aCode);
-  /// The attempt is lost: its upstream may have crashed.
+  /// Reports the attempt as lost: its upstream may have crashed.
   void RecordLostAttempt();
   void LogFailure(Ran aRan, ResultCode aCode) const;
-  /// The share of an engine's room that is promised, by the loads known here;
-  /// -1: it is no stage of the path.
+  /// The reserved share of an engine's capacity, by the loads known here; -1 if
+  /// it is no stage of the path.
   double KnownFillOf(const std::string& aAddress) const;
-  /// The attempt is over; aRan says what is known. Tries again or gives up.
+  /// Ends the attempt, then retries or gives up. aRan: whether the upstream ran
+  /// it.
   void AttemptFailed(Ran aRan, ResultCode aCode, bool aWasSent);
-  /// Tries again once the retry is paid for, or gives up.
+  /// Retries once a retry could be spent, or gives up.
   void PayForRetry(ResultCode aCode);
-  /// Takes a retry, or asks control for one.
+  /// Spends a retry; if none is available, requests a credit from control.
   bool TrySpendRetry();
-  /// Whether control may still hand out a retry in this moment.
+  /// Whether the request may go on waiting for a retry credit from control.
   bool MayWaitForCredit();
-  /// Whether a stream has begun that its caller still waits for, or the request
-  /// has come back and would be refused for good.
+  /// Whether to wait for capacity instead of giving up: for a stream that has
+  /// begun and whose caller is still connected, and for a likely retry whose
+  /// caller has no further attempt.
   bool IsWorthWaiting() const;
-  /// Whether it is most likely a retry, and its caller has no further one.
+  /// Whether the request is most likely the caller's retry, and its last one.
   bool IsLikelyRetry() const;
-  /// aRan: of the attempt that is over.
+  /// aRan: whether the attempt that ended was run.
   bool MayTryAgain(Ran aRan) const;
   void DropAttempt();
-  /// Whether the incarnation that the attempt was sent to is the one known:
-  /// what becomes of it says nothing of a successor.
+  /// Whether the attempt was sent to the incarnation that is known now. Its
+  /// outcome says nothing about a successor.
   bool IsCurrent() const;
-  /// Drops the attempt, whose upstream may have begun.
+  /// Drops the attempt; the upstream may have begun to run it.
   void AbandonAttempt();
   void GiveUp(ResultCode aCode);
-  /// Notes, and logs where it is new, what keeps it from going on.
+  /// Records what the request lacks, and logs it if that changed.
   void SetLack(Lack aLack);
   static const char* LackName(Lack aLack);
   void Refuse(ResultCode aCode, ReturnCause aCause);
-  /// The inputs by which an upstream of a plain service was found full, for
-  /// the log; empty: none was.
+  /// The inputs by which an upstream of a plain service was found to be full,
+  /// for the log; empty if none was.
   Json::Value FullUpstreamInputs() const;
-  /// Tells requests of the same workspace, path and body from all others,
-  /// whatever id they come under: a digest.
+  /// Digest of workspace, host, path and body. Identifies repetitions of a
+  /// request regardless of its id.
   const std::string& Content() const;
-  /// Whether upstreams crashed under it, here or elsewhere, too often.
+  /// Whether too many upstreams crashed while running this request, on any
+  /// router.
   bool IsBarred() const;
   void Forward(const AnswerHead& aHead, std::string_view aBody);
   void End(const char* aOutcome, int aStatus);
@@ -214,24 +228,26 @@
   const TrafficRoute* mRoute = nullptr;
   const TrafficService* mService = nullptr;
   std::string mWorkspace;
-  mutable std::string mContent;  ///< Empty: not asked for yet.
+  mutable std::string mContent;  ///< Computed on first use.
   bool mNeedsLease = false;
-  Millis mDeadline = 0;   ///< Steady.
-  Millis mArrivedAt = 0;  ///< When it was counted as asking for an upstream.
+  Millis mDeadline = 0;   ///< By the steady clock.
+  Millis mArrivedAt = 0;  ///< When it was recorded as an arrival.
   std::unique_ptr<Attempt> mAttempt;
   std::optional<FallbackAnswer> mFallback;
   std::set<std::string> mTried;
-  StreamKey mKey = 0;           ///< Of the guard; 0: not watched.
-  int mRanAttempts = 0;         ///< Attempts that ran, or may have run.
-  int mRefusedAttempts = 0;     ///< Attempts that an upstream refused to run.
-  int mUnsentAttempts = 0;      ///< Attempts that did not.
-  Millis mCreditAwaitedAt = 0;  ///< Since when it waits for a retry; 0: not.
+  StreamKey mKey = 0;        ///< Key in the stream guard; 0 if not watched.
+  int mRanAttempts = 0;      ///< Attempts that ran, or may have run.
+  int mRefusedAttempts = 0;  ///< Attempts that an upstream refused to run.
+  int mUnsentAttempts = 0;   ///< Attempts that were not sent.
+  /// Start of the wait for a retry credit; 0 if it doesn't wait.
+  Millis mCreditAwaitedAt = 0;
   bool mMayHaveRun = false;
   bool mLacksCapacity = false;
-  Lack mLack = Lack::kNothing;  ///< Since its last attempt.
-  /// An upstream that the newest choice left out for lack of room.
+  Lack mLack = Lack::kNothing;  ///< Since the last attempt.
+  /// An upstream that the latest choice excluded because it was full.
   std::optional<UpstreamOccupancy> mFullUpstream;
-  std::optional<std::int64_t> mLastEvent;  ///< Given to the caller.
+  /// Id of the last event sent to the caller.
+  std::optional<std::int64_t> mLastEvent;
   Millis mFirstEventAt = 0;
   Millis mLastEventAt = 0;
   Millis mLongestPause = 0;
