--- a/daemons/relay/relay_admission.cpp
+++ b/daemons/relay/relay_admission.cpp
@@ -8,16 +8,16 @@
 
 namespace {
 
-/// A lease that ran out comes back with control, which elects a leader within
-/// 0.7 s; until then the balancer notices that this router is not ready.
+/// An expired lease is renewed once control is back, which elects a leader
+/// within 0.7 s. By then the balancer has noticed that this router isn't ready.
 constexpr Millis kLeaseRecoveryTime = 1200;
-/// From the loss of a path until the order to load its layers has arrived.
+/// Time from the loss of a path until the order to load its layers arrives.
 constexpr Millis kLoadOrderTime = 700;
-/// A service whose places are not modelled comes free within this time.
+/// A service whose slots aren't modelled has free capacity within this time.
 constexpr Millis kDefaultFreeTime = 300;
 constexpr Millis kMinLoadingTimeLeft = 500;
-/// What engines read and carry is found anew at most this often: each request
-/// that waits asks 20 times a second, and each that is refused once.
+/// Minimum intervals between computations of prefill capacity and path rate:
+/// each waiting request tries 20 times a second, and each refused request once.
 constexpr Millis kPrefillMeasureInterval = 200;
 constexpr Millis kPathRateMeasureInterval = 1000;
 
@@ -31,7 +31,8 @@
   if (mWarmUpStartedAt < 0) {
     mWarmUpStartedAt = now;
   }
-  // What others let in at their opening stands in loads that are newer.
+  // The requests that peers admitted during their warm-up are included in loads
+  // measured after its start.
   const bool known = now - mContext.PeerLoadsAge() > mWarmUpStartedAt;
   mWarmingUp = mContext.IsStartingUp() && !known;
   return mWarmingUp;
@@ -100,7 +101,7 @@
   if (it == mServices.end() || !IsWarmingUp()) {
     return 0;
   }
-  // As many as here at each of the others.
+  // Assumes that each of the other routers has as many as this one.
   return (mContext.Routers() - 1) *
          (it->second.mAdmitted +
           static_cast<double>(it->second.mWaiting.size()));
@@ -152,7 +153,7 @@
 
 Millis RelayAdmission::LoadingTimeLeft(const TrafficService& aService,
                                        ServiceState& aState) {
-  // The most layers that one engine holds: it loads as many at most.
+  // An engine loads at most as many layers as the largest engine holds.
   int layers = 0;
   for (const UpstreamRecord* engine : mContext.ReadyEngines(aService.mName)) {
     layers = std::max(layers, engine->mLayers.Count());
--- a/daemons/relay/relay_admission.h
+++ b/daemons/relay/relay_admission.h
@@ -1,5 +1,5 @@
-/// What a router lets in at its start, and when it asks callers to come back:
-/// wires both decisions to what the router knows.
+/// Decides which requests a router admits while it warms up, and when refused
+/// callers should return, from what the router knows.
 #pragma once
 
 #include <map>
@@ -13,80 +13,88 @@
 
 namespace spindleweir {
 
-/// Why a caller is to come back.
+/// Why a caller should return later.
 enum class ReturnCause {
-  kFull,       ///< No room at the upstreams, or none there.
-  kNoLease,    ///< This router may not act, or knows nothing yet.
-  kElsewhere,  ///< At once: another router takes it.
-  kNever,      ///< It need not come back.
+  kFull,       ///< No capacity at the upstreams, or no upstream.
+  kNoLease,    ///< This router has no valid lease or no configuration yet.
+  kElsewhere,  ///< Return at once: another router accepts the request.
+  kNever,      ///< Returning is of no use.
 };
 
-/// A time to come back with what it was predicted from.
+/// The assigned time to return, with the inputs it was computed from.
 struct ReturnAdvice {
   RetryScheduleRequest mInput;
   AssignedRetry mAnswer;
-  int mCallers = 0;  ///< Callers that were told to come, with this one.
+  int mCallers = 0;  ///< Callers expected to return, including this one.
 };
 
-/// Of one router. Single-threaded.
+/// Of one router. Not thread-safe.
 class RelayAdmission {
  public:
   explicit RelayAdmission(RelayContext& aContext) : mContext(aContext) {}
 
-  /// Whether what other routers let in is not known yet.
+  /// Whether the work admitted by other routers is not known yet.
   bool IsWarmingUp();
-  /// Asks for a request of an engine service, again and again until it goes.
+  /// Tries to admit a request of an engine service. To be repeated until the
+  /// request is admitted or refused.
   WarmUpDecision TryAdmit(const void* aRequest, const TrafficService& aService,
                           const WarmUpRequest& aFacts);
-  /// The request asks no more.
+  /// The request no longer waits for admission.
   void Withdraw(const void* aRequest);
-  /// Requests that other routers may have begun in the opening and that are in
-  /// no loads yet.
+  /// Requests that other routers may have started during the warm-up and that
+  /// no reported load includes yet.
   double UnreportedRequests(const std::string& aService);
-  /// Counts a request of a route that has so much time.
+  /// Records the deadline of a request of the route.
   void RecordDeadline(const std::string& aRoute, Millis aDeadline);
-  /// Whether a request with so much time is most likely a caller's retry.
+  /// Whether a request with this deadline is most likely a caller's retry.
   bool IsLikelyRetry(const std::string& aRoute, Millis aDeadline) const;
-  /// When a refused caller should come back. aService: nullptr where it is not
-  /// known. aLeft: of the caller's time.
+  /// When a refused caller should return. aService: nullptr if not known.
+  /// aLeft: the time that the caller has left.
   ReturnAdvice AdviseReturn(const TrafficService* aService, ReturnCause aCause,
                             Millis aLeft);
 
  private:
-  /// What a router's share of the prefill is made of.
+  /// The prefill capacity that the routers share.
   struct PrefillCapacity {
-    double mTokensPerMilli = 0;  ///< Tokens that the engines read.
-    double mZoneCount = 1;  ///< Zones that divide the routers; 1: none does.
-    bool mLocalZoneOnly = false;  ///< Of the own zone's engines only.
+    /// Tokens per millisecond that the engines prefill.
+    double mTokensPerMilli = 0;
+    /// Zones over which the routers are divided; 1 if they aren't.
+    double mZoneCount = 1;
+    /// Only engines of the local zone are counted.
+    bool mLocalZoneOnly = false;
     Millis mMeasuredAt = -1;
   };
 
-  /// What is known of one service.
+  /// State of one service.
   struct ServiceState {
     PrefillCapacity mPrefill;
     WarmUpAdmission mWarmUp;
     std::set<const void*> mWaiting;
-    int mAdmitted = 0;  ///< In the opening.
+    int mAdmitted = 0;  ///< Requests admitted during the warm-up.
     RetrySchedule mRetrySchedule;
-    double mPathRate = 0;     ///< Requests a millisecond that its zone carries.
-    Millis mPathRateAt = -1;  ///< When that was found.
-    Millis mPathLostAt = -1;  ///< Since when its zone has no whole path.
+    /// Requests per millisecond that the zone's paths can serve.
+    double mPathRate = 0;
+    Millis mPathRateAt = -1;  ///< When mPathRate was computed.
+    /// Since when the zone has no complete path; -1: it has one.
+    Millis mPathLostAt = -1;
   };
 
-  /// By the engines of this router's zone, or of all where these lack a layer.
+  /// Uses the engines of this router's zone, or all engines if those lack a
+  /// layer.
   void MeasurePrefillCapacity(const TrafficService& aService,
                               ServiceState& aState);
-  /// Routers that share what was measured.
+  /// Number of routers that share the measured capacity.
   double SharingRouters(const ServiceState& aState) const;
-  /// What the paths of the zone carry, or since when it has no whole one.
+  /// Computes the rate that the zone's paths can serve, or since when it has no
+  /// complete path.
   void MeasurePathRate(const TrafficService& aService, ServiceState& aState);
-  /// Until the layers that the zone lacks are most likely loaded.
+  /// Estimated time until the layers that the zone lacks are loaded.
   Millis LoadingTimeLeft(const TrafficService& aService, ServiceState& aState);
 
   RelayContext& mContext;
   std::map<std::string, ServiceState> mServices;         ///< By service.
   std::map<std::string, RetryDetector> mRetryDetectors;  ///< By route.
-  Millis mWarmUpStartedAt = -1;  ///< When the first request could be let in.
+  Millis mWarmUpStartedAt = -1;  ///< When the first request could be admitted.
   bool mWarmingUp = true;
 };
 
--- a/daemons/relay/relay_answer.cpp
+++ b/daemons/relay/relay_answer.cpp
@@ -1,4 +1,4 @@
-/// The stages of a request that take what an upstream answers.
+/// The part of RelayRequest that handles the answers of upstreams.
 #include <algorithm>
 #include <optional>
 
@@ -14,7 +14,8 @@
 constexpr int kTooManyRequests = 429;
 constexpr int kUnavailable = 503;
 
-/// Statuses by which callers take a request for not run, now or ever.
+/// Statuses from which callers conclude that a request was not run and won't
+/// be.
 bool PromisesNotRun(int aStatus) {
   return aStatus == kRequestTimeout || aStatus == kMisdirected ||
          aStatus == kTooManyRequests || aStatus == kUnavailable;
@@ -83,8 +84,9 @@
       .Add("instance", mAttempt->mInstance)
       .Add("request", mFacts.mId)
       .Add("state", static_cast<int>(record->mState));
-  // As word of control: no other choice has to know of it. Control hears of it
-  // from the upstream itself; all routers telling it would be many.
+  // Merged as if control had reported it, so that all choices follow. It isn't
+  // reported to control: the upstream does that itself, and reports from all
+  // routers would be many.
   UpstreamRecord leaving = *record;
   leaving.mState = UpstreamState::kLeaving;
   mContext.mRegistry.Merge(leaving, SteadyNow());
@@ -136,14 +138,14 @@
 }
 
 bool RelayRequest::WouldMisreportNotRun() const {
-  // It did not say that it had not run: its status would be a promise of ours
-  // that nobody made.
+  // The upstream did not state that it had not run the request: relaying its
+  // status would make a promise that no process made.
   return PromisesNotRun(mAttempt->mHead.mStatus) && !mRoute->Repeatable();
 }
 
 void RelayRequest::PassThrough() {
-  // What fails from here on cannot be tried at another upstream: the caller
-  // has the head, and perhaps more.
+  // A failure after this point cannot be retried at another upstream: the
+  // caller has the head, and perhaps part of the body.
   mAttempt->mPassesThrough = true;
   mFallback.reset();
   const std::string* length =
@@ -259,7 +261,7 @@
                                SteadyNow() - mAttempt->mStartedAt);
     }
     if (mExchange->Started()) {
-      // A resumed stream was answered with a failure.
+      // The upstream answered a resumed stream with an error.
       AttemptFailed(Ran::kYes, ResultCode::kStreamBroken, true);
       return;
     }
@@ -267,7 +269,8 @@
     return;
   }
   if (!mAttempt->mEvents.Incomplete().empty()) {
-    // It ended inside an event: it is not whole, whatever its framing says.
+    // The answer ended inside an event, so that it is incomplete even if its
+    // framing is correct.
     AttemptFailed(Ran::kUnknown, ResultCode::kStreamBroken, true);
     return;
   }
--- a/daemons/relay/relay_attempt.cpp
+++ b/daemons/relay/relay_attempt.cpp
@@ -1,4 +1,4 @@
-/// The stages of a request that send it to upstreams and try again.
+/// The part of RelayRequest that sends it to upstreams and retries.
 #include "daemons/relay/relay_request.h"
 
 #include <algorithm>
@@ -11,9 +11,10 @@
 namespace {
 
 constexpr Millis kSilenceCheckInterval = 100;
-/// An upstream that failed is left alone for so long.
+/// An upstream whose attempt failed is avoided for this time.
 constexpr Millis kAvoidAfterLoss = 1500;
-/// Attempts that did not leave this process, and that upstreams refused.
+/// Limits on attempts that were not sent, and on attempts that upstreams
+/// refused.
 constexpr int kMaxUnsent = 3;
 constexpr int kMaxRefusals = 3;
 constexpr int kMaxRefusalsMidway = 8;
@@ -22,13 +23,14 @@
 constexpr Millis kGapDivisor = 8;
 constexpr Millis kMinTimeForAttempt = 20;
 constexpr Millis kRetryCreditPollInterval = 20;
-/// So long any request waits for control's word on one more retry: a query
-/// takes some milliseconds, and a busy router twice as long.
+/// How long any request waits for control to grant a retry credit: a call takes
+/// some milliseconds, and twice as long on a busy router.
 constexpr Millis kCreditTimeout = 60;
-/// So long a request that has come back is kept where there is no room; its
-/// caller leaves after two seconds without an event. While 40 in 100 of the
-/// engines were slow, 377 requests of 9,400 were refused at their second
-/// attempt, and first comers, which come back, took the places.
+/// How long a request that is most likely a retry is held while there is no
+/// capacity; its caller leaves after two seconds without an event. Without this
+/// hold, while 40 % of the engines were slow, 377 of 9,400 requests were
+/// refused at their second attempt, because first attempts, whose callers do
+/// return, took the slots.
 constexpr Millis kMaxRetryHold = 1500;
 
 }  // namespace
@@ -103,13 +105,13 @@
 }
 
 bool RelayRequest::WaitForPath() {
-  // Any request is worth a wait while the upstreams' first heartbeats come in.
+  // Every request may wait while the first heartbeats of the upstreams come in.
   const bool starts = MayWaitForStartUp() && Remaining() > kMinPathRetryDelay;
   if (!IsWorthWaiting() && !starts) {
     return false;
   }
-  // A choice of a path takes up to a millisecond of a small VM: who has waited
-  // for long already looks less often.
+  // A choice of a path takes up to a millisecond on a small VM: the longer a
+  // request has waited, the less often it tries.
   const Millis gap = mEvents == 0 ? 0 : SteadyNow() - mLastEventAt;
   const Millis after =
       std::clamp(gap / kGapDivisor, kMinPathRetryDelay, kMaxPathRetryDelay);
@@ -165,15 +167,16 @@
         .Add("request", mFacts.mId)
         .Add("avoided", static_cast<int>(query.mExcludedEngines.size()))
         .Add("held_back", static_cast<int>(query.mExcludedFirstStages.size()));
-    // Better one that failed lately than none. But one that refuses would do so
-    // until all attempts are used: who can wait does.
+    // An engine that failed recently is better than none. An engine that
+    // refuses would do so until all attempts are used up, so that a request
+    // that can wait doesn't use those either.
     query.mExcludedEngines =
         IsWorthWaiting() ? mContext.RecentRefusers() : std::set<std::string>();
     answer = ChoosePath(query);
   }
   mLacksCapacity = answer.mLacksRoom;
   if (answer.mPath.empty()) {
-    // It may only be that nobody may be asked just now.
+    // The only reason may be that the first stages are on hold at present.
     const bool held = !query.mExcludedFirstStages.empty();
     query.mExcludedFirstStages.clear();
     mLacksCapacity =
@@ -309,9 +312,9 @@
 }
 
 void RelayRequest::RecordLostAttempt() {
-  // Of the first of its path alone: where several engines end at once, what
-  // passed them all would count as having crashed each. 4 crashes in a moment
-  // barred requests that had crashed nothing.
+  // Only the first stage of the path is reported. If several engines end at
+  // once, a request whose path passed all of them would count as having crashed
+  // each: 4 crashes in a moment barred requests that had caused none of them.
   mContext.mGuard->OnAttemptLost({.mInstance = mAttempt->mInstance,
                                   .mStart = mAttempt->mStart,
                                   .mRequestDigest = Content(),
@@ -355,8 +358,9 @@
           .TrySpend(mContext.Routers(), SteadyNow())) {
     return true;
   }
-  // An equal stage of the bound is soon spent where one upstream took many
-  // requests of this router; those of others lie idle then.
+  // An equal share of the retry limit is used up quickly if many requests of
+  // this router fail at one upstream, while the shares of other routers remain
+  // unused.
   mContext.mRetryCreditRequester->Request(mService->mName, this);
   return false;
 }
@@ -381,17 +385,17 @@
     GiveUp(aCode);
     return;
   }
-  // Retries of a window come free one by one, and control hands out others. A
-  // stream that was broken off at once lost all that its caller had read: 4 to
-  // 6 of a release of 15 engines, each refused by its second engine within 4 ms
-  // of the cut.
+  // Retries of the window become available one by one, and control grants
+  // others. Breaking a stream off at once loses all that its caller has read.
+  // That happened to 4 to 6 streams of a release of 15 engines, each refused by
+  // its second engine within 4 ms of the cut.
   mPathTimer = mContext.mLoop.After(kRetryCreditPollInterval,
                                     [this, aCode] { PayForRetry(aCode); });
 }
 
 bool RelayRequest::IsLikelyRetry() const {
-  // Callers of plain services have about a second: held for half of it, more is
-  // lost than by a refusal at once.
+  // Callers of plain services have about a second: holding a request for half
+  // of it costs more than refusing it at once.
   return mService->IsEngine() &&
          mContext.mAdmission->IsLikelyRetry(mRoute->mName, mFacts.mDeadline);
 }
@@ -403,9 +407,10 @@
   if (held) {
     return !mExchange->Closed() && Remaining() > kMinPathRetryDelay;
   }
-  // The caller of a stream that has begun reads on and knows best how long it
-  // waits for the next event. Broken off sooner it loses what it has read,
-  // though a retry comes free or an engine is back with most of its time left.
+  // The caller of a stream that has begun goes on reading and decides for
+  // itself how long it waits for the next event. If the stream were broken off
+  // earlier, the caller would lose what it has read, though a retry may become
+  // available or an engine return in most of the time that it has left.
   return mExchange->Started() && !mExchange->Closed() &&
          Remaining() > kMinPathRetryDelay;
 }
@@ -417,8 +422,8 @@
   EndPrefill();
   CountLoad(-1);
   if (mAttempt->mCall != nullptr) {
-    // It may be on the stack: it goes in the next turn of the loop, and its
-    // hooks find no attempt.
+    // The call may be on the stack: it is destroyed in the next turn of the
+    // loop. Its hooks find no attempt.
     std::shared_ptr<StreamCall> call = std::move(mAttempt->mCall);
     call->Abandon();
     mContext.mLoop.Post([call] {});
