--- a/daemons/relay/relay_moves.cpp
+++ b/daemons/relay/relay_moves.cpp
@@ -1,4 +1,5 @@
-/// The stages of a request that choose paths of engines and move between them.
+/// The part of RelayRequest that chooses paths of engines and moves between
+/// them.
 #include "daemons/relay/relay_request.h"
 
 #include <algorithm>
@@ -11,28 +12,29 @@
 
 namespace {
 
-/// A stream that is silent for so long is taken up elsewhere.
+/// A stream that is silent for this time is continued on another path.
 constexpr Millis kFirstEventSilenceTimeout = 1000;
 constexpr Millis kEventSilenceTimeout = 800;
-/// An upstream that leaves serves on for seconds: streams that last longer
-/// go on elsewhere before, spread over some time.
+/// An upstream that leaves serves on for some seconds: longer streams move to
+/// other upstreams before it ends, spread over some time.
 constexpr Millis kLeaveDelay = 1000;
 constexpr double kLeaveSpread = 700;
 constexpr double kMaxPathFill = 0.95;
 constexpr Millis kOrderTimeout = 1000;
-/// Moves of one attempt to another path.
+/// Maximum number of moves of an attempt to another path.
 constexpr int kMaxMoves = 4;
-/// What is known of other streams' moves is older than this.
+/// The known moves of other streams are older than this.
 constexpr Millis kSlowSearchInterval = 300;
-/// Many streams leave the same engines at the same moment, at all routers: the
-/// cheapest for one is dearer by up to so much for another.
+/// Random increase of path costs, at most this share: many streams leave the
+/// same engines at the same moment, on all routers, and must not all choose the
+/// same cheapest path.
 constexpr double kMoveCostJitter = 1;
-/// Tokens of an event, where it is not told.
+/// Tokens of an event, if not reported.
 constexpr double kTokensPerEvent = 3;
-/// An order that was answered with this or more changed nothing.
+/// A move order answered with this status or a higher one changed nothing.
 constexpr int kMinRefusalStatus = 400;
 
-/// Those of the first path, with their layers, that the second has not.
+/// The stages, by instance and layers, of aPath that aOther doesn't have.
 LayerPath StagesOnlyIn(const LayerPath& aPath, const LayerPath& aOther) {
   LayerPath stages;
   std::set_difference(aPath.begin(), aPath.end(), aOther.begin(), aOther.end(),
@@ -133,19 +135,20 @@
     }
     if (aReason == MoveReason::kUnreachable ||
         aReason == MoveReason::kRestarted) {
-      // Nobody has room for what is lost. A stream that waits until it has
-      // been silent for long keeps the memory of the path's other engines:
-      // going on at once gained 0.007 of the worth of 25 days with trouble.
+      // No engine has capacity for the lost stages. Waiting for the silence
+      // timeout would keep the memory of the path's other engines reserved:
+      // switching at once gained 0.007 of the value of 25 days with failures.
       SwitchAttempt(ResultCode::kOutcomeUnknown);
     }
     return;
   }
-  // The first cannot be replaced by an order. One that leaves still ends what
-  // it has; one that is lost does not.
+  // The first stage cannot be replaced by a move order. A leaving one completes
+  // the streams that it has; a lost one doesn't.
   const UpstreamRecord* first = mContext.mRegistry.Find(mAttempt->mInstance);
-  const bool leaves = aReason != MoveReason::kRestarted && first != nullptr &&
-                      first->mState == UpstreamState::kLeaving;
-  if (leaves) {
+  const bool isLeaving = aReason != MoveReason::kRestarted &&
+                         first != nullptr &&
+                         first->mState == UpstreamState::kLeaving;
+  if (isLeaving) {
     mAttempt->mLeaveAt = SteadyNow() + kLeaveDelay +
                          static_cast<Millis>(kLeaveSpread * mContext.Random());
     return;
@@ -178,7 +181,7 @@
     return next;
   }
   for (const std::string& instance : aSlow) {
-    // Not all of them can be replaced: one is better than none.
+    // Not all of them can be replaced; replacing one is better than none.
     next = ReplaceStages({instance});
     if (!next.empty()) {
       return next;
@@ -197,17 +200,18 @@
   }
   mAttempt->mSearchedAt = aNow;
   const PathQuery query = EngineQuery();
-  const PathTiming held = EstimateTiming(query, mAttempt->mPath);
+  const PathTiming current = EstimateTiming(query, mAttempt->mPath);
   LayerPath next = ReplaceSlowStages(SlowStages());
-  const PathTiming then = next.empty() ? held : EstimateTiming(query, next);
+  const PathTiming candidate =
+      next.empty() ? current : EstimateTiming(query, next);
   const bool firstSlow =
       mContext.mSlowdowns.SlowEngines().contains(mAttempt->mInstance);
-  if (firstSlow && IsTooSlow(then, kTokensPerEvent, Targets())) {
-    // Its first cannot be replaced by an order.
+  if (firstSlow && IsTooSlow(candidate, kTokensPerEvent, Targets())) {
+    // The first stage cannot be replaced by a move order.
     SwitchAttempt(ResultCode::kOutcomeUnknown);
     return true;
   }
-  if (!next.empty() && IsMoveWorthwhile(held, then)) {
+  if (!next.empty() && IsMoveWorthwhile(current, candidate)) {
     Repath(std::move(next), MoveReason::kSlow);
   }
   return true;
@@ -216,8 +220,8 @@
 LayerPath RelayRequest::ReplaceStages(const std::set<std::string>& aInstances) {
   const PathQuery query = EngineQuery();
   LayerPath next = ReplaceStagesAmong(query, aInstances);
-  const bool sawAll = query.mSampleShare >= 1;
-  return !next.empty() || sawAll
+  const bool sampledAll = query.mSampleShare >= 1;
+  return !next.empty() || sampledAll
              ? next
              : ReplaceStagesAmong(EngineQuery(SampleScope::kAllZones),
                                   aInstances);
@@ -316,7 +320,7 @@
   if (mAttempt == nullptr || mAttempt->mMoveOrder == nullptr) {
     return;
   }
-  // It is on the stack.
+  // The call is on the stack: it is destroyed in the next turn of the loop.
   const std::shared_ptr<StreamCall> order = std::move(mAttempt->mMoveOrder);
   mContext.mLoop.Post([order] {});
   if (aStatus >= kMinRefusalStatus) {
@@ -356,12 +360,12 @@
   for (const PathStage& stage : mAttempt->mPath) {
     instances.push_back(stage.mInstance);
   }
-  const StreamStallTimeouts patience =
+  const StreamStallTimeouts timeouts =
       StallTimeoutsOf(EstimateTiming(EngineQuery(), mAttempt->mPath),
                       kTokensPerEvent, Targets());
   mContext.mGuard->Detector().Begin(
       mKey, std::move(instances), SteadyNow(),
-      {.mFirstEvent = patience.mFirstEvent, .mGap = patience.mGap});
+      {.mFirstEvent = timeouts.mFirstEvent, .mGap = timeouts.mGap});
 }
 
 void RelayRequest::CheckSilence() {
@@ -375,12 +379,14 @@
     SwitchAttempt(ResultCode::kOutcomeUnknown);
     return;
   }
-  // Not by the clock: after a standstill of this process timers come before
-  // what waits in its sockets, and all its streams would begin anew elsewhere.
+  // Measured in running time, not by the clock: after a pause of this process
+  // timers fire before the pending data of its sockets is read, and all its
+  // streams would be restarted elsewhere.
   const Millis silent = mContext.mLoop.RunningNow() - mAttempt->mSilentSince;
-  const bool begun = mAttempt->mLastDataAt > mAttempt->mStartedAt;
-  const Millis most = begun ? kEventSilenceTimeout : kFirstEventSilenceTimeout;
-  if (silent >= most) {
+  const bool hasData = mAttempt->mLastDataAt > mAttempt->mStartedAt;
+  const Millis timeout =
+      hasData ? kEventSilenceTimeout : kFirstEventSilenceTimeout;
+  if (silent >= timeout) {
     SwitchAttempt(ResultCode::kOutcomeUnknown);
   }
 }
@@ -394,8 +400,9 @@
                                           : ChoosePlainUpstream(*next);
   const UpstreamRecord* first =
       found ? mContext.mRegistry.Find(next->mInstance) : nullptr;
-  const bool other = first != nullptr && next->mInstance != mAttempt->mInstance;
-  if (!other || !TrySpendRetry()) {
+  const bool isOther =
+      first != nullptr && next->mInstance != mAttempt->mInstance;
+  if (!isOther || !TrySpendRetry()) {
     return false;
   }
   LogFailure(Ran::kUnknown, aCode);
--- a/daemons/relay/relay_router.cpp
+++ b/daemons/relay/relay_router.cpp
@@ -15,13 +15,13 @@
 
 namespace {
 
-/// While a zone has no whole path, callers are better sent elsewhere; but not
-/// for ever, since then all zones may have none.
+/// While a zone has no complete path, callers are better sent to other zones.
+/// The time is limited because all zones may have none.
 constexpr Millis kMaxPathWait = 12000;
 
 }  // namespace
 
-/// The stages of a relaying router, in the order in which they are made.
+/// The components of a relaying router, in order of construction.
 struct RelayRouter::Parts {
   Parts(EventLoop& aLoop, RelayOptions aOptions)
       : mContext(aLoop, std::move(aOptions)),
@@ -63,7 +63,8 @@
 
   void Handle(const std::shared_ptr<StreamExchange>& aExchange) {
     ApplyLimits();
-    // Each request ends itself; the set only keeps it until then.
+    // Each request removes itself when it has ended; the map only owns it until
+    // then.
     std::shared_ptr<RelayRequest> request;
     const auto key = std::make_shared<RelayRequest*>(nullptr);
     request = std::make_shared<RelayRequest>(mContext, aExchange, [this, key] {
@@ -79,7 +80,7 @@
   }
 
   void EndRequests() {
-    // Each takes itself off the list.
+    // Each request removes itself from the map.
     const std::unordered_map<RelayRequest*, std::shared_ptr<RelayRequest>>
         open = mRequests;
     for (const auto& [key, request] : open) {
@@ -156,7 +157,7 @@
     mServer.SetLimits(applied);
   }
 
-  /// Whether each engine service has a whole path.
+  /// Whether each engine service has a complete path.
   bool HasPaths() const {
     for (const TrafficService& service :
          mContext.Table()->Configuration().mServices) {
@@ -168,19 +169,19 @@
       std::erase_if(engines, [](const UpstreamRecord* aRecord) {
         return aRecord->mState != UpstreamState::kReady;
       });
-      int reached = 0;
-      bool further = true;
-      while (further && reached < service.mEngine.mLayers) {
-        further = false;
+      int coveredLayers = 0;
+      bool extended = true;
+      while (extended && coveredLayers < service.mEngine.mLayers) {
+        extended = false;
         for (const UpstreamRecord* record : engines) {
-          if (record->mLayers.mFrom <= reached &&
-              record->mLayers.mTo > reached) {
-            reached = record->mLayers.mTo;
-            further = true;
+          if (record->mLayers.mFrom <= coveredLayers &&
+              record->mLayers.mTo > coveredLayers) {
+            coveredLayers = record->mLayers.mTo;
+            extended = true;
           }
         }
       }
-      if (reached < service.mEngine.mLayers) {
+      if (coveredLayers < service.mEngine.mLayers) {
         return false;
       }
     }
@@ -269,11 +270,11 @@
   counters.Set("upstreams_silent", states[1]);
   counters.Set("upstreams_leaving", states[2]);
   counters.Set("upstreams_gone", states[3]);
-  std::int64_t begun = 0;
+  std::int64_t attempts = 0;
   for (const auto& [instance, load] : context.LocalLoads()) {
-    begun += load.mFirstStageRequests;
+    attempts += load.mFirstStageRequests;
   }
-  counters.Set("attempts_told", begun);
+  counters.Set("attempts_told", attempts);
   if (context.Table() == nullptr) {
     return;
   }
--- a/daemons/relay/stream_guard.cpp
+++ b/daemons/relay/stream_guard.cpp
@@ -11,23 +11,24 @@
 namespace {
 
 constexpr Millis kStepInterval = 20;
-/// A step this late shows that this process had no processor.
+/// A step that is this late shows that this process was not scheduled.
 constexpr Millis kLateThreshold = 45;
 constexpr Millis kLateWindow = 60;
-/// An upstream that does not take a connection in this time is dead or cut
-/// off: the round trip between zones is a few milliseconds.
+/// An upstream that doesn't accept a connection within this time has crashed or
+/// is disconnected: the round trip between zones takes a few milliseconds.
 constexpr Millis kProbeTimeout = 40;
 constexpr Millis kProbeInterval = 150;
 constexpr Millis kAvoidAfterUnreachable = 2000;
-/// A stream that pauses for so long although all of its upstreams can be
-/// reached: its first one is asked where it stands still.
+/// If a stream pauses for this time although all of its upstreams are
+/// reachable, its first stage is polled for the stalled stages.
 constexpr Millis kStatePollAfter = 300;
 constexpr Millis kStatePollInterval = 300;
 constexpr Millis kStatePollTimeout = 400;
 constexpr Millis kAvoidAfterStall = 1500;
 constexpr std::size_t kMaxReportBytes = 256 * 1024;
-/// Streams that check for a path without slow engines in one step: each takes
-/// up to a millisecond of a small VM, and events are to be passed on meanwhile.
+/// Maximum number of streams that search for a path without slow engines in one
+/// step: each search takes up to a millisecond on a small VM, and events have
+/// to be forwarded meanwhile.
 constexpr int kMaxPathSearches = 4;
 
 }  // namespace
@@ -56,7 +57,7 @@
   MoveOffRestarted();
   MoveOffLeaving();
   if (WasLateSince(now - kLateWindow)) {
-    // What came meanwhile has not been read yet: pauses prove nothing.
+    // Data that arrived meanwhile has not been read yet: pauses prove nothing.
     return;
   }
   for (const std::string& instance : mStallDetector.SuspectInstances(now)) {
@@ -83,9 +84,9 @@
 }
 
 void StreamGuard::OnEvent(StreamKey aKey, Millis aNow) {
-  const std::optional<EventWait> inTime = mStallDetector.OnEvent(aKey, aNow);
-  if (inTime.has_value()) {
-    mContext.mSlowdowns.RecordOnTime(inTime->mInstances, inTime->mFrom);
+  const std::optional<EventWait> onTime = mStallDetector.OnEvent(aKey, aNow);
+  if (onTime.has_value()) {
+    mContext.mSlowdowns.RecordOnTime(onTime->mInstances, onTime->mFrom);
   }
 }
 
@@ -127,7 +128,7 @@
     return;
   }
   int searches = 0;
-  // The longest silent has the least time left.
+  // Streams that have been silent longest have the least time left.
   for (StreamKey key : mStallDetector.StreamsThrough(slow)) {
     const auto it = mStreams.find(key);
     if (it == mStreams.end()) {
@@ -244,7 +245,7 @@
 void StreamGuard::ProbeEnded(const std::string& aInstance, bool aConnected) {
   InstanceCheck& check = mProbes[aInstance];
   const Millis took = SteadyNow() - check.mAt;
-  // The call is on the stack: it goes in the next turn of the loop.
+  // The call is on the stack: it is destroyed in the next turn of the loop.
   const std::shared_ptr<StreamCall> call = std::move(check.mCall);
   mContext.mLoop.Post([call] {});
   mContext.mCounters.Add("probes");
@@ -267,7 +268,8 @@
   mContext.RecordUnreachable(aInstance, kAvoidAfterUnreachable);
   MoveStreamsOff({aInstance}, MoveReason::kUnreachable);
   if (refused) {
-    // ReplaceStages an answer it may as well be cut off.
+    // Only a refused connection proves a crash: without an answer the upstream
+    // may also be disconnected.
     CountCrash(aInstance);
   }
 }
@@ -293,7 +295,7 @@
     InstanceCheck& ended = mStates[aInstance];
     const std::shared_ptr<StreamCall> call = std::move(ended.mCall);
     mContext.mLoop.Post([call] {});
-    // Up to 256 KB, of each instance that was ever asked.
+    // Releases up to 256 KB for each instance that was ever polled.
     const std::string body = std::exchange(ended.mBody, {});
     const bool restarted = ended.mStart != mContext.StartOf(aInstance);
     if (aEnd != StreamEnd::kComplete || restarted) {
@@ -312,7 +314,7 @@
                              const EngineState& aState) {
   const std::int64_t known = mStates[aInstance].mStart;
   if (known > 0 && aState.mStart > known) {
-    // Its heartbeat has not come this far yet.
+    // The heartbeat of the new incarnation has not arrived yet.
     mContext.RecordFailure(aInstance, kAvoidAfterStall);
     MoveStreamsOff({aInstance}, MoveReason::kRestarted);
     return;
@@ -339,7 +341,7 @@
 
 void StreamGuard::MoveStreamsOff(const std::set<std::string>& aInstances,
                                  MoveReason aReason) {
-  // A stream that moves may end and take itself off the list.
+  // A stream that moves may end and remove itself from mStreams.
   const std::map<StreamKey, GuardedStream*> streams = mStreams;
   for (const auto& [key, stream] : streams) {
     if (mStreams.contains(key)) {
--- a/daemons/relay/stream_guard.h
+++ b/daemons/relay/stream_guard.h
@@ -1,5 +1,5 @@
-/// Watches the streams of a router and moves them off upstreams that died,
-/// stand still or leave.
+/// Watches the streams of a router and moves them off upstreams that have
+/// crashed, are stalled or are leaving.
 #pragma once
 
 #include <functional>
@@ -14,44 +14,46 @@
 
 namespace spindleweir {
 
-/// Why a stream should go on without an upstream.
+/// Why a stream should continue without an upstream.
 enum class MoveReason {
-  kLeaving,      ///< It serves on for some time.
-  kUnreachable,  ///< It takes no connection: it is lost.
-  kStalled,      ///< Streams that pass it do not come on.
-  kRestarted,    ///< It started again and knows nothing of them.
-  kSlow,         ///< Streams that pass it are late, or will be.
+  kLeaving,      ///< It continues to serve for some time.
+  kUnreachable,  ///< It accepts no connection: it is lost.
+  kStalled,      ///< Streams through it make no progress.
+  kRestarted,    ///< It restarted and has lost its streams.
+  kSlow,         ///< Streams through it are late, or will be.
 };
 
-/// What the guard needs of a stream.
+/// Interface of a stream to the guard.
 class GuardedStream {
  public:
   virtual ~GuardedStream() = default;
-  /// Goes on without these instances, where it uses one of them.
+  /// Continues without these instances, if the stream uses one of them.
   virtual void MoveOff(const std::set<std::string>& aInstances,
                        MoveReason aReason) = 0;
-  /// Goes on without slow engines, where that is sooner. Returns whether it
-  /// looked for another path, which takes its time.
+  /// Continues without slow engines if that is faster. Returns whether the
+  /// stream searched for another path, which is expensive.
   virtual bool MoveOffSlow(Millis aNow) = 0;
-  /// The first instance of its path; empty: none at present.
+  /// The first instance of the path; empty if there is none at present.
   virtual std::string FirstInstance() const = 0;
 };
 
-/// One per router.
+/// One per router. Not thread-safe.
 class StreamGuard {
  public:
   explicit StreamGuard(RelayContext& aContext);
 
-  /// Begins to watch a stream; the key is valid until Remove.
+  /// Starts to watch a stream; the key is valid until Remove.
   StreamKey Add(GuardedStream* aStream);
   void Remove(StreamKey aKey);
   StallDetector& Detector() { return mStallDetector; }
-  /// Moves streams off incarnations that were followed by others. To be called
-  /// once all news that came together are taken, and before new streams begin.
+  /// Moves streams off incarnations that were replaced by new ones. To be
+  /// called once all updates that arrived together are applied, before new
+  /// streams begin.
   void MoveOffRestarted();
-  /// An attempt was lost at an instance: finds out whether it crashed.
+  /// Called when an attempt was lost at an instance: finds out whether the
+  /// instance crashed.
   void OnAttemptLost(LostAttempt aAttempt);
-  /// An event of a stream came.
+  /// Called when an event of a stream arrived.
   void OnEvent(StreamKey aKey, Millis aNow);
 
  private:
@@ -59,28 +61,29 @@
   void UpdateSlowdowns(Millis aNow);
   void EvaluateSlowdowns(Millis aNow);
   void MoveOffSlow(Millis aNow);
-  /// Whether this process itself was late since then.
+  /// Whether this process itself was delayed since then.
   bool WasLateSince(Millis aSince) const { return mLateAt >= aSince; }
   void Probe(const std::string& aInstance);
   void ProbeEnded(const std::string& aInstance, bool aConnected);
-  /// Looks at an instance, unless that is under way or was just done.
+  /// Probes an instance, unless a probe is in progress or was done recently.
   void ProbeIfDue(const std::string& aInstance, Millis aNow);
-  /// An instance crashed: counts it for the requests that it may be by.
+  /// Counts a crash of the instance against the requests that may have caused
+  /// it.
   void CountCrash(const std::string& aInstance);
   void PollState(const std::string& aInstance);
   void ApplyState(const std::string& aInstance, const EngineState& aState);
   void MoveStreamsOff(const std::set<std::string>& aInstances,
                       MoveReason aReason);
   void MoveOffLeaving();
-  /// Nothing is kept of instances that the registry has forgotten: each start
-  /// of a replica may bring a new one.
+  /// Drops state of instances that the registry no longer knows: each start of
+  /// a replica may bring a new instance name.
   void ForgetUnknown();
 
-  /// A check at one instance.
+  /// A probe of an instance, or a poll of its state.
   struct InstanceCheck {
     std::unique_ptr<StreamCall> mCall;
     Millis mAt = -1;
-    std::int64_t mStart = 0;  ///< Of the incarnation that is looked at.
+    std::int64_t mStart = 0;  ///< Of the incarnation that is checked.
     std::string mBody;
   };
 
@@ -89,11 +92,13 @@
   std::map<StreamKey, GuardedStream*> mStreams;
   std::map<std::string, InstanceCheck> mProbes;
   std::map<std::string, InstanceCheck> mStates;
-  std::set<std::string> mHandledLeaving;  ///< Leaving ones that were handled.
-  std::int64_t mCheckedRevision = 0;      ///< Revision of the registry.
+  /// Leaving instances whose streams were moved.
+  std::set<std::string> mHandledLeaving;
+  /// Registry revision at the last check for leaving instances.
+  std::int64_t mCheckedRevision = 0;
   StreamKey mNextKey = 1;
   Millis mSteppedAt = 0;
-  Millis mLateAt = -1;  ///< When this process last was late itself.
+  Millis mLateAt = -1;  ///< When a delay of this process was last noticed.
   std::unique_ptr<Timer> mTimer;
 };
 
--- a/include/spindleweir/daemons/relay_router.h
+++ b/include/spindleweir/daemons/relay_router.h
@@ -1,5 +1,5 @@
-/// A router that finds control by seeds and passes requests on by the routes
-/// of a configuration that was accepted by its version.
+/// A router that finds control by its seeds and forwards requests by the routes
+/// of the configuration version that control confirmed.
 #pragma once
 
 #include <memory>
@@ -18,37 +18,37 @@
 
 namespace spindleweir {
 
-/// Settings of such a router.
+/// Settings of a relaying router.
 struct RelayOptions {
   std::string mId;
   std::string mZone;
-  Endpoint mListen;              ///< For callers.
+  Endpoint mListen;              ///< Address for callers.
   std::vector<Endpoint> mSeeds;  ///< RPC addresses of some controls.
-  /// "IP:PORT" where this router's heartbeat calls come in; empty: nowhere.
+  /// "IP:PORT" at which this router receives heartbeats; empty: none.
   std::string mHeartbeatAddress;
   std::string mClusterKey;
-  /// A configuration that control did not confirm for so long is not acted on.
+  /// A configuration that control has not confirmed for this time is not used.
   Millis mLeaseLength = 4000;
-  /// How long a router that has just started keeps a request until it knows
-  /// enough to pass it on. After all processes were killed most callers come
-  /// with the last of their attempts: refusing them lost 5 in 100 of a day's
-  /// requests, waiting serves all but 1 in 100. Callers leave a stream after
+  /// How long a router that has just started holds a request until it knows
+  /// enough to forward it. After a restart of all processes most callers come
+  /// with the last of their attempts: refusing them lost 5 % of a day's
+  /// requests, whereas waiting serves all but 1 %. Callers leave a stream after
   /// about two seconds without an event.
   Millis mStartWait = 1500;
-  /// After a stop signal all must have ended within this time.
+  /// All requests must have ended within this time after a stop signal.
   Millis mStopGrace = 8000;
   RetryAllowanceOptions mRetries;
   RelativeCosts mCosts;
-  /// Of the process; 0: not known, and what is held for callers has a bound
-  /// for each of them only.
+  /// Memory of the process; 0: not known, and the memory held for callers is
+  /// only limited for each of them.
   std::size_t mMemoryBytes = 0;
-  /// Of the system's buffers of a connection, each way, in bytes; 0: by
-  /// mMemoryBytes.
+  /// Size of the system's buffers of a connection, each way, in bytes; 0:
+  /// computed from mMemoryBytes.
   std::size_t mWindow = 0;
-  /// For callers and upstreams together; 0: not known.
+  /// File descriptors for callers and upstreams together; 0: not known.
   std::size_t mDescriptors = 0;
-  std::size_t mMaxConnections = 3000;  ///< Of callers.
-  UpstreamBoundOptions mUpstreams;     ///< Of plain services.
+  std::size_t mMaxConnections = 3000;  ///< Connections of callers.
+  UpstreamBoundOptions mUpstreams;     ///< For plain services.
   CallerProtocol mCallers;
   EngineProtocol mEngines;
 };
@@ -62,22 +62,24 @@
   RelayRouter& operator=(const RelayRouter&) = delete;
 
   const Endpoint& Address() const;
-  /// Whether the balancer should send callers here.
+  /// Whether the balancer should send callers to this router.
   bool Ready() const;
-  /// Takes a heartbeat of an upstream in place of control.
+  /// Applies a heartbeat of an upstream in place of control.
   void ApplyHeartbeat(const UpstreamRecord& aRecord, const BeatDone& aDone);
-  /// Takes the notice that an upstream leaves. aStart: of the incarnation that
-  /// leaves; 0: not told.
+  /// Applies the notice that an upstream is leaving. aStart: of the incarnation
+  /// that leaves; 0 if not reported.
   void ApplyLeave(const std::string& aInstance, const BeatDone& aDone,
                   std::int64_t aStart = 0);
-  /// Counts a heartbeat, or a notice of leaving, that cannot be used.
-  void RecordInvalidHeartbeat(const std::string& aInstance, const Error& aWhy);
-  /// Takes new seeds.
+  /// Counts an invalid heartbeat or notice of leaving.
+  void RecordInvalidHeartbeat(const std::string& aInstance,
+                              const Error& aReason);
+  /// Replaces the seeds.
   void SetSeeds(std::vector<Endpoint> aSeeds);
   Counters& OwnCounters();
-  /// Sets the gauges that stand for the state of the moment.
+  /// Sets the gauges to the present state.
   void RefreshGauges();
-  /// A planned stop: what is in flight ends, then the loop stops.
+  /// Begins a planned stop: requests in flight are completed, then the loop
+  /// stops.
   void Stop();
 
  private:
