--- a/daemons/relay/heartbeat_relay.cpp
+++ b/daemons/relay/heartbeat_relay.cpp
@@ -8,16 +8,16 @@
 
 namespace {
 
-/// An upstream waits for a second, then calls another process.
+/// An upstream waits for one second, then calls another process.
 constexpr Millis kNoticeTimeout = 500;
-/// Controls that must know of an upstream that leaves.
+/// Number of controls that have to acknowledge that an upstream leaves.
 constexpr int kRequiredAcknowledgements = 2;
 
-/// One upstream that leaves, while controls are told.
+/// Collects the acknowledgements of controls for one leaving upstream.
 struct Notification {
   BeatDone mDone;
   int mAcknowledged = 0;
-  int mOpen = 0;  ///< Calls without an answer yet.
+  int mOpen = 0;  ///< Calls without an answer so far.
 
   void OnAnswer(bool aOk) {
     mOpen--;
--- a/daemons/relay/heartbeat_relay.h
+++ b/daemons/relay/heartbeat_relay.h
@@ -1,5 +1,5 @@
-/// Takes heartbeats of upstreams in place of control. Control is told of them
-/// with this router's questions, and at once where an upstream leaves.
+/// Accepts heartbeats of upstreams in place of control. They are reported to
+/// control with this router's polls, and at once if an upstream leaves.
 #pragma once
 
 #include <string>
@@ -15,14 +15,14 @@
   HeartbeatRelay(RelayContext& aContext, SyncLink& aLink)
       : mContext(aContext), mLink(aLink) {}
 
-  /// Throws kUnknownService: see UpstreamIntake.
+  /// Throws kUnknownService under the same conditions as UpstreamIntake.
   void ApplyHeartbeat(const UpstreamRecord& aRecord, const BeatDone& aDone);
   void ApplyLeave(const std::string& aInstance, const BeatDone& aDone,
                   std::int64_t aStart);
 
  private:
-  /// Acknowledges once two controls know, or one does and no other answered in
-  /// time: the one that knows may be lost right after.
+  /// Acknowledges once two controls know, or if one knows and no other answered
+  /// in time. Two, because one may be lost right after its answer.
   void NotifyControls(const UpstreamRecord& aRecord, const BeatDone& aDone);
 
   RelayContext& mContext;
--- a/daemons/relay/planned_stop.cpp
+++ b/daemons/relay/planned_stop.cpp
@@ -10,12 +10,13 @@
 namespace {
 
 constexpr Millis kStepInterval = 100;
-/// The balancer sends callers here until it has seen twice, a second apart,
-/// that this router is not ready.
+/// The balancer sends callers here until it has seen twice, one second apart,
+/// that this router isn't ready.
 constexpr Millis kServeTime = 2500;
-/// Of a grace that is shorter than usual.
+/// With a shorter grace than usual, callers are served for this fraction (1/N)
+/// of it.
 constexpr Millis kServeDivisor = 3;
-/// For the last answers to leave this process before it is killed.
+/// Time for the last answers to leave this process before it is killed.
 constexpr Millis kGraceMargin = 300;
 
 }  // namespace
@@ -56,7 +57,7 @@
     return;
   }
   if (mListens) {
-    // Who has connected until now is answered in another step.
+    // Callers that have connected until now are answered in another step.
     mListens = false;
     mServer.StopListening();
     return;
--- a/daemons/relay/planned_stop.h
+++ b/daemons/relay/planned_stop.h
@@ -9,24 +9,24 @@
 
 namespace spindleweir {
 
-/// What it does with the requests that are under way.
+/// Hooks for the requests in flight.
 struct PlannedStopHooks {
   std::function<int()> mOpenRequests;
-  /// Ends them all: who has no answer yet gets one.
+  /// Ends all requests; those without an answer get one.
   std::function<void()> mEndRequests;
 };
 
-/// First callers that are still sent here are served, then idle connections are
-/// closed, then the port, then all ends: once nothing is under way, and no
-/// answer is still to be read, or when the grace is over.
+/// Callers that the balancer still sends here are served first. Then idle
+/// connections are closed, then the listener. The loop stops once no request is
+/// in flight and all answers have been read, or when the grace is over.
 class PlannedStop {
  public:
   PlannedStop(RelayContext& aContext, StreamServer& aServer,
               PlannedStopHooks aHooks);
 
-  /// The signal came. Called again it changes nothing.
+  /// Begins the stop. Further calls have no effect.
   void Begin();
-  /// What is in flight so long after the signal is cut.
+  /// Time from the signal after which requests in flight are cut.
   static Millis GraceOf(const RelayOptions& aOptions);
 
  private:
--- a/daemons/relay/relay_attempt.cpp
+++ b/daemons/relay/relay_attempt.cpp
@@ -106,8 +106,9 @@
 
 bool RelayRequest::WaitForPath() {
   // Every request may wait while the first heartbeats of the upstreams come in.
-  const bool starts = MayWaitForStartUp() && Remaining() > kMinPathRetryDelay;
-  if (!IsWorthWaiting() && !starts) {
+  const bool isStartingUp =
+      MayWaitForStartUp() && Remaining() > kMinPathRetryDelay;
+  if (!IsWorthWaiting() && !isStartingUp) {
     return false;
   }
   // A choice of a path takes up to a millisecond on a small VM: the longer a
@@ -209,7 +210,7 @@
 }
 
 bool RelayRequest::MaySend() const {
-  if (mNeedsLease && !mContext.LeaseHolds()) {
+  if (mNeedsLease && !mContext.HasValidLease()) {
     return false;
   }
   const UpstreamRecord* record = mContext.mRegistry.Find(mAttempt->mInstance);
--- a/daemons/relay/relay_context.cpp
+++ b/daemons/relay/relay_context.cpp
@@ -101,11 +101,11 @@
     demand.mLocal = ArrivalsOf(record->mService) * kMillisPerSecond *
                     (isLocal ? 1 : kOtherZoneShare);
   }
-  const auto others = mPeerLoads.find(aInstance);
-  if (others != mPeerLoads.end()) {
+  const auto peers = mPeerLoads.find(aInstance);
+  if (peers != mPeerLoads.end()) {
     demand.mPeersKnown = true;
     demand.mPeers =
-        static_cast<double>(others->second.mDemandThousandths) / kThousandths;
+        static_cast<double>(peers->second.mDemandThousandths) / kThousandths;
   }
   return demand;
 }
@@ -125,10 +125,10 @@
 }
 
 void RelayContext::ApplyUpdate(const TrafficUpdate& aUpdate) {
-  const std::int64_t held = mTable == nullptr ? 0 : mTable->Version();
-  const bool follows =
-      aUpdate.mBaseVersion == 0 || aUpdate.mBaseVersion == held;
-  if (aUpdate.mVersion <= held || !follows) {
+  const std::int64_t current = mTable == nullptr ? 0 : mTable->Version();
+  const bool isBasedOnCurrent =
+      aUpdate.mBaseVersion == 0 || aUpdate.mBaseVersion == current;
+  if (aUpdate.mVersion <= current || !isBasedOnCurrent) {
     return;
   }
   const TrafficConfiguration* base =
@@ -138,7 +138,7 @@
   mCounters.Set("traffic_version", mTable->Version());
   LogLine(LogLevel::kInfo, "configuration_in_force")
       .Add("version", static_cast<Json::Int64>(mTable->Version()))
-      .Add("before", static_cast<Json::Int64>(held));
+      .Add("before", static_cast<Json::Int64>(current));
 }
 
 void RelayContext::AddLoad(const std::string& aInstance, int aRequests,
@@ -316,7 +316,7 @@
 
 UpstreamOccupancy RelayContext::OccupancyOf(const UpstreamRecord& aRecord,
                                             const PlainServiceQuery& aQuery) {
-  ServiceRouting& paths = mServiceRouting[aRecord.mService];
+  ServiceRouting& routing = mServiceRouting[aRecord.mService];
   const Millis now = SteadyNow();
   const auto local = mLocalLoads.find(aRecord.mInstance);
   UpstreamOccupancy occupancy;
@@ -329,12 +329,12 @@
   occupancy.mLocalBytes = occupancy.mLocal * occupancy.mBodyBytes;
   occupancy.mRouters = Routers();
   occupancy.mLocalRate =
-      paths.mArrivals.PerMilliExcluding(aQuery.mArrivedAt, now) /
+      routing.mArrivals.PerMilliExcluding(aQuery.mArrivedAt, now) /
       static_cast<double>(std::max<std::size_t>(1, aQuery.mUpstreams));
   const Millis expected = aQuery.mTarget > 0
                               ? std::min(aQuery.mTarget, kDefaultAnswerTime)
                               : kDefaultAnswerTime;
-  occupancy.mTypicalTime = paths.mTypicalTime.At(expected, now);
+  occupancy.mTypicalTime = routing.mTypicalTime.At(expected, now);
   occupancy.mPeerReportAge = std::min(kMaxPeerReportAge, PeerLoadsAge());
   return occupancy;
 }
@@ -353,26 +353,26 @@
 
 const std::vector<const UpstreamRecord*>& RelayContext::ReadyEngines(
     const std::string& aService) {
-  ServiceRouting& paths = mServiceRouting[aService];
-  if (paths.mReadyRevision != mRegistry.LastChangeRevision()) {
-    paths.mReadyRevision = mRegistry.LastChangeRevision();
-    paths.mReady = mRegistry.OfService(aService);
-    std::erase_if(paths.mReady, [](const UpstreamRecord* aRecord) {
+  ServiceRouting& routing = mServiceRouting[aService];
+  if (routing.mReadyRevision != mRegistry.LastChangeRevision()) {
+    routing.mReadyRevision = mRegistry.LastChangeRevision();
+    routing.mReady = mRegistry.OfService(aService);
+    std::erase_if(routing.mReady, [](const UpstreamRecord* aRecord) {
       return aRecord->mState != UpstreamState::kReady;
     });
   }
-  return paths.mReady;
+  return routing.mReady;
 }
 
 PathResult RelayContext::ChoosePathFor(const std::string& aService,
                                        const PathQuery& aQuery) {
-  ServiceRouting& paths = mServiceRouting[aService];
+  ServiceRouting& routing = mServiceRouting[aService];
   const Millis now = SteadyNow();
-  const double others = Routers() - 1;
+  const double peers = Routers() - 1;
   const Millis age = std::min(kMaxPeerReportAge, PeerLoadsAge());
   const double unreported =
-      others * paths.mArrivals.PerMilli(now) * static_cast<double>(age);
-  PathResult answer = paths.mChooser.Choose(
+      peers * routing.mArrivals.PerMilli(now) * static_cast<double>(age);
+  PathResult answer = routing.mChooser.Choose(
       aQuery, {.mUnreportedRequests = std::max(
                    unreported, mAdmission->UnreportedRequests(aService)),
                .mRevision = mRegistry.Revision() + mSlowdowns.Revision(),
--- a/daemons/relay/relay_context.h
+++ b/daemons/relay/relay_context.h
@@ -86,7 +86,7 @@
   /// Whether the configuration in force has the service, or none has been
   /// received yet.
   bool KnowsService(const std::string& aService) const;
-  bool LeaseHolds() const { return mLease.IsValid(SteadyNow()); }
+  bool HasValidLease() const { return mLease.IsValid(SteadyNow()); }
   /// Whether this process started so recently that missing state may still
   /// arrive without a request: the configuration, its confirmation, and the
   /// heartbeats of upstreams.
--- a/daemons/relay/relay_request.cpp
+++ b/daemons/relay/relay_request.cpp
@@ -101,7 +101,7 @@
 void RelayRequest::Admit() {
   mTable = mContext.Table();
   const bool confirmed =
-      mTable != nullptr && (!mTable->NeedsKeys() || mContext.LeaseHolds());
+      mTable != nullptr && (!mTable->NeedsKeys() || mContext.HasValidLease());
   if (!confirmed && WaitForStartUp()) {
     return;
   }
@@ -111,7 +111,7 @@
   }
   mRoute = mTable->FindRoute(mFacts.mHost, mExchange->Head().mTarget);
   mNeedsLease = mTable->NeedsKeys() && (mRoute == nullptr || !mRoute->mPublic);
-  if (mNeedsLease && !mContext.LeaseHolds()) {
+  if (mNeedsLease && !mContext.HasValidLease()) {
     // Without a valid lease neither a key nor its absence can be trusted.
     Refuse(ResultCode::kLeaseExpired, ReturnCause::kNoLease);
     return;
--- a/daemons/relay/relay_router.cpp
+++ b/daemons/relay/relay_router.cpp
@@ -221,7 +221,7 @@
   if (context.mStopping || context.Table() == nullptr) {
     return false;
   }
-  if (context.Table()->NeedsKeys() && !context.LeaseHolds()) {
+  if (context.Table()->NeedsKeys() && !context.HasValidLease()) {
     return false;
   }
   return mParts->HasPaths() || SteadyNow() - mParts->mStartedAt > kMaxPathWait;
--- a/daemons/relay/retry_credit_requester.cpp
+++ b/daemons/relay/retry_credit_requester.cpp
@@ -12,10 +12,10 @@
 namespace {
 
 constexpr Millis kRequestTimeout = 300;
-/// After an answer that did not give all: a pool fills by tenths of a window,
-/// and all routers may ask.
+/// Delay after a partial grant: a pool is refilled in tenths of a window, and
+/// all routers may request credits.
 constexpr Millis kShortGrantDelay = 200;
-/// In one question, so that one router does not take all.
+/// Maximum per call, so that one router doesn't take the whole pool.
 constexpr int kMaxRequested = 32;
 
 }  // namespace
--- a/daemons/relay/retry_credit_requester.h
+++ b/daemons/relay/retry_credit_requester.h
@@ -1,4 +1,5 @@
-/// Asks control for retries that this router's own part does not pay.
+/// Requests retry credits from control when this router's own allowance is used
+/// up.
 #pragma once
 
 #include <map>
@@ -11,20 +12,20 @@
 
 class SyncLink;
 
-/// The asking side of control.retries. What is granted is credited to the
-/// allowance of the service; who wants one looks there again.
+/// The calling side of control.retries. Granted credits are added to the
+/// allowance of the service, where waiting requests check for them.
 class RetryCreditRequester {
  public:
   RetryCreditRequester(RelayContext& aContext, SyncLink& aLink);
 
-  /// aRequest, whatever it is, wants one; asked again while it waits it counts
-  /// once.
+  /// Notes that aRequest, an opaque key, needs a credit. Repeated calls before
+  /// the next message to control count once.
   void Request(const std::string& aService, const void* aRequest);
 
  private:
-  /// What is requested for one service.
+  /// Requests that need a credit for one service.
   struct PendingRequests {
-    std::set<const void*> mRequests;  ///< That no question has told yet.
+    std::set<const void*> mRequests;  ///< Not yet reported to control.
     bool mPolling = false;
     Millis mNotBefore = 0;
   };
--- a/daemons/relay/sync_link.cpp
+++ b/daemons/relay/sync_link.cpp
@@ -12,23 +12,26 @@
 namespace {
 
 constexpr Millis kStepInterval = 100;
-/// While there is no lease: 0.1 s more is a tenth of what callers wait at most.
+/// Used while there is no lease: a delay of 0.1 s is a tenth of the time that
+/// callers wait at most.
 constexpr Millis kNoLeaseStepInterval = 25;
-/// Upstreams that ended are looked for so often: it goes through all of them.
+/// Interval between removals of ended upstreams, each of which goes through all
+/// upstreams.
 constexpr Millis kCleanUpInterval = 1000;
-/// Loads of others that are older than this say nothing any more.
+/// Loads of peers are dropped at this age: they are no longer representative.
 constexpr Millis kPeerLoadsRetention = 2500;
 constexpr int kIncarnationNameBytes = 6;
-/// A request that failed within this time was turned away: one that nobody
-/// answers fails after 300 ms at the least.
+/// A request that failed within this time was refused: one that gets no answer
+/// fails after at least 300 ms.
 constexpr Millis kRefusalWindow = 200;
-/// The nearest control is heard where it answered within this time: it is asked
-/// each half second at most, but for its back-off.
+/// The nearest control counts as in contact if it answered within this time:
+/// apart from its back-off it is polled at least every half second.
 constexpr Millis kNearestContactWindow = 1500;
-/// Others are asked seldom only while it answers within so many of its periods:
-/// a silence of it is made up for as fast as the others used to be asked.
+/// The other controls are polled rarely only while the nearest one answers
+/// within this many of its poll intervals, so that its silence is noticed as
+/// fast as if all were polled at the same rate.
 constexpr Millis kFreshIntervals = 3;
-/// Records of crashes in one request: some 20 KB.
+/// Maximum number of crash records in one request: about 20 KB.
 constexpr std::size_t kMaxCrashes = 128;
 
 }  // namespace
@@ -56,20 +59,20 @@
           .mLacksConfiguration = mContext.Table() == nullptr,
           .mNearestAnswers = IsNearestFresh(),
           .mCosts = mContext.mOptions.mCosts,
-          .mLacksLease = LacksLease(),
+          .mLacksLease = LacksConfigurationOrLease(),
           .mRouterCount = mContext.Routers(),
           .mJitter = source.mJitter};
 }
 
 void SyncLink::Step() {
   const Millis now = SteadyNow();
-  SourceChoiceInput request;
-  request.mDirectory = &mContext.mDirectory;
-  request.mProcess = mProcess;
-  request.mZone = mContext.mOptions.mZone;
-  request.mFailedAt = mFailedAt;
-  request.mNow = now;
-  mControls = ChooseSources(request);
+  SourceChoiceInput input;
+  input.mDirectory = &mContext.mDirectory;
+  input.mProcess = mProcess;
+  input.mZone = mContext.mOptions.mZone;
+  input.mFailedAt = mFailedAt;
+  input.mNow = now;
+  mControls = ChooseSources(input);
   const std::string nearest = mControls.empty() ? "" : mControls.front().Text();
   if (nearest != mNearest) {
     mNearest = nearest;
@@ -94,11 +97,12 @@
     mContext.ClearPeerLoads();
   }
   mTimer = mContext.mLoop.After(
-      LacksLease() ? kNoLeaseStepInterval : kStepInterval, [this] { Step(); });
+      LacksConfigurationOrLease() ? kNoLeaseStepInterval : kStepInterval,
+      [this] { Step(); });
 }
 
-bool SyncLink::LacksLease() const {
-  return mContext.Table() == nullptr || !mContext.LeaseHolds();
+bool SyncLink::LacksConfigurationOrLease() const {
+  return mContext.Table() == nullptr || !mContext.HasValidLease();
 }
 
 std::int64_t SyncLink::AddHeartbeats(const Source& aSource,
@@ -221,8 +225,9 @@
     return;
   }
   aSource.mLoadsNumber = aAnswer.mLoadsNumber;
-  // Others tell their work as often as this router, to this control or by way
-  // of another: on the whole what is told is one such period old.
+  // Peers report their loads at the same interval as this router, to this
+  // control or through another one: on average the reported loads are one
+  // interval old.
   mContext.SetPeerLoads(
       mReportedLoads.SubtractReported(
           mContext.mBadWords.Loads("loads", aAnswer.mPackedLoads),
@@ -236,7 +241,7 @@
   Source& source = mSources[aAddress.Text()];
   if (source.mIncarnation != aAnswer.mLife) {
     source.mLoadsNumber = 0;
-    // A process that started again knows what is on its disk, at most.
+    // A restarted control has at most the records on its disk.
     source.mAcknowledgedCrashes = 0;
   }
   source.mIncarnation = aAnswer.mLife;
--- a/daemons/relay/sync_link.h
+++ b/daemons/relay/sync_link.h
@@ -1,4 +1,5 @@
-/// Keeps a router's knowledge new by asking some controls a few times a second.
+/// Keeps a router's state current by polling some controls several times a
+/// second.
 #pragma once
 
 #include <map>
@@ -11,65 +12,72 @@
 
 namespace spindleweir {
 
-/// The asking side of control.sync.
+/// The polling side of control.sync.
 class SyncLink {
  public:
   explicit SyncLink(RelayContext& aContext);
 
-  /// The controls that are asked, the nearest first.
+  /// The polled controls, the nearest first.
   const std::vector<Endpoint>& Controls() const { return mControls; }
 
  private:
-  /// One control process, by address.
+  /// State of one polled control process, by address.
   struct Source {
     std::string mIncarnation;
     std::int64_t mRevision = 0;
-    std::int64_t mLoadsNumber = 0;  ///< Of the loads heard last.
+    /// Number of the loads that were received last.
+    std::int64_t mLoadsNumber = 0;
     bool mPolling = false;
     Millis mPolledAt = 0;
-    Millis mPollInterval = 0;  ///< As it asks to be asked; 0: not said.
-    int mFailures = 0;         ///< Without a word, since it answered last.
-    bool mWasRefused = false;  ///< Nobody listened there at the last request.
-    double mJitter = 1;        ///< Chance, of the newest request.
-    std::int64_t mCrashRevision = 0;  ///< Of its crash ledger, known so far.
-    std::int64_t mAcknowledgedCrashes =
-        0;  ///< Of the local ledger, told to its incarnation.
+    /// Interval requested by the control; 0 if not reported.
+    Millis mPollInterval = 0;
+    /// Consecutive failures without a refusal since the last answer.
+    int mFailures = 0;
+    bool mWasRefused = false;  ///< The last connection was refused.
+    double mJitter = 1;        ///< Random factor of the latest poll.
+    /// Revision of its crash ledger known here.
+    std::int64_t mCrashRevision = 0;
+    /// Revision of the local ledger that its incarnation acknowledged.
+    std::int64_t mAcknowledgedCrashes = 0;
   };
 
   void Step();
-  /// Whether nothing that is held may be acted on.
-  bool LacksLease() const;
+  /// Whether this router lacks a configuration or a valid lease, so that it
+  /// must not act on what it has.
+  bool LacksConfigurationOrLease() const;
   void Poll(const Endpoint& aAddress);
-  /// Adds the heartbeats taken here that the control asked has not been told.
+  /// Adds collected heartbeats that the polled control has not acknowledged.
   /// Returns their number.
   std::int64_t AddHeartbeats(const Source& aSource, SyncQuestion& aRequest);
-  /// Adds what the local crash ledger has that the control asked has not been
-  /// told. Returns the revision that it is up to.
+  /// Adds records of the local crash ledger that the polled control has not
+  /// acknowledged. Returns the revision up to which records are included.
   std::int64_t AddCrashes(const Source& aSource, SyncQuestion& aRequest);
   void ApplyCrashes(Source& aSource, const SyncAnswer& aAnswer);
   void ApplyAnswer(const Endpoint& aAddress, const SyncAnswer& aAnswer,
                    Millis aPolledAt);
-  /// Takes the work of other routers.
+  /// Applies the loads of peers.
   void ApplyLoads(Source& aSource, const SyncAnswer& aAnswer, Millis aPolledAt);
-  /// aBy: the control that knows it.
+  /// aBy: the control that reported the record.
   void ApplyUpstream(const UpstreamRecord& aRecord, const std::string& aBy);
   void OnPollFailed(const Endpoint& aAddress, Millis aPolledAt);
-  /// Whether the nearest control answers as often as it is asked.
+  /// Whether the nearest control has answered within its recent poll intervals.
   bool IsNearestFresh() const;
-  /// What decides when one is asked again.
+  /// The inputs that decide when a control is polled again.
   PolledControl PollInputOf(const std::string& aAddress);
 
   RelayContext& mContext;
   std::string mProcess;
   std::map<std::string, Source> mSources;
   std::vector<Endpoint> mControls;
-  std::string mNearest;  ///< The address that loads are told to.
+  /// Address of the control to which loads are reported.
+  std::string mNearest;
   ReportedLoads mReportedLoads;
-  std::map<std::string, Millis> mFailedAt;  ///< By address.
-  Millis mCleanedUpAt = 0;  ///< When ended upstreams were looked for.
-  Millis mNearestAnsweredAt =
-      0;                        ///< When the control at mNearest answered last.
-  Millis mLoadsReceivedAt = 0;  ///< When loads of others were heard last.
+  /// Time of the latest failure, by address.
+  std::map<std::string, Millis> mFailedAt;
+  Millis mCleanedUpAt = 0;  ///< When ended upstreams were last removed.
+  /// When the control at mNearest answered last.
+  Millis mNearestAnsweredAt = 0;
+  Millis mLoadsReceivedAt = 0;  ///< When loads of peers were received last.
   std::unique_ptr<Timer> mTimer;
 };
 
