--- a/bench/memory_measures.cpp
+++ b/bench/memory_measures.cpp
@@ -113,7 +113,7 @@
   options.mClusterKey = "secret";
   options.mLeaseLength = 20000;
   options.mMemoryBytes = aCase.mMemoryBytes;
-  options.mWindow = kWindow;
+  options.mSocketBufferBytes = kWindow;
   options.mMaxConnections = kConnections;
   options.mCallers = PlainCallers();
   options.mEngines = PlainEngines();
--- a/daemons/relay/relay_context.cpp
+++ b/daemons/relay/relay_context.cpp
@@ -44,8 +44,8 @@
   MemoryBudgetOptions options =
       MemoryBudgetOptions::ForMemory(aOptions.mMemoryBytes);
   options.mMaxDescriptors = aOptions.mDescriptors;
-  if (aOptions.mWindow > 0) {
-    options.mSocketBuffer = aOptions.mWindow;
+  if (aOptions.mSocketBufferBytes > 0) {
+    options.mSocketBuffer = aOptions.mSocketBufferBytes;
   }
   return options;
 }
@@ -142,12 +142,12 @@
 }
 
 void RelayContext::AddLoad(const std::string& aInstance, int aRequests,
-                           double aTokenLayers, int aFirsts) {
+                           double aTokenLayers, int aFirstStageRequests) {
   LoadShare& load = mLocalLoads[aInstance];
   load.mInstance = aInstance;
   load.mRequests += aRequests;
   load.mTokenLayers += std::llround(aTokenLayers);
-  load.mFirstStageRequests += aFirsts;
+  load.mFirstStageRequests += aFirstStageRequests;
   if (load.mRequests <= 0) {
     mLocalLoads.erase(aInstance);
   }
@@ -197,9 +197,9 @@
   return loads;
 }
 
-void RelayContext::SetPeerLoads(LoadShares aLoads, Millis aTrueAt) {
+void RelayContext::SetPeerLoads(LoadShares aLoads, Millis aAsOf) {
   mPeerLoads = std::move(aLoads);
-  mPeerLoadsAsOf = aTrueAt;
+  mPeerLoadsAsOf = aAsOf;
   mSlowdowns.ApplyPeerReports(mPeerLoads, SteadyNow());
   mLimits.ApplyPeerReports(mPeerLoads, SteadyNow());
 }
--- a/include/spindleweir/daemons/relay_router.h
+++ b/include/spindleweir/daemons/relay_router.h
@@ -44,7 +44,7 @@
   std::size_t mMemoryBytes = 0;
   /// Size of the system's buffers of a connection, each way, in bytes; 0:
   /// computed from mMemoryBytes.
-  std::size_t mWindow = 0;
+  std::size_t mSocketBufferBytes = 0;
   /// File descriptors for callers and upstreams together; 0: not known.
   std::size_t mDescriptors = 0;
   std::size_t mMaxConnections = 3000;  ///< Connections of callers.
