--- a/daemons/relay/relay_attempt.cpp
+++ b/daemons/relay/relay_attempt.cpp
@@ -351,7 +351,7 @@
     StartAttempt();
     return;
   }
-  PayForRetry(aCode);
+  RetryOrGiveUp(aCode);
 }
 
 bool RelayRequest::TrySpendRetry() {
@@ -374,7 +374,7 @@
          Remaining() > kCreditTimeout;
 }
 
-void RelayRequest::PayForRetry(ResultCode aCode) {
+void RelayRequest::RetryOrGiveUp(ResultCode aCode) {
   if (TrySpendRetry()) {
     mContext.mCounters.Add("retries");
     mCreditAwaitedAt = 0;
@@ -391,12 +391,12 @@
   // That happened to 4 to 6 streams of a release of 15 engines, each refused by
   // its second engine within 4 ms of the cut.
   mPathTimer = mContext.mLoop.After(kRetryCreditPollInterval,
-                                    [this, aCode] { PayForRetry(aCode); });
+                                    [this, aCode] { RetryOrGiveUp(aCode); });
 }
 
 bool RelayRequest::IsLikelyRetry() const {
   // Callers of plain services have about a second: holding a request for half
-  // of it costs more than refusing it at once.
+  // of it loses more requests than refusing it at once.
   return mService->IsEngine() &&
          mContext.mAdmission->IsLikelyRetry(mRoute->mName, mFacts.mDeadline);
 }
@@ -411,7 +411,7 @@
   // The caller of a stream that has begun goes on reading and decides for
   // itself how long it waits for the next event. If the stream were broken off
   // earlier, the caller would lose what it has read, though a retry may become
-  // available or an engine return in most of the time that it has left.
+  // available, or an engine return, while most of its time is left.
   return mExchange->Started() && !mExchange->Closed() &&
          Remaining() > kMinPathRetryDelay;
 }
--- a/daemons/relay/relay_context.h
+++ b/daemons/relay/relay_context.h
@@ -88,23 +88,23 @@
   bool KnowsService(const std::string& aService) const;
   bool HasValidLease() const { return mLease.IsValid(SteadyNow()); }
   /// Whether this process started so recently that missing state may still
-  /// arrive without a request: the configuration, its confirmation, and the
-  /// heartbeats of upstreams.
+  /// arrive on its own: the configuration, its confirmation, and the heartbeats
+  /// of upstreams.
   bool IsStartingUp() const;
 
   /// Adds work that begins at an upstream; negative values remove work that
   /// ended.
   void AddLoad(const std::string& aInstance, int aRequests, double aTokenLayers,
-               int aFirsts);
+               int aFirstStageRequests);
   /// Adds tokens, times layers, that an engine has yet to prefill; a negative
   /// value removes them.
   void AddPrefill(const std::string& aInstance, double aTokenLayers);
   /// All known work at an upstream: from this router and from its peers.
   EngineLoad LoadOf(const std::string& aInstance) const;
   LoadShares LocalLoads() const;
-  /// Replaces the loads reported by peers. aTrueAt: the average time at which
+  /// Replaces the loads reported by peers. aAsOf: the average time at which
   /// they were measured.
-  void SetPeerLoads(LoadShares aLoads, Millis aTrueAt);
+  void SetPeerLoads(LoadShares aLoads, Millis aAsOf);
   /// Average age of the loads reported by peers.
   Millis PeerLoadsAge() const { return SteadyNow() - mPeerLoadsAsOf; }
   /// Drops the loads reported by peers when they are too old to be used.
--- a/daemons/relay/relay_moves.cpp
+++ b/daemons/relay/relay_moves.cpp
@@ -191,11 +191,11 @@
 }
 
 bool RelayRequest::MoveOffSlow(Millis aNow) {
-  const bool may = mAttempt != nullptr && !mAttempt->mPath.empty() && !mEnded &&
-                   mAttempt->mMoveOrder == nullptr &&
-                   mAttempt->mMoves < kMaxMoves;
-  if (!may || aNow - std::max(mAttempt->mMovedAt, mAttempt->mSearchedAt) <
-                  kSlowSearchInterval) {
+  const bool canMove = mAttempt != nullptr && !mAttempt->mPath.empty() &&
+                       !mEnded && mAttempt->mMoveOrder == nullptr &&
+                       mAttempt->mMoves < kMaxMoves;
+  if (!canMove || aNow - std::max(mAttempt->mMovedAt, mAttempt->mSearchedAt) <
+                      kSlowSearchInterval) {
     return false;
   }
   mAttempt->mSearchedAt = aNow;
--- a/daemons/relay/relay_request.h
+++ b/daemons/relay/relay_request.h
@@ -181,7 +181,7 @@
   /// it.
   void AttemptFailed(Ran aRan, ResultCode aCode, bool aWasSent);
   /// Retries once a retry could be spent, or gives up.
-  void PayForRetry(ResultCode aCode);
+  void RetryOrGiveUp(ResultCode aCode);
   /// Spends a retry; if none is available, requests a credit from control.
   bool TrySpendRetry();
   /// Whether the request may go on waiting for a retry credit from control.
