--- a/daemons/control/control_context.h
+++ b/daemons/control/control_context.h
@@ -1,7 +1,7 @@
 /// The objects that the parts of a control process share.
 #pragma once
 
-#include "daemons/bad_words.h"
+#include "daemons/invalid_messages.h"
 #include "spindleweir/core/counters.h"
 #include "spindleweir/daemons/control_daemon.h"
 #include "spindleweir/daemons/entry_vms_file.h"
--- a/daemons/control/upstream_intake.h
+++ b/daemons/control/upstream_intake.h
@@ -9,7 +9,7 @@
 
 #include "daemons/control/control_context.h"
 #include "daemons/control/upstream_store.h"
-#include "spindleweir/daemons/beat_answer.h"
+#include "spindleweir/daemons/heartbeat_answer.h"
 #include "spindleweir/daemons/sync_messages.h"
 #include "spindleweir/servers/membership/collector_choice.h"
 
--- a/daemons/bad_words.cpp
+++ b/daemons/invalid_messages.cpp
@@ -1,4 +1,4 @@
-#include "daemons/bad_words.h"
+#include "daemons/invalid_messages.h"
 
 #include "spindleweir/core/log.h"
 #include "spindleweir/servers/membership/upstream_table.h"
--- a/daemons/relay/heartbeat_relay.h
+++ b/daemons/relay/heartbeat_relay.h
@@ -6,7 +6,7 @@
 
 #include "daemons/relay/relay_context.h"
 #include "daemons/relay/sync_link.h"
-#include "spindleweir/daemons/beat_answer.h"
+#include "spindleweir/daemons/heartbeat_answer.h"
 
 namespace spindleweir {
 
--- a/daemons/relay/relay_context.h
+++ b/daemons/relay/relay_context.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <utility>
 
-#include "daemons/bad_words.h"
+#include "daemons/invalid_messages.h"
 #include "spindleweir/core/counters.h"
 #include "spindleweir/daemons/relay_router.h"
 #include "spindleweir/daemons/sync_messages.h"
--- a/include/spindleweir/daemons/joined_control.h
+++ b/include/spindleweir/daemons/joined_control.h
@@ -9,8 +9,8 @@
 
 #include "spindleweir/core/counters.h"
 #include "spindleweir/core/error.h"
-#include "spindleweir/daemons/beat_answer.h"
 #include "spindleweir/daemons/control_daemon.h"
+#include "spindleweir/daemons/heartbeat_answer.h"
 #include "spindleweir/drivers/event_loop.h"
 #include "spindleweir/servers/membership/upstream_registry.h"
 
--- a/include/spindleweir/daemons/relay_router.h
+++ b/include/spindleweir/daemons/relay_router.h
@@ -9,7 +9,7 @@
 #include "spindleweir/core/counters.h"
 #include "spindleweir/core/error.h"
 #include "spindleweir/core/settings.h"
-#include "spindleweir/daemons/beat_answer.h"
+#include "spindleweir/daemons/heartbeat_answer.h"
 #include "spindleweir/daemons/traffic_protocols.h"
 #include "spindleweir/drivers/event_loop.h"
 #include "spindleweir/servers/limits/upstream_bound.h"
--- a/tests/daemons/crashing_request_test.cpp
+++ b/tests/daemons/crashing_request_test.cpp
@@ -10,7 +10,7 @@
 /// apart, with no other fault near them.
 #include "daemons/control/crash_store.h"
 #include "spindleweir/drivers/file_tools.h"
-#include "tests/daemons/relay_story.h"
+#include "tests/daemons/relay_fixture.h"
 
 using namespace spindleweir;
 
--- a/tests/daemons/cut_streams_test.cpp
+++ b/tests/daemons/cut_streams_test.cpp
@@ -14,7 +14,7 @@
 #include <chrono>
 #include <thread>
 
-#include "tests/daemons/relay_story.h"
+#include "tests/daemons/relay_fixture.h"
 
 using namespace spindleweir;
 
--- a/tests/daemons/takers_story_test.cpp
+++ b/tests/daemons/heartbeat_collectors_test.cpp
@@ -1,4 +1,4 @@
-#include "tests/daemons/relay_story.h"
+#include "tests/daemons/relay_fixture.h"
 
 using namespace spindleweir;
 
--- a/tests/daemons/incarnation_test.cpp
+++ b/tests/daemons/incarnation_test.cpp
@@ -1,9 +1,9 @@
 /// Upstreams that restart under the same name, seen by control and a router.
 #include <limits>
 
-#include "daemons/bad_words.h"
+#include "daemons/invalid_messages.h"
 #include "spindleweir/servers/membership/upstream_table.h"
-#include "tests/daemons/relay_story.h"
+#include "tests/daemons/relay_fixture.h"
 
 using namespace spindleweir;
 
--- a/tests/daemons/large_fleet_test.cpp
+++ b/tests/daemons/large_fleet_test.cpp
@@ -15,7 +15,7 @@
 // call in two seconds and no known time; with the rate alone mended 6 were left
 // on the same day, and the upstreams got 1,106 calls in place of none.
 #include "spindleweir/core/json_codec.h"
-#include "tests/daemons/relay_story.h"
+#include "tests/daemons/relay_fixture.h"
 
 using namespace spindleweir;
 
--- a/tests/daemons/lost_disk_test.cpp
+++ b/tests/daemons/lost_disk_test.cpp
@@ -4,7 +4,7 @@
 #include <filesystem>
 
 #include "spindleweir/core/json_codec.h"
-#include "tests/daemons/relay_story.h"
+#include "tests/daemons/relay_fixture.h"
 
 using namespace spindleweir;
 
--- a/tests/daemons/memory_story_test.cpp
+++ b/tests/daemons/memory_test.cpp
@@ -5,7 +5,7 @@
 
 #include <algorithm>
 
-#include "tests/daemons/relay_story.h"
+#include "tests/daemons/relay_fixture.h"
 
 using namespace spindleweir;
 
--- a/tests/daemons/placing_test.cpp
+++ b/tests/daemons/placing_test.cpp
@@ -1,7 +1,7 @@
 #include "spindleweir/core/json_codec.h"
 #include "spindleweir/drivers/stream_server.h"
 #include "standins/plain_protocol.h"
-#include "tests/daemons/relay_story.h"
+#include "tests/daemons/relay_fixture.h"
 
 using namespace spindleweir;
 
--- a/tests/daemons/planned_stop_test.cpp
+++ b/tests/daemons/planned_stop_test.cpp
@@ -10,7 +10,7 @@
 /// taken after it, each logged 1 ms after "stopped".
 #include <algorithm>
 
-#include "tests/daemons/relay_story.h"
+#include "tests/daemons/relay_fixture.h"
 
 using namespace spindleweir;
 
--- a/tests/daemons/refused_move_test.cpp
+++ b/tests/daemons/refused_move_test.cpp
@@ -5,7 +5,7 @@
 /// order for done. It told loads of engines that held nothing, did not look for
 /// another path, and let the silence count anew. Evidence: "repath_answered"
 /// with 409 at 941 ms, and nothing of these streams until their callers left.
-#include "tests/daemons/relay_story.h"
+#include "tests/daemons/relay_fixture.h"
 
 using namespace spindleweir;
 
--- a/tests/daemons/relay_test.cpp
+++ b/tests/daemons/relay_test.cpp
@@ -1,7 +1,7 @@
 #include <map>
 
 #include "spindleweir/core/json_codec.h"
-#include "tests/daemons/relay_story.h"
+#include "tests/daemons/relay_fixture.h"
 
 using namespace spindleweir;
 
--- a/tests/daemons/restart_test.cpp
+++ b/tests/daemons/restart_test.cpp
@@ -3,7 +3,7 @@
 #include "daemons/control/start_stamp.h"
 #include "daemons/control/upstream_store.h"
 #include "spindleweir/drivers/file_tools.h"
-#include "tests/daemons/relay_story.h"
+#include "tests/daemons/relay_fixture.h"
 
 using namespace spindleweir;
 
--- a/tests/daemons/suspended_vm_test.cpp
+++ b/tests/daemons/suspended_vm_test.cpp
@@ -1,5 +1,5 @@
 /// A VM that is suspended and goes on: what it knew is as old as it is.
-#include "tests/daemons/relay_story.h"
+#include "tests/daemons/relay_fixture.h"
 #include "tests/suspension.h"
 
 using namespace spindleweir;
--- a/tests/daemons/upstream_rest_test.cpp
+++ b/tests/daemons/upstream_backoff_test.cpp
@@ -1,6 +1,6 @@
 /// Upstreams that turn requests away and ask for rest are left alone for that
 /// time, whoever else is there.
-#include "tests/daemons/relay_story.h"
+#include "tests/daemons/relay_fixture.h"
 
 using namespace spindleweir;
 
--- a/tests/daemons/upstream_leave_test.cpp
+++ b/tests/daemons/upstream_leave_test.cpp
@@ -1,6 +1,6 @@
 /// Upstreams that say in their answers that they leave get no new requests,
 /// whatever control knows of them.
-#include "tests/daemons/relay_story.h"
+#include "tests/daemons/relay_fixture.h"
 
 using namespace spindleweir;
 
--- a/tests/daemons/upstream_limit_test.cpp
+++ b/tests/daemons/upstream_limit_test.cpp
@@ -4,7 +4,7 @@
 #include <functional>
 #include <vector>
 
-#include "tests/daemons/relay_story.h"
+#include "tests/daemons/relay_fixture.h"
 
 using namespace spindleweir;
 
