--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -200,7 +200,7 @@
   options.mPlatform = mPlatform->Address();
   options.mClusterKey = kClusterKey;
   options.mMaximumInFlight = mOptions.mMaximumInFlight;
-  options.mMaximumLoads = 100;
+  options.mMaxLoads = 100;
   options.mChooseChain = mOptions.mChooseChain;
   if (mOptions.mOnConfiguration) {
     options.mOnConfiguration = [this, aIndex](std::int64_t aVersion) {
--- a/bench/memory_measures.cpp
+++ b/bench/memory_measures.cpp
@@ -445,14 +445,14 @@
       sequence++;
       control.Publish(document, [](const OperatorAnswer&) {});
       for (int i = 0; i < kUpstreams; i++) {
-        control.Beat(
+        control.ApplyHeartbeat(
             {.mInstance = "u" + std::to_string(i),
              .mService = "counter",
              .mAddress = upstreams[static_cast<std::size_t>(i)]->Address(),
              .mZone = "z",
              .mSlots = 400,
              .mSequence = sequence},
-            [](const BeatAnswer&) {});
+            [](const HeartbeatAnswer&) {});
       }
     });
     std::vector<std::unique_ptr<SlowCaller>> slow;
--- a/daemons/control/answer_size_meter.cpp
+++ b/daemons/control/answer_size_meter.cpp
@@ -15,10 +15,10 @@
 std::map<std::string, SyncAnswer> SplitIntoParts(const SyncAnswer& aAnswer) {
   std::map<std::string, SyncAnswer> parts;
   parts["loads"].mPackedLoads = aAnswer.mPackedLoads;
-  parts["upstreams"].mNewsOfUpstreams = aAnswer.mNewsOfUpstreams;
-  parts["beats"].mBeats = aAnswer.mBeats;
+  parts["upstreams"].mUpstreamUpdates = aAnswer.mUpstreamUpdates;
+  parts["beats"].mHeartbeats = aAnswer.mHeartbeats;
   parts["controls"].mControls = aAnswer.mControls;
-  parts["configurations"].mNews = aAnswer.mNews;
+  parts["configurations"].mConfigurationUpdates = aAnswer.mConfigurationUpdates;
   parts["not_silent"].mNotSilent = aAnswer.mNotSilent;
   return parts;
 }
@@ -33,13 +33,13 @@
     : mCounters(aCounters),
       mTimer(aLoop.Every(kLogInterval, [this] { Log(); })) {}
 
-void AnswerSizeMeter::Count(const SyncQuestion& aRequest,
+void AnswerSizeMeter::Count(const SyncRequest& aRequest,
                             const SyncAnswer& aAnswer) {
   if (mAnswers++ % kAnswersPerSample != 0) {
     return;
   }
   const std::string poller = !aRequest.mControl.mId.empty() ? "control"
-                             : aRequest.mTellsLoads > 0     ? "near"
+                             : aRequest.mReportsLoads > 0   ? "near"
                                                             : "far";
   const std::int64_t empty = EncodedBytes({});
   const auto add = [this, &poller](const std::string& aPart,
--- a/daemons/control/answer_size_meter.h
+++ b/daemons/control/answer_size_meter.h
@@ -22,7 +22,7 @@
  public:
   AnswerSizeMeter(EventLoop& aLoop, Counters& aCounters);
 
-  void Count(const SyncQuestion& aRequest, const SyncAnswer& aAnswer);
+  void Count(const SyncRequest& aRequest, const SyncAnswer& aAnswer);
 
  private:
   void Log() const;
--- a/daemons/control/control_context.h
+++ b/daemons/control/control_context.h
@@ -29,7 +29,7 @@
   RpcChannel mRpc;
   RpcDispatcher mDispatcher;
   Counters mCounters;
-  BadWords mBadWords{mCounters};
+  InvalidMessages mInvalidMessages{mCounters};
   EntryVmsFile mEntryVms;
 };
 
--- a/daemons/control/inventory.cpp
+++ b/daemons/control/inventory.cpp
@@ -19,7 +19,7 @@
       mView({}),
       mWatcher(
           aContext.mLoop, aContext.mClient, mView,
-          {.mPlatform = aContext.mOptions.mPlatform, .mReportPeriod = 500}) {
+          {.mPlatform = aContext.mOptions.mPlatform, .mReportInterval = 500}) {
   mContext.mDispatcher.On(rpc_method::kPing,
                           [this](const Json::Value& aMessage) {
                             const auto state = FromJson<PeerState>(aMessage);
--- a/daemons/control/joined_control.cpp
+++ b/daemons/control/joined_control.cpp
@@ -252,17 +252,19 @@
   });
 }
 
-void JoinedControl::Beat(const UpstreamRecord& aRecord, const BeatDone& aDone) {
+void JoinedControl::ApplyHeartbeat(const UpstreamRecord& aRecord,
+                                   const HeartbeatDone& aDone) {
   mParts->mSync.Upstreams().OnHeartbeat(aRecord, aDone);
 }
 
-void JoinedControl::Leave(const std::string& aInstance, const BeatDone& aDone,
-                          std::int64_t aStart) {
+void JoinedControl::Leave(const std::string& aInstance,
+                          const HeartbeatDone& aDone, std::int64_t aStart) {
   mParts->mSync.Upstreams().ApplyLeave(aInstance, aDone, aStart);
 }
 
-void JoinedControl::BadBeat(const std::string& aInstance, const Error& aWhy) {
-  mParts->mContext.mBadWords.Note("heartbeat", aInstance, aWhy);
+void JoinedControl::OnInvalidHeartbeat(const std::string& aInstance,
+                                       const Error& aWhy) {
+  mParts->mContext.mInvalidMessages.Record("heartbeat", aInstance, aWhy);
 }
 
 void JoinedControl::SetSeeds(std::vector<Endpoint> aSeeds) {
--- a/daemons/control/layer_placer.cpp
+++ b/daemons/control/layer_placer.cpp
@@ -43,18 +43,18 @@
       mSync(aSync),
       mSender(aContext,
               {.mIsCurrent =
-                   [this](const HandedOrder& aOrder, std::int64_t aFence) {
+                   [this](const ForwardedOrder& aOrder, std::int64_t aFence) {
                      return IsCurrent(aOrder, aFence);
                    },
                .mOnAnswered =
-                   [this](const HandedOrder& aOrder, int aStatus) {
+                   [this](const ForwardedOrder& aOrder, int aStatus) {
                      OnOrderAnswered(aOrder, aStatus);
                    }}) {
-  mContext.mDispatcher.On(rpc_method::kOrders,
-                          [this](const Json::Value& aMessage) {
-                            OnForwardedOrders(FromJson<HandedOrders>(aMessage));
-                            return Json::Value(Json::objectValue);
-                          });
+  mContext.mDispatcher.On(
+      rpc_method::kOrders, [this](const Json::Value& aMessage) {
+        OnForwardedOrders(FromJson<ForwardedOrders>(aMessage));
+        return Json::Value(Json::objectValue);
+      });
   mContext.mDispatcher.On(
       rpc_method::kOrderRefused, [this](const Json::Value& aMessage) {
         const auto refusal = FromJson<OrderRefusal>(aMessage);
@@ -64,7 +64,7 @@
   mTimer = mContext.mLoop.Every(kStepInterval, [this] { Step(); });
 }
 
-bool LayerPlacer::IsCurrent(const HandedOrder& aOrder, std::int64_t aFence) {
+bool LayerPlacer::IsCurrent(const ForwardedOrder& aOrder, std::int64_t aFence) {
   const UpstreamRecord* engine = mSync.Registry().Find(aOrder.mInstance);
   const bool restarted =
       engine != nullptr && aOrder.mStart > 0 && engine->mStart > aOrder.mStart;
@@ -187,7 +187,7 @@
       }
     }
   }
-  std::vector<HandedOrders> parts(controls.size());
+  std::vector<ForwardedOrders> parts(controls.size());
   for (const LayerOrder& order : aOrders) {
     const UpstreamRecord* engine = mSync.Registry().Find(order.mInstance);
     if (engine == nullptr) {
@@ -200,7 +200,7 @@
     parts[part].mOrders.push_back(
         {order.mInstance, engine->mAddress, order.mLayers, engine->mStart});
   }
-  for (const HandedOrder& order : parts.front().mOrders) {
+  for (const ForwardedOrder& order : parts.front().mOrders) {
     mSender.Send(order, fence);
   }
   for (std::size_t i = 1; i < parts.size(); i++) {
@@ -211,7 +211,7 @@
 }
 
 void LayerPlacer::ForwardOrders(const Endpoint& aControl,
-                                HandedOrders aOrders) {
+                                ForwardedOrders aOrders) {
   LogLine(LogLevel::kInfo, "orders_handed_over")
       .Add("control", aControl.Text())
       .Add("orders", static_cast<int>(aOrders.mOrders.size()))
@@ -225,24 +225,24 @@
         }
         // These orders are planned again. If one was sent despite the failure,
         // its engine has the layers by then.
-        for (const HandedOrder& order : orders) {
+        for (const ForwardedOrder& order : orders) {
           RecordStatus(order, kHttpUnavailable);
         }
       });
 }
 
-void LayerPlacer::OnForwardedOrders(const HandedOrders& aOrders) {
+void LayerPlacer::OnForwardedOrders(const ForwardedOrders& aOrders) {
   if (aOrders.mFence < mLog.Raft().Term()) {
     throw Error(ResultCode::kNotLeader,
                 "the orders are of an earlier term than this control's");
   }
   mForwardingLeader = aOrders.mLeader;
-  for (const HandedOrder& order : aOrders.mOrders) {
+  for (const ForwardedOrder& order : aOrders.mOrders) {
     mSender.Send(order, aOrders.mFence);
   }
 }
 
-void LayerPlacer::OnOrderAnswered(const HandedOrder& aOrder, int aStatus) {
+void LayerPlacer::OnOrderAnswered(const ForwardedOrder& aOrder, int aStatus) {
   if (mLog.Raft().Leads()) {
     RecordStatus(aOrder, aStatus);
     return;
@@ -255,7 +255,7 @@
   }
 }
 
-void LayerPlacer::RecordStatus(const HandedOrder& aOrder, int aStatus) {
+void LayerPlacer::RecordStatus(const ForwardedOrder& aOrder, int aStatus) {
   const auto it = mPending.find(aOrder.mInstance);
   if (it != mPending.end() && it->second.mLayers == aOrder.mLayers &&
       it->second.mStart == aOrder.mStart) {
--- a/daemons/control/layer_placer.h
+++ b/daemons/control/layer_placer.h
@@ -72,15 +72,15 @@
   bool IsStable(const std::string& aService, std::size_t aCount, Millis aNow);
   /// Sends orders. Above kMaxLocalOrders they are divided among the controls.
   void SendOrders(const std::vector<LayerOrder>& aOrders);
-  void ForwardOrders(const Endpoint& aControl, HandedOrders aOrders);
+  void ForwardOrders(const Endpoint& aControl, ForwardedOrders aOrders);
   /// Sends orders that a leader forwarded. Throws kNotLeader if their term is
   /// older than the one known here.
-  void OnForwardedOrders(const HandedOrders& aOrders);
+  void OnForwardedOrders(const ForwardedOrders& aOrders);
   /// Whether an order may still be sent; see OrderSender::Hooks.
-  bool IsCurrent(const HandedOrder& aOrder, std::int64_t aFence);
-  void OnOrderAnswered(const HandedOrder& aOrder, int aStatus);
+  bool IsCurrent(const ForwardedOrder& aOrder, std::int64_t aFence);
+  void OnOrderAnswered(const ForwardedOrder& aOrder, int aStatus);
   /// Records the status of an engine's answer if its order is still the newest.
-  void RecordStatus(const HandedOrder& aOrder, int aStatus);
+  void RecordStatus(const ForwardedOrder& aOrder, int aStatus);
 
   ControlContext& mContext;
   ReplicatedConfiguration& mLog;
--- a/daemons/control/order_sender.cpp
+++ b/daemons/control/order_sender.cpp
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-void OrderSender::Send(const HandedOrder& aOrder, std::int64_t aFence) {
+void OrderSender::Send(const ForwardedOrder& aOrder, std::int64_t aFence) {
   mWaiting.push_back({aOrder, aFence});
   if (mTimer == nullptr) {
     mStepBudget = kOrdersPerStep;
@@ -50,13 +50,13 @@
 }
 
 void OrderSender::Start(const Waiting& aWaiting) {
-  const HandedOrder& order = aWaiting.mOrder;
+  const ForwardedOrder& order = aWaiting.mOrder;
   PlaceOrder place;
   place.mLayers = order.mLayers;
   place.mFence = aWaiting.mFence;
   StreamCallOptions options =
-      CallOf(mContext.mOptions.mEngines.mWritePlace(place), order.mAddress,
-             kOrderTimeout);
+      MakeEngineCall(mContext.mOptions.mEngines.mWritePlace(place),
+                     order.mAddress, kOrderTimeout);
   options.mOnHead = [this, order](const AnswerHead& aHead) {
     LogLine(LogLevel::kInfo, "order_answered")
         .Add("instance", order.mInstance)
--- a/daemons/control/order_sender.h
+++ b/daemons/control/order_sender.h
@@ -20,19 +20,19 @@
   struct Hooks {
     /// Called right before an order is sent: whether its term is still current
     /// and the engine has not restarted since. If not, the order is dropped.
-    std::function<bool(const HandedOrder&, std::int64_t aFence)> mIsCurrent;
+    std::function<bool(const ForwardedOrder&, std::int64_t aFence)> mIsCurrent;
     /// Called with the HTTP status of an engine's answer.
-    std::function<void(const HandedOrder&, int aStatus)> mOnAnswered;
+    std::function<void(const ForwardedOrder&, int aStatus)> mOnAnswered;
   };
 
   OrderSender(ControlContext& aContext, Hooks aHooks)
       : mContext(aContext), mHooks(std::move(aHooks)) {}
 
-  void Send(const HandedOrder& aOrder, std::int64_t aFence);
+  void Send(const ForwardedOrder& aOrder, std::int64_t aFence);
 
  private:
   struct Waiting {
-    HandedOrder mOrder;
+    ForwardedOrder mOrder;
     std::int64_t mFence = 0;
   };
   struct Running {
--- a/daemons/control/receipt_service.cpp
+++ b/daemons/control/receipt_service.cpp
@@ -46,7 +46,7 @@
                           });
   mContext.mDispatcher.On(
       rpc_method::kFindReceipt, [this](const Json::Value& aMessage) {
-        const auto query = FromJson<ReceiptQuestion>(aMessage);
+        const auto query = FromJson<ReceiptQuery>(aMessage);
         const Receipt* receipt = mStore.Find(query.mRequest);
         if (receipt == nullptr) {
           throw Error(ResultCode::kReceiptNotFound,
@@ -86,23 +86,22 @@
   const auto search = std::make_shared<PendingSearch>(
       PendingSearch{others.size(), std::move(aDone)});
   for (const EntryVm& vm : others) {
-    mContext.mRpc.Call(vm.mAddress, rpc_method::kFindReceipt,
-                       ToJson(ReceiptQuestion{aRequest}), kFindTimeout,
-                       [search](const RpcResult& aResult) {
-                         search->mOutstanding--;
-                         if (!search->mDone) {
-                           return;
-                         }
-                         if (aResult.mOk) {
-                           const auto found =
-                               FromJson<Receipt>(aResult.mAnswer);
-                           const auto done = std::move(search->mDone);
-                           search->mDone = nullptr;
-                           done(&found);
-                         } else if (search->mOutstanding == 0) {
-                           search->mDone(nullptr);
-                         }
-                       });
+    mContext.mRpc.Call(
+        vm.mAddress, rpc_method::kFindReceipt, ToJson(ReceiptQuery{aRequest}),
+        kFindTimeout, [search](const RpcResult& aResult) {
+          search->mOutstanding--;
+          if (!search->mDone) {
+            return;
+          }
+          if (aResult.mOk) {
+            const auto found = FromJson<Receipt>(aResult.mAnswer);
+            const auto done = std::move(search->mDone);
+            search->mDone = nullptr;
+            done(&found);
+          } else if (search->mOutstanding == 0) {
+            search->mDone(nullptr);
+          }
+        });
   }
 }
 
--- a/daemons/control/retry_service.cpp
+++ b/daemons/control/retry_service.cpp
@@ -14,11 +14,11 @@
   mOptions.mStartedAt = SteadyNow();
   mContext.mDispatcher.On(
       rpc_method::kRetries, [this](const Json::Value& aMessage) {
-        return ToJson(Answer(FromJson<RetryWish>(aMessage)));
+        return ToJson(Answer(FromJson<RetryCreditRequest>(aMessage)));
       });
 }
 
-RetryGrant RetryService::Answer(const RetryWish& aRequest) {
+RetryCreditGrant RetryService::Answer(const RetryCreditRequest& aRequest) {
   if (!mHooks.mKnowsService(aRequest.mService)) {
     return {};
   }
@@ -26,7 +26,7 @@
       mPools.try_emplace(aRequest.mService, mOptions).first->second;
   const RouterShare routers = mHooks.mRouters();
   const Millis now = SteadyNow();
-  const RetryGrant grant{pool.Grant(aRequest.mWanted, routers, now)};
+  const RetryCreditGrant grant{pool.Grant(aRequest.mWanted, routers, now)};
   mContext.mCounters.Add("retries_granted", {}, grant.mGranted);
   LogLine(LogLevel::kInfo, "retries_granted")
       .Add("router", aRequest.mProcess)
--- a/daemons/control/retry_service.h
+++ b/daemons/control/retry_service.h
@@ -26,7 +26,7 @@
   RetryService(ControlContext& aContext, RetryServiceHooks aHooks);
 
  private:
-  RetryGrant Answer(const RetryWish& aRequest);
+  RetryCreditGrant Answer(const RetryCreditRequest& aRequest);
 
   ControlContext& mContext;
   RetryServiceHooks mHooks;
--- a/daemons/control/sync_service.cpp
+++ b/daemons/control/sync_service.cpp
@@ -60,7 +60,8 @@
           mPreviousRun.mUpstreamsFresh),
       mAnswerSizes(aContext.mLoop, aContext.mCounters),
       mCrashStore(aContext.mOptions.mData + "/barred") {
-  mCrashStore.Load(mCrashes, SteadyNow(), mContext.mBadWords.At("disk"));
+  mCrashStore.Load(mCrashes, SteadyNow(),
+                   mContext.mInvalidMessages.HookFor("disk"));
   LogLine(LogLevel::kInfo, "stamp_read")
       .Add("upstreams_fresh", mPreviousRun.mUpstreamsFresh)
       .Add("routers", mPreviousRun.mRouters);
@@ -72,7 +73,7 @@
   }
   mContext.mDispatcher.On(
       rpc_method::kSync, [this](const Json::Value& aMessage) {
-        return ToJson(Answer(FromJson<SyncQuestion>(aMessage)));
+        return ToJson(Answer(FromJson<SyncRequest>(aMessage)));
       });
   mLog.SignalTermCommitted().connect([this] { PollLeader(); });
   mPollTimer = mContext.mLoop.Every(kPollInterval, [this] { PollControls(); });
@@ -114,15 +115,15 @@
   mDirectory.SetSeeds(std::move(aSeeds));
 }
 
-SyncAnswer SyncService::Answer(const SyncQuestion& aRequest) {
+SyncAnswer SyncService::Answer(const SyncRequest& aRequest) {
   const Millis now = SteadyNow();
   RecordPoller(aRequest);
   SyncAnswer answer;
   answer.mSelf = Self();
-  answer.mLife = mIncarnation;
+  answer.mIncarnation = mIncarnation;
   const bool fromControl = !aRequest.mControl.mId.empty();
-  const PollingRouter poller{.mIsNearest = aRequest.mTellsLoads > 0,
-                             .mNearestAnswers = aRequest.mHearsNear};
+  const PollingRouter poller{.mIsNearest = aRequest.mReportsLoads > 0,
+                             .mNearestAnswers = aRequest.mNearestAnswers};
   if (fromControl ? SendsControlsTo(aRequest, now) : SendsControlList(poller)) {
     answer.mControls = mDirectory.SeenWithin(kControlListWindow, now);
     answer.mLeader = mLog.Raft().Leader();
@@ -133,11 +134,12 @@
   answer.mConfirmedVersion = mConfirmation.Version();
   answer.mConfirmedAgo = mConfirmation.Age(now);
   if (!fromControl) {
-    answer.mNews = mTraffic.UpdatesSince(aRequest.mConfiguration);
+    answer.mConfigurationUpdates =
+        mTraffic.UpdatesSince(aRequest.mConfiguration);
   }
   answer.mRouters = RouterCount(now);
   answer.mOwnRouters = mLoads.LocalRouters(now);
-  answer.mAskEvery =
+  answer.mPollInterval =
       std::max(kMinRouterPollInterval,
                static_cast<Millis>(kPollIntervalPerRouter *
                                    static_cast<double>(mPolledAt.size())));
@@ -147,8 +149,8 @@
   return answer;
 }
 
-bool SyncService::SendsControlsTo(const SyncQuestion& aRequest, Millis aNow) {
-  const bool first = aRequest.mKnows != mIncarnation;
+bool SyncService::SendsControlsTo(const SyncRequest& aRequest, Millis aNow) {
+  const bool first = aRequest.mKnownIncarnation != mIncarnation;
   Millis& sentAt = mControlsSentAt[aRequest.mControl.mId];
   if (!first && aNow - sentAt < kControlListInterval) {
     return false;
@@ -178,10 +180,10 @@
              : std::max(1, mLoads.AllRouters(aNow));
 }
 
-void SyncService::AddLoads(const SyncQuestion& aRequest, SyncAnswer& aAnswer) {
+void SyncService::AddLoads(const SyncRequest& aRequest, SyncAnswer& aAnswer) {
   const Millis now = SteadyNow();
   const bool fromControl = !aRequest.mControl.mId.empty();
-  if (!fromControl && aRequest.mTellsLoads == 0) {
+  if (!fromControl && aRequest.mReportsLoads == 0) {
     return;
   }
   const ZoneHook zoneOf = [this](const std::string& aInstance) {
@@ -192,14 +194,14 @@
       fromControl ? mLoads.PackedLocal(now)
                   : mLoads.PackedSum(aRequest.mZone, zoneOf, now);
   aAnswer.mLoadsNumber = loads.mSequence;
-  aAnswer.mLoadsAgo = now - loads.mBuiltAt;
-  const bool known = aRequest.mKnows == mIncarnation &&
-                     aRequest.mKnowsLoads == loads.mSequence;
+  aAnswer.mLoadsAge = now - loads.mBuiltAt;
+  const bool known = aRequest.mKnownIncarnation == mIncarnation &&
+                     aRequest.mKnownLoads == loads.mSequence;
   if (!known) {
     aAnswer.mPackedLoads = loads.mText;
   }
   if (!fromControl) {
-    aAnswer.mSummedLoads = mLoads.IncludedSequence(aRequest.mProcess);
+    aAnswer.mIncludedLoads = mLoads.IncludedSequence(aRequest.mProcess);
   }
 }
 
@@ -207,7 +209,7 @@
                                const std::string& aBy) {
   const Millis now = SteadyNow();
   for (const CrashRecord& record :
-       ReadCrashes(aRows, mContext.mBadWords.At("crashes"))) {
+       ReadCrashes(aRows, mContext.mInvalidMessages.HookFor("crashes"))) {
     const bool wasBarred = mCrashes.IsBarred(record.mRequestDigest);
     mCrashes.Merge(record, now);
     const bool isBarred = mCrashes.IsBarred(record.mRequestDigest);
@@ -224,11 +226,11 @@
   mCrashStore.Save(mCrashes, now);
 }
 
-void SyncService::AddCrashes(const SyncQuestion& aRequest,
-                             SyncAnswer& aAnswer) {
+void SyncService::AddCrashes(const SyncRequest& aRequest, SyncAnswer& aAnswer) {
   const bool fromControl = !aRequest.mControl.mId.empty();
-  const std::int64_t known =
-      aRequest.mKnows == mIncarnation ? aRequest.mKnowsCrashes : 0;
+  const std::int64_t known = aRequest.mKnownIncarnation == mIncarnation
+                                 ? aRequest.mKnownCrashRevision
+                                 : 0;
   const CrashLedger::Changes changes = mCrashes.ChangesSince(
       known, !fromControl, kMaxCrashesPerAnswer, SteadyNow());
   aAnswer.mCrashes = WriteRows(changes.mRecords);
@@ -242,7 +244,7 @@
   }
 }
 
-void SyncService::RecordPoller(const SyncQuestion& aRequest) {
+void SyncService::RecordPoller(const SyncRequest& aRequest) {
   const Millis now = SteadyNow();
   if (!aRequest.mControl.mId.empty()) {
     mDirectory.OnSeen(aRequest.mControl, now);
@@ -254,10 +256,11 @@
   std::erase_if(mPolledAt, [now](const auto& aItem) {
     return now - aItem.second > kPollerRetention;
   });
-  if (aRequest.mTellsLoads > 0) {
+  if (aRequest.mReportsLoads > 0) {
     mLoads.OnRouterReport(
-        aRequest.mProcess, aRequest.mTellsLoads,
-        UsableRows(aRequest.mLoads, mContext.mBadWords.At("loads")).ToShares(),
+        aRequest.mProcess, aRequest.mReportsLoads,
+        UsableRows(aRequest.mLoads, mContext.mInvalidMessages.HookFor("loads"))
+            .ToShares(),
         now);
   }
 }
@@ -318,15 +321,15 @@
     return;
   }
   peer.mPolling = true;
-  SyncQuestion request;
+  SyncRequest request;
   request.mProcess = mContext.mOptions.mId;
   request.mZone = mContext.mOptions.mZone;
   request.mControl = Self();
-  request.mHears = ReachableControls();
-  request.mKnows = peer.mIncarnation;
+  request.mAnsweringControls = ReachableControls();
+  request.mKnownIncarnation = peer.mIncarnation;
   request.mRevision = peer.mRevision;
-  request.mKnowsLoads = peer.mLoadsSequence;
-  request.mKnowsCrashes = peer.mCrashRevision;
+  request.mKnownLoads = peer.mLoadsSequence;
+  request.mKnownCrashRevision = peer.mCrashRevision;
   request.mConfiguration = Traffic().mVersion;
   const Millis polledAt = SteadyNow();
   mContext.mRpc.Call(aAddress, rpc_method::kSync, ToJson(request), kPollTimeout,
@@ -344,8 +347,8 @@
                               const SyncAnswer& aAnswer, Millis aPolledAt) {
   const Millis now = SteadyNow();
   PeerControl& peer = mPeerControls[aAddress.Text()];
-  const bool sameIncarnation = peer.mIncarnation == aAnswer.mLife;
-  peer.mIncarnation = aAnswer.mLife;
+  const bool sameIncarnation = peer.mIncarnation == aAnswer.mIncarnation;
+  peer.mIncarnation = aAnswer.mIncarnation;
   peer.mRevision = aAnswer.mRevision;
   peer.mLastSeenAt = now;
   peer.mId = aAnswer.mSelf.mId;
@@ -359,10 +362,10 @@
   if (aAnswer.mLoadsNumber == peer.mLoadsSequence && sameIncarnation) {
     mLoads.OnControlUnchanged(aAddress.Text(), aAnswer.mOwnRouters, now);
   } else {
-    mLoads.OnControlReport(
-        aAddress.Text(),
-        mContext.mBadWords.Loads("loads", aAnswer.mPackedLoads),
-        aAnswer.mOwnRouters, now);
+    mLoads.OnControlReport(aAddress.Text(),
+                           mContext.mInvalidMessages.UnpackLoadShares(
+                               "loads", aAnswer.mPackedLoads),
+                           aAnswer.mOwnRouters, now);
     peer.mLoadsSequence = aAnswer.mLoadsNumber;
   }
   mDirectory.OnSeen(aAnswer.mSelf, now);
--- a/daemons/control/sync_service.h
+++ b/daemons/control/sync_service.h
@@ -55,8 +55,8 @@
     std::string mId;  ///< Id of the control that answered last.
   };
 
-  SyncAnswer Answer(const SyncQuestion& aRequest);
-  void RecordPoller(const SyncQuestion& aRequest);
+  SyncAnswer Answer(const SyncRequest& aRequest);
+  void RecordPoller(const SyncRequest& aRequest);
   void PollControls();
   /// Ids of the controls that answered within kContactTimeout.
   std::vector<std::string> ReachableControls() const;
@@ -76,14 +76,14 @@
   bool IsCutOff() const;
   /// Whether the answer to another control holds the list of controls; records
   /// when it was last sent.
-  bool SendsControlsTo(const SyncQuestion& aRequest, Millis aNow);
+  bool SendsControlsTo(const SyncRequest& aRequest, Millis aNow);
   /// Number of all routers, as far as is known; at least 1.
   int RouterCount(Millis aNow);
-  void AddLoads(const SyncQuestion& aRequest, SyncAnswer& aAnswer);
+  void AddLoads(const SyncRequest& aRequest, SyncAnswer& aAnswer);
   /// Merges crash records, and stores the barred requests if they have changed.
   void MergeCrashes(const std::vector<Json::Value>& aRows,
                     const std::string& aBy);
-  void AddCrashes(const SyncQuestion& aRequest, SyncAnswer& aAnswer);
+  void AddCrashes(const SyncRequest& aRequest, SyncAnswer& aAnswer);
   ControlInfo Self() const;
 
   ControlContext& mContext;
--- a/daemons/control/upstream_intake.cpp
+++ b/daemons/control/upstream_intake.cpp
@@ -43,7 +43,8 @@
       mDirectory(aDirectory),
       mKnowsService(std::move(aKnowsService)),
       mStore(aContext.mOptions.mData + "/upstreams"),
-      mCollectorChoice({.mMaxLocalHeartbeats = aContext.mOptions.mOwnBeats}) {
+      mCollectorChoice(
+          {.mMaxLocalHeartbeats = aContext.mOptions.mMaxLocalHeartbeats}) {
   if (aRestores) {
     Restore();
   }
@@ -59,33 +60,34 @@
 }
 
 void UpstreamIntake::Restore() {
-  const std::size_t count =
-      mStore.Load(mRegistry, SteadyNow(), mContext.mBadWords.At("disk"));
+  const std::size_t count = mStore.Load(
+      mRegistry, SteadyNow(), mContext.mInvalidMessages.HookFor("disk"));
   LogLine(LogLevel::kInfo, "upstreams_restored")
       .Add("count", static_cast<int>(count));
 }
 
 void UpstreamIntake::OnNotice(const UpstreamNotice& aNotice) {
   for (const UpstreamRecord& record : ReadRows<UpstreamRecord>(
-           aNotice.mUpstreams, mContext.mBadWords.At("news"))) {
+           aNotice.mUpstreams, mContext.mInvalidMessages.HookFor("news"))) {
     mRegistry.Merge(record, SteadyNow());
   }
 }
 
-void UpstreamIntake::OnPolled(const SyncQuestion& aRequest) {
+void UpstreamIntake::OnPolled(const SyncRequest& aRequest) {
   const Millis now = SteadyNow();
   mCollectorChoice.OnPolled(aRequest.mProcess, aRequest.mZone,
-                            aRequest.mTakesAt, now);
-  if (!aRequest.mTakenUpstreams.empty()) {
-    for (const UpstreamRecord& record :
-         mContext.mBadWords.Unpack("news", aRequest.mTakenUpstreams)) {
+                            aRequest.mCollectorAddress, now);
+  if (!aRequest.mCollectedUpstreams.empty()) {
+    for (const UpstreamRecord& record : mContext.mInvalidMessages.Unpack(
+             "news", aRequest.mCollectedUpstreams)) {
       if (mRegistry.Merge(record, now)) {
         LogChanged("upstream_changed", record);
       }
     }
   }
   for (const UpstreamHeartbeat& heartbeat :
-       mContext.mBadWords.Beats("news", aRequest.mTakenBeats)) {
+       mContext.mInvalidMessages.UnpackHeartbeats(
+           "news", aRequest.mCollectedHeartbeats)) {
     mRegistry.MergeHeartbeat(heartbeat, now);
   }
 }
@@ -93,41 +95,42 @@
 void UpstreamIntake::ApplyAnswer(const SyncAnswer& aAnswer,
                                  const std::string& aBy) {
   const Millis now = SteadyNow();
-  for (const UpstreamUpdate& update : aAnswer.mNewsOfUpstreams) {
+  for (const UpstreamUpdate& update : aAnswer.mUpstreamUpdates) {
     for (const UpstreamRecord& record :
-         mContext.mBadWords.Unpack("news", update)) {
+         mContext.mInvalidMessages.Unpack("news", update)) {
       mRegistry.Merge(record, now, aBy);
     }
   }
   for (const UpstreamHeartbeat& heartbeat :
-       mContext.mBadWords.Beats("news", aAnswer.mBeats)) {
+       mContext.mInvalidMessages.UnpackHeartbeats("news",
+                                                  aAnswer.mHeartbeats)) {
     mRegistry.MergeHeartbeat(heartbeat, now, aBy);
   }
 }
 
-void UpstreamIntake::Answer(const SyncQuestion& aRequest,
+void UpstreamIntake::Answer(const SyncRequest& aRequest,
                             const std::string& aIncarnation,
                             SyncAnswer& aAnswer) {
   const Millis now = SteadyNow();
   const std::int64_t known =
-      aRequest.mKnows == aIncarnation ? aRequest.mRevision : 0;
+      aRequest.mKnownIncarnation == aIncarnation ? aRequest.mRevision : 0;
   const bool fromControl = !aRequest.mControl.mId.empty();
-  const PollingRouter poller{.mIsNearest = aRequest.mTellsLoads > 0,
-                             .mNearestAnswers = aRequest.mHearsNear};
+  const PollingRouter poller{.mIsNearest = aRequest.mReportsLoads > 0,
+                             .mNearestAnswers = aRequest.mNearestAnswers};
   FeedUpdates feed{.mUpdates = {}, .mRevision = known};
   if (fromControl || SendsUpstreamChanges(poller, mRegistry.Size())) {
     feed = mFeed.UpdatesSince(mRegistry, known, now);
   }
   aAnswer.mRevision = feed.mRevision;
-  aAnswer.mNewsOfUpstreams = std::move(feed.mUpdates);
+  aAnswer.mUpstreamUpdates = std::move(feed.mUpdates);
   if (fromControl) {
-    const std::set<std::string> reachable(aRequest.mHears.begin(),
-                                          aRequest.mHears.end());
-    aAnswer.mBeats = ToJson(HeartbeatTable::Of(
+    const std::set<std::string> reachable(aRequest.mAnsweringControls.begin(),
+                                          aRequest.mAnsweringControls.end());
+    aAnswer.mHeartbeats = ToJson(HeartbeatTable::Of(
         mRegistry.HeartbeatsSince(known, feed.mRevision, now, reachable)));
   }
-  const std::vector<SilentUpstream> silent =
-      ReadRows<SilentUpstream>(aRequest.mSilent, mContext.mBadWords.At("news"));
+  const std::vector<SilentUpstream> silent = ReadRows<SilentUpstream>(
+      aRequest.mSilent, mContext.mInvalidMessages.HookFor("news"));
   aAnswer.mNotSilent =
       WriteRows(mRegistry.SeenLaterThan(silent, SilenceTimeout(), now));
 }
@@ -149,7 +152,7 @@
 }
 
 void UpstreamIntake::OnHeartbeat(const UpstreamRecord& aRecord,
-                                 const BeatDone& aDone) {
+                                 const HeartbeatDone& aDone) {
   const UpstreamRecord* before = mRegistry.Find(aRecord.mInstance);
   const bool isUnknown = before == nullptr &&
                          !IsLeavingOrGone(aRecord.mState) &&
@@ -165,7 +168,7 @@
   }
   if (!leaves) {
     aDone({.mAccepted = true,
-           .mLaterAt = mCollectorChoice.OnHeartbeat(
+           .mNextAddress = mCollectorChoice.OnHeartbeat(
                aRecord.mInstance, aRecord.mZone, SteadyNow())});
     return;
   }
@@ -173,12 +176,13 @@
 }
 
 void UpstreamIntake::ApplyLeave(const std::string& aInstance,
-                                const BeatDone& aDone, std::int64_t aStart) {
+                                const HeartbeatDone& aDone,
+                                std::int64_t aStart) {
   const LeaveOutcome outcome =
       mRegistry.ApplyLeave(aInstance, SteadyNow(), aStart);
   if (outcome == LeaveOutcome::kInDoubt) {
     mContext.mCounters.Add("leaves_in_doubt");
-    aDone({.mAccepted = false, .mLaterAt = ""});
+    aDone({.mAccepted = false, .mNextAddress = ""});
     return;
   }
   if (outcome == LeaveOutcome::kAlreadyKnown) {
@@ -192,11 +196,11 @@
 }
 
 void UpstreamIntake::NotifyControls(const std::string& aInstance,
-                                    const BeatDone& aDone) {
+                                    const HeartbeatDone& aDone) {
   const UpstreamRecord* record = mRegistry.Find(aInstance);
-  const auto done = std::make_shared<BeatDone>(aDone);
+  const auto done = std::make_shared<HeartbeatDone>(aDone);
   const auto finish = [done] {
-    const BeatDone call = std::move(*done);
+    const HeartbeatDone call = std::move(*done);
     *done = nullptr;
     if (call) {
       call({});
--- a/daemons/control/upstream_intake.h
+++ b/daemons/control/upstream_intake.h
@@ -31,22 +31,22 @@
   /// notice or kNotifyTimeout has passed, so that the leave is not lost with
   /// this process. Throws kUnknownService if the upstream is new here, is not
   /// leaving, and its service is unknown.
-  void OnHeartbeat(const UpstreamRecord& aRecord, const BeatDone& aDone);
+  void OnHeartbeat(const UpstreamRecord& aRecord, const HeartbeatDone& aDone);
   /// Marks an upstream as gone, and calls aDone as OnHeartbeat() does; a leave
   /// in doubt is not acknowledged. aStart: start of the incarnation that
   /// leaves; 0: not stated.
-  void ApplyLeave(const std::string& aInstance, const BeatDone& aDone,
+  void ApplyLeave(const std::string& aInstance, const HeartbeatDone& aDone,
                   std::int64_t aStart = 0);
 
   /// A router polled: applies the heartbeats that it collected, and records
   /// where it collects them, if it does.
-  void OnPolled(const SyncQuestion& aRequest);
+  void OnPolled(const SyncRequest& aRequest);
   /// Applies the upstreams and heartbeats of another control's answer. aBy: its
   /// id.
   void ApplyAnswer(const SyncAnswer& aAnswer, const std::string& aBy);
   /// Adds the changes of the registry that the poller lacks. aIncarnation: the
   /// incarnation of this process.
-  void Answer(const SyncQuestion& aRequest, const std::string& aIncarnation,
+  void Answer(const SyncRequest& aRequest, const std::string& aIncarnation,
               SyncAnswer& aAnswer);
   /// Marks upstreams as silent that were not seen for SilenceTimeout().
   void Expire();
@@ -63,7 +63,7 @@
   /// Sends the record of an upstream that leaves to the other controls. Calls
   /// aDone on the first confirmation, at once if there is no other control, or
   /// after kNotifyTimeout.
-  void NotifyControls(const std::string& aInstance, const BeatDone& aDone);
+  void NotifyControls(const std::string& aInstance, const HeartbeatDone& aDone);
   /// Time without a heartbeat after which an upstream counts as silent.
   Millis SilenceTimeout() const;
 
--- a/daemons/engine_call.cpp
+++ b/daemons/engine_call.cpp
@@ -2,8 +2,8 @@
 
 namespace spindleweir {
 
-StreamCallOptions CallOf(EngineMessage aMessage, const std::string& aAddress,
-                         Millis aTimeout) {
+StreamCallOptions MakeEngineCall(EngineMessage aMessage,
+                                 const std::string& aAddress, Millis aTimeout) {
   StreamCallOptions options;
   options.mServer = ParseEndpoint(aAddress, "address of an upstream");
   options.mMethod = std::move(aMessage.mMethod);
--- a/daemons/engine_call.h
+++ b/daemons/engine_call.h
@@ -9,7 +9,7 @@
 namespace spindleweir {
 
 /// A call that sends aMessage to the upstream at aAddress ("IP:PORT").
-StreamCallOptions CallOf(EngineMessage aMessage, const std::string& aAddress,
-                         Millis aTimeout);
+StreamCallOptions MakeEngineCall(EngineMessage aMessage,
+                                 const std::string& aAddress, Millis aTimeout);
 
 }  // namespace spindleweir
--- a/daemons/invalid_messages.cpp
+++ b/daemons/invalid_messages.cpp
@@ -12,8 +12,8 @@
 
 }  // namespace
 
-void BadWords::Note(const char* aAt, const std::string& aInstance,
-                    const Error& aWhy) {
+void InvalidMessages::Record(const char* aAt, const std::string& aInstance,
+                             const Error& aWhy) {
   const std::string labels = std::string("at=\"") + aAt + "\",cause=\"" +
                              std::string(InfoOf(aWhy.Code()).mName) + "\"";
   mCounters.Add("bad_upstream_words", labels);
@@ -30,33 +30,35 @@
       .Add("not_logged", turn.mSuppressed);
 }
 
-InvalidRowHook BadWords::At(const char* aAt) {
+InvalidRowHook InvalidMessages::HookFor(const char* aAt) {
   return [this, aAt](const std::string& aInstance, const Error& aWhy) {
-    Note(aAt, aInstance, aWhy);
+    Record(aAt, aInstance, aWhy);
   };
 }
 
 template <class Rows>
-Rows BadWords::RowsOf(const char* aAt, const std::function<Rows()>& aRead) {
+Rows InvalidMessages::RowsOf(const char* aAt,
+                             const std::function<Rows()>& aRead) {
   try {
     return aRead();
   } catch (const Error& error) {
-    Note(aAt, "", error);
+    Record(aAt, "", error);
     return {};
   }
 }
 
-std::vector<UpstreamRecord> BadWords::Unpack(const char* aAt,
-                                             std::string_view aPacked) {
+std::vector<UpstreamRecord> InvalidMessages::Unpack(const char* aAt,
+                                                    std::string_view aPacked) {
   return RowsOf<std::vector<UpstreamRecord>>(
-      aAt, [&] { return UnpackUpstreams(aPacked, At(aAt)); });
+      aAt, [&] { return UnpackUpstreams(aPacked, HookFor(aAt)); });
 }
 
-std::vector<UpstreamRecord> BadWords::Unpack(const char* aAt,
-                                             const UpstreamUpdate& aNews) {
+std::vector<UpstreamRecord> InvalidMessages::Unpack(
+    const char* aAt, const UpstreamUpdate& aNews) {
   return RowsOf<std::vector<UpstreamRecord>>(aAt, [&] {
     RequireAge(aNews.mAge);
-    std::vector<UpstreamRecord> records = UnpackUpstreams(aNews.mText, At(aAt));
+    std::vector<UpstreamRecord> records =
+        UnpackUpstreams(aNews.mText, HookFor(aAt));
     for (UpstreamRecord& record : records) {
       record.mLastSeenAgo += aNews.mAge;
     }
@@ -64,14 +66,16 @@
   });
 }
 
-std::vector<UpstreamHeartbeat> BadWords::Beats(const char* aAt,
-                                               const Json::Value& aTable) {
+std::vector<UpstreamHeartbeat> InvalidMessages::UnpackHeartbeats(
+    const char* aAt, const Json::Value& aTable) {
   return RowsOf<std::vector<UpstreamHeartbeat>>(
-      aAt, [&] { return ReadHeartbeats(aTable, At(aAt)); });
+      aAt, [&] { return ReadHeartbeats(aTable, HookFor(aAt)); });
 }
 
-LoadShares BadWords::Loads(const char* aAt, std::string_view aPacked) {
-  return RowsOf<LoadShares>(aAt, [&] { return UnpackLoads(aPacked, At(aAt)); });
+LoadShares InvalidMessages::UnpackLoadShares(const char* aAt,
+                                             std::string_view aPacked) {
+  return RowsOf<LoadShares>(aAt,
+                            [&] { return UnpackLoads(aPacked, HookFor(aAt)); });
 }
 
 }  // namespace spindleweir
--- a/daemons/invalid_messages.h
+++ b/daemons/invalid_messages.h
@@ -18,22 +18,22 @@
 
 /// One per process. Each word counts under `bad_upstream_words` by where it
 /// came in and by its result; a log line tells one of many.
-class BadWords {
+class InvalidMessages {
  public:
-  explicit BadWords(Counters& aCounters) : mCounters(aCounters) {}
+  explicit InvalidMessages(Counters& aCounters) : mCounters(aCounters) {}
 
   /// aAt: where it came in: "heartbeat", "news", "loads", "disk", "report".
-  void Note(const char* aAt, const std::string& aInstance, const Error& aWhy);
+  void Record(const char* aAt, const std::string& aInstance, const Error& aWhy);
   /// The same as a hook.
-  InvalidRowHook At(const char* aAt);
+  InvalidRowHook HookFor(const char* aAt);
   /// The rows of a list that can be used; none where it cannot be read at all.
   std::vector<UpstreamRecord> Unpack(const char* aAt, std::string_view aPacked);
   /// The same of records as they were some time ago, with their ages of now.
   std::vector<UpstreamRecord> Unpack(const char* aAt,
                                      const UpstreamUpdate& aNews);
-  std::vector<UpstreamHeartbeat> Beats(const char* aAt,
-                                       const Json::Value& aTable);
-  LoadShares Loads(const char* aAt, std::string_view aPacked);
+  std::vector<UpstreamHeartbeat> UnpackHeartbeats(const char* aAt,
+                                                  const Json::Value& aTable);
+  LoadShares UnpackLoadShares(const char* aAt, std::string_view aPacked);
 
  private:
   /// What aRead gives; nothing where it throws.
--- a/daemons/relay/heartbeat_relay.cpp
+++ b/daemons/relay/heartbeat_relay.cpp
@@ -15,7 +15,7 @@
 
 /// Collects the acknowledgements of controls for one leaving upstream.
 struct Notification {
-  BeatDone mDone;
+  HeartbeatDone mDone;
   int mAcknowledged = 0;
   int mOpen = 0;  ///< Calls without an answer so far.
 
@@ -23,9 +23,9 @@
     mOpen--;
     mAcknowledged += aOk ? 1 : 0;
     if (mDone && (mAcknowledged >= kRequiredAcknowledgements || mOpen == 0)) {
-      const BeatDone done = std::move(mDone);
+      const HeartbeatDone done = std::move(mDone);
       mDone = nullptr;
-      done({.mAccepted = mAcknowledged > 0, .mLaterAt = ""});
+      done({.mAccepted = mAcknowledged > 0, .mNextAddress = ""});
     }
   }
 };
@@ -33,9 +33,9 @@
 }  // namespace
 
 void HeartbeatRelay::ApplyHeartbeat(const UpstreamRecord& aRecord,
-                                    const BeatDone& aDone) {
+                                    const HeartbeatDone& aDone) {
   if (mContext.mStopping) {
-    aDone({.mAccepted = false, .mLaterAt = ""});
+    aDone({.mAccepted = false, .mNextAddress = ""});
     return;
   }
   const bool unknown = !IsLeavingOrGone(aRecord.mState) &&
@@ -53,18 +53,19 @@
 }
 
 void HeartbeatRelay::ApplyLeave(const std::string& aInstance,
-                                const BeatDone& aDone, std::int64_t aStart) {
+                                const HeartbeatDone& aDone,
+                                std::int64_t aStart) {
   const UpstreamRecord* record =
       mContext.mHeartbeatCollector.ApplyLeave(aInstance, SteadyNow(), aStart);
   if (record == nullptr) {
-    aDone({.mAccepted = false, .mLaterAt = ""});
+    aDone({.mAccepted = false, .mNextAddress = ""});
     return;
   }
   NotifyControls(*record, aDone);
 }
 
 void HeartbeatRelay::NotifyControls(const UpstreamRecord& aRecord,
-                                    const BeatDone& aDone) {
+                                    const HeartbeatDone& aDone) {
   LogLine(LogLevel::kInfo, "upstream_leaves")
       .Add("instance", aRecord.mInstance)
       .Add("start", static_cast<Json::Int64>(aRecord.mStart))
@@ -74,7 +75,7 @@
   mContext.mGuard->MoveOffRestarted();
   const std::vector<Endpoint>& controls = mLink.Controls();
   if (controls.empty()) {
-    aDone({.mAccepted = false, .mLaterAt = ""});
+    aDone({.mAccepted = false, .mNextAddress = ""});
     return;
   }
   const auto notification = std::make_shared<Notification>();
--- a/daemons/relay/heartbeat_relay.h
+++ b/daemons/relay/heartbeat_relay.h
@@ -16,14 +16,16 @@
       : mContext(aContext), mLink(aLink) {}
 
   /// Throws kUnknownService under the same conditions as UpstreamIntake.
-  void ApplyHeartbeat(const UpstreamRecord& aRecord, const BeatDone& aDone);
-  void ApplyLeave(const std::string& aInstance, const BeatDone& aDone,
+  void ApplyHeartbeat(const UpstreamRecord& aRecord,
+                      const HeartbeatDone& aDone);
+  void ApplyLeave(const std::string& aInstance, const HeartbeatDone& aDone,
                   std::int64_t aStart);
 
  private:
   /// Acknowledges once two controls know, or if one knows and no other answered
   /// in time. Two, because one may be lost right after its answer.
-  void NotifyControls(const UpstreamRecord& aRecord, const BeatDone& aDone);
+  void NotifyControls(const UpstreamRecord& aRecord,
+                      const HeartbeatDone& aDone);
 
   RelayContext& mContext;
   SyncLink& mLink;
--- a/daemons/relay/relay_answer.cpp
+++ b/daemons/relay/relay_answer.cpp
@@ -33,8 +33,8 @@
   }
   ApplyLimit(facts.mLimit);
   ApplyLeaving(facts.mLeaves);
-  if (facts.mRest > 0 && IsCurrent()) {
-    mContext.mBackoffs.Extend(mAttempt->mInstance, facts.mRest, SteadyNow());
+  if (facts.mBackoff > 0 && IsCurrent()) {
+    mContext.mBackoffs.Extend(mAttempt->mInstance, facts.mBackoff, SteadyNow());
   }
   if (facts.mRan == Ran::kNo) {
     mContext.RecordRefusal(Refuser());
@@ -57,7 +57,7 @@
   return it == path.end() ? mAttempt->mInstance : it->mInstance;
 }
 
-void RelayRequest::ApplyLimit(const LimitWord& aWord) {
+void RelayRequest::ApplyLimit(const LimitNotice& aWord) {
   const std::string& instance = mAttempt->mInstance;
   const bool isNewer =
       aWord.mClear && IsCurrent() &&
--- a/daemons/relay/relay_attempt.cpp
+++ b/daemons/relay/relay_attempt.cpp
@@ -291,7 +291,7 @@
       .Add("ran", std::string(NameOf(aRan)))
       .Add("status", mAttempt->mHead.mStatus)
       .Add("culprit", mAttempt->mFacts.mCulprit)
-      .Add("rest_ms", static_cast<Json::Int64>(mAttempt->mFacts.mRest))
+      .Add("rest_ms", static_cast<Json::Int64>(mAttempt->mFacts.mBackoff))
       .Add("took_ms",
            static_cast<Json::Int64>(SteadyNow() - mAttempt->mStartedAt))
       .Add("silent_ms",
--- a/daemons/relay/relay_context.h
+++ b/daemons/relay/relay_context.h
@@ -163,7 +163,7 @@
   HttpClient mClient;
   RpcChannel mRpc;
   Counters mCounters;
-  BadWords mBadWords{mCounters};
+  InvalidMessages mInvalidMessages{mCounters};
   std::shared_ptr<MemoryBudget> mMemory;
   ConfigurationLease mLease;
   ControlDirectory mDirectory;
--- a/daemons/relay/relay_moves.cpp
+++ b/daemons/relay/relay_moves.cpp
@@ -73,7 +73,7 @@
   const double guess = mFacts.mExpectedTokens > 0 ? mFacts.mExpectedTokens
                                                   : engine.mTypicalAnswerTokens;
   query.mAnswerTokens =
-      mFacts.mMostTokens > 0 ? std::min(guess, mFacts.mMostTokens) : guess;
+      mFacts.mMaxTokens > 0 ? std::min(guess, mFacts.mMaxTokens) : guess;
   query.mPrefillTokens = mFacts.mPromptTokens;
   query.mTokens = mFacts.mPromptTokens + query.mAnswerTokens;
   query.mMaxFill = kMaxPathFill;
@@ -277,9 +277,9 @@
   }
   mAttempt->mMoves++;
   StreamCallOptions options =
-      CallOf(mContext.mOptions.mEngines.mWriteRepath(
-                 {.mRequestId = mFacts.mId, .mPath = &aPath}),
-             first->mAddress, kOrderTimeout);
+      MakeEngineCall(mContext.mOptions.mEngines.mWriteRepath(
+                         {.mRequestId = mFacts.mId, .mPath = &aPath}),
+                     first->mAddress, kOrderTimeout);
   const auto status = std::make_shared<int>(0);
   options.mOnHead = [status](const AnswerHead& aHead) {
     *status = aHead.mStatus;
--- a/daemons/relay/relay_request.h
+++ b/daemons/relay/relay_request.h
@@ -144,7 +144,7 @@
   /// answer names, otherwise the upstream that answered.
   const std::string& Refuser() const;
   /// Applies the limit that an answer advertises for its upstream.
-  void ApplyLimit(const LimitWord& aWord);
+  void ApplyLimit(const LimitNotice& aWord);
   /// Applies the notice in an answer that its upstream is leaving.
   void ApplyLeaving(bool aLeaves);
   void HandleData(std::string_view aBytes);
--- a/daemons/relay/relay_router.cpp
+++ b/daemons/relay/relay_router.cpp
@@ -228,18 +228,18 @@
 }
 
 void RelayRouter::ApplyHeartbeat(const UpstreamRecord& aRecord,
-                                 const BeatDone& aDone) {
+                                 const HeartbeatDone& aDone) {
   mParts->mHeartbeatRelay.ApplyHeartbeat(aRecord, aDone);
 }
 
 void RelayRouter::ApplyLeave(const std::string& aInstance,
-                             const BeatDone& aDone, std::int64_t aStart) {
+                             const HeartbeatDone& aDone, std::int64_t aStart) {
   mParts->mHeartbeatRelay.ApplyLeave(aInstance, aDone, aStart);
 }
 
 void RelayRouter::RecordInvalidHeartbeat(const std::string& aInstance,
                                          const Error& aReason) {
-  mParts->mContext.mBadWords.Note("heartbeat", aInstance, aReason);
+  mParts->mContext.mInvalidMessages.Record("heartbeat", aInstance, aReason);
 }
 
 void RelayRouter::SetSeeds(std::vector<Endpoint> aSeeds) {
--- a/daemons/relay/retry_credit_requester.cpp
+++ b/daemons/relay/retry_credit_requester.cpp
@@ -44,14 +44,15 @@
       std::min(kMaxRequested, static_cast<int>(aPending.mRequests.size()));
   aPending.mRequests.clear();
   aPending.mPolling = true;
-  const RetryWish message{.mProcess = mContext.mOptions.mId,
-                          .mService = aService,
-                          .mWanted = requested};
+  const RetryCreditRequest message{.mProcess = mContext.mOptions.mId,
+                                   .mService = aService,
+                                   .mWanted = requested};
   mContext.mRpc.Call(
       mLink.Controls().front(), rpc_method::kRetries, ToJson(message),
       kRequestTimeout, [this, aService, requested](const RpcResult& aResult) {
         const int granted =
-            aResult.mOk ? FromJson<RetryGrant>(aResult.mAnswer).mGranted : 0;
+            aResult.mOk ? FromJson<RetryCreditGrant>(aResult.mAnswer).mGranted
+                        : 0;
         ApplyGrant(aService, requested, granted);
       });
 }
--- a/daemons/relay/stream_guard.cpp
+++ b/daemons/relay/stream_guard.cpp
@@ -283,8 +283,9 @@
   check.mAt = SteadyNow();
   check.mStart = record->mStart;
   check.mBody.clear();
-  StreamCallOptions options = CallOf(mContext.mOptions.mEngines.mAskState(),
-                                     record->mAddress, kStatePollTimeout);
+  StreamCallOptions options =
+      MakeEngineCall(mContext.mOptions.mEngines.mWriteStateRequest(),
+                     record->mAddress, kStatePollTimeout);
   options.mOnData = [this, aInstance](std::string_view aBytes) {
     std::string& body = mStates[aInstance].mBody;
     if (body.size() + aBytes.size() <= kMaxReportBytes) {
@@ -304,7 +305,7 @@
     try {
       ApplyState(aInstance, mContext.mOptions.mEngines.mReadState(body));
     } catch (const Error& error) {
-      mContext.mBadWords.Note("report", aInstance, error);
+      mContext.mInvalidMessages.Record("report", aInstance, error);
     }
   };
   check.mCall = StartStreamCall(mContext.mLoop, std::move(options));
@@ -320,7 +321,7 @@
     return;
   }
   const Millis now = SteadyNow();
-  mContext.mSlowdowns.OnEngineReport(aInstance, aState.mPace, now);
+  mContext.mSlowdowns.OnEngineReport(aInstance, aState.mSlowdown, now);
   EvaluateSlowdowns(now);
   std::set<std::string> addresses;
   for (const StalledRequest& stalled : aState.mStalled) {
--- a/daemons/relay/sync_link.cpp
+++ b/daemons/relay/sync_link.cpp
@@ -106,20 +106,21 @@
 }
 
 std::int64_t SyncLink::AddHeartbeats(const Source& aSource,
-                                     SyncQuestion& aRequest) {
+                                     SyncRequest& aRequest) {
   const CollectedHeartbeats unreported =
       mContext.mHeartbeatCollector.Unreported(aSource.mIncarnation,
                                               SteadyNow());
   if (!unreported.mChanged.empty()) {
-    aRequest.mTakenUpstreams = PackUpstreams(unreported.mChanged);
+    aRequest.mCollectedUpstreams = PackUpstreams(unreported.mChanged);
   }
-  aRequest.mTakenBeats = ToJson(HeartbeatTable::Of(unreported.mHeartbeats));
+  aRequest.mCollectedHeartbeats =
+      ToJson(HeartbeatTable::Of(unreported.mHeartbeats));
   return unreported.mNumber;
 }
 
 std::int64_t SyncLink::AddCrashes(const Source& aSource,
-                                  SyncQuestion& aRequest) {
-  aRequest.mKnowsCrashes = aSource.mCrashRevision;
+                                  SyncRequest& aRequest) {
+  aRequest.mKnownCrashRevision = aSource.mCrashRevision;
   const CrashLedger::Changes changes = mContext.mCrashes.Ledger().ChangesSince(
       aSource.mAcknowledgedCrashes, false, kMaxCrashes, SteadyNow());
   aRequest.mCrashes = WriteRows(changes.mRecords);
@@ -128,8 +129,8 @@
 
 void SyncLink::ApplyCrashes(Source& aSource, const SyncAnswer& aAnswer) {
   aSource.mCrashRevision = aAnswer.mCrashRevision;
-  for (const CrashRecord& record :
-       ReadCrashes(aAnswer.mCrashes, mContext.mBadWords.At("crashes"))) {
+  for (const CrashRecord& record : ReadCrashes(
+           aAnswer.mCrashes, mContext.mInvalidMessages.HookFor("crashes"))) {
     const bool was = mContext.mCrashes.IsBarred(record.mRequestDigest);
     mContext.mCrashes.ApplyPeerRecord(record, SteadyNow());
     const bool is = mContext.mCrashes.IsBarred(record.mRequestDigest);
@@ -147,26 +148,27 @@
   source.mPolling = true;
   source.mPolledAt = SteadyNow();
   source.mJitter = mContext.Random();
-  SyncQuestion request;
+  SyncRequest request;
   request.mProcess = mProcess;
   request.mZone = mContext.mOptions.mZone;
-  request.mKnows = source.mIncarnation;
+  request.mKnownIncarnation = source.mIncarnation;
   request.mRevision = source.mRevision;
   request.mConfiguration =
       mContext.Table() == nullptr ? 0 : mContext.Table()->Version();
   request.mSilent = WriteRows(mContext.mRegistry.SilentUpstreams());
-  request.mHearsNear = mNearestAnsweredAt > 0 &&
-                       SteadyNow() - mNearestAnsweredAt < kNearestContactWindow;
-  request.mTakesAt =
+  request.mNearestAnswers =
+      mNearestAnsweredAt > 0 &&
+      SteadyNow() - mNearestAnsweredAt < kNearestContactWindow;
+  request.mCollectorAddress =
       mContext.mStopping ? "" : mContext.mOptions.mHeartbeatAddress;
   const std::string incarnation = source.mIncarnation;
   std::int64_t heartbeats = 0;
   if (aAddress.Text() == mNearest) {
     heartbeats = AddHeartbeats(source, request);
-    request.mKnowsLoads = source.mLoadsNumber;
+    request.mKnownLoads = source.mLoadsNumber;
     LoadShares local = mContext.LocalLoads();
     request.mLoads = LoadTable::Of(local);
-    request.mTellsLoads = mReportedLoads.Record(std::move(local));
+    request.mReportsLoads = mReportedLoads.Record(std::move(local));
   }
   const std::int64_t crashes = AddCrashes(source, request);
   const Millis polledAt = source.mPolledAt;
@@ -181,10 +183,10 @@
           return;
         }
         const auto answer = FromJson<SyncAnswer>(aResult.mAnswer);
-        if (heartbeats > 0 && answer.mLife == incarnation) {
+        if (heartbeats > 0 && answer.mIncarnation == incarnation) {
           mContext.mHeartbeatCollector.Acknowledge(incarnation, heartbeats);
         }
-        if (answer.mLife == incarnation) {
+        if (answer.mIncarnation == incarnation) {
           mSources[aAddress.Text()].mAcknowledgedCrashes = crashes;
         }
         ApplyAnswer(aAddress, answer, polledAt);
@@ -228,25 +230,25 @@
   // Peers report their loads at the same interval as this router, to this
   // control or through another one: on average the reported loads are one
   // interval old.
-  mContext.SetPeerLoads(
-      mReportedLoads.SubtractReported(
-          mContext.mBadWords.Loads("loads", aAnswer.mPackedLoads),
-          aAnswer.mSummedLoads),
-      aPolledAt - aAnswer.mAskEvery - aAnswer.mLoadsAgo);
+  mContext.SetPeerLoads(mReportedLoads.SubtractReported(
+                            mContext.mInvalidMessages.UnpackLoadShares(
+                                "loads", aAnswer.mPackedLoads),
+                            aAnswer.mIncludedLoads),
+                        aPolledAt - aAnswer.mPollInterval - aAnswer.mLoadsAge);
 }
 
 void SyncLink::ApplyAnswer(const Endpoint& aAddress, const SyncAnswer& aAnswer,
                            Millis aPolledAt) {
   const Millis now = SteadyNow();
   Source& source = mSources[aAddress.Text()];
-  if (source.mIncarnation != aAnswer.mLife) {
+  if (source.mIncarnation != aAnswer.mIncarnation) {
     source.mLoadsNumber = 0;
     // A restarted control has at most the records on its disk.
     source.mAcknowledgedCrashes = 0;
   }
-  source.mIncarnation = aAnswer.mLife;
+  source.mIncarnation = aAnswer.mIncarnation;
   source.mRevision = aAnswer.mRevision;
-  source.mPollInterval = aAnswer.mAskEvery;
+  source.mPollInterval = aAnswer.mPollInterval;
   source.mFailures = 0;
   source.mWasRefused = false;
   if (mFailedAt.erase(aAddress.Text()) > 0) {
@@ -257,14 +259,14 @@
   for (const ControlInfo& info : aAnswer.mControls) {
     mContext.mDirectory.OnSeen(info, now);
   }
-  for (const UpstreamUpdate& update : aAnswer.mNewsOfUpstreams) {
+  for (const UpstreamUpdate& update : aAnswer.mUpstreamUpdates) {
     for (const UpstreamRecord& record :
-         mContext.mBadWords.Unpack("news", update)) {
+         mContext.mInvalidMessages.Unpack("news", update)) {
       ApplyUpstream(record, aAnswer.mSelf.mId);
     }
   }
   for (const UpstreamRecord& record : ReadRows<UpstreamRecord>(
-           aAnswer.mNotSilent, mContext.mBadWords.At("news"))) {
+           aAnswer.mNotSilent, mContext.mInvalidMessages.HookFor("news"))) {
     ApplyUpstream(record, aAnswer.mSelf.mId);
   }
   mContext.mGuard->MoveOffRestarted();
@@ -274,7 +276,7 @@
     ApplyLoads(source, aAnswer, aPolledAt);
   }
   mContext.UpdateRouterCount(aAnswer.mRouters, aAnswer.mSelf.mId);
-  for (const TrafficUpdate& update : aAnswer.mNews) {
+  for (const TrafficUpdate& update : aAnswer.mConfigurationUpdates) {
     mContext.ApplyUpdate(update);
   }
   const std::int64_t held =
--- a/daemons/relay/sync_link.h
+++ b/daemons/relay/sync_link.h
@@ -48,10 +48,10 @@
   void Poll(const Endpoint& aAddress);
   /// Adds collected heartbeats that the polled control has not acknowledged.
   /// Returns their number.
-  std::int64_t AddHeartbeats(const Source& aSource, SyncQuestion& aRequest);
+  std::int64_t AddHeartbeats(const Source& aSource, SyncRequest& aRequest);
   /// Adds records of the local crash ledger that the polled control has not
   /// acknowledged. Returns the revision up to which records are included.
-  std::int64_t AddCrashes(const Source& aSource, SyncQuestion& aRequest);
+  std::int64_t AddCrashes(const Source& aSource, SyncRequest& aRequest);
   void ApplyCrashes(Source& aSource, const SyncAnswer& aAnswer);
   void ApplyAnswer(const Endpoint& aAddress, const SyncAnswer& aAnswer,
                    Millis aPolledAt);
--- a/daemons/router/completion_chain.cpp
+++ b/daemons/router/completion_chain.cpp
@@ -116,7 +116,7 @@
 Millis Completion::StallTimeout() const {
   const auto expected =
       static_cast<Millis>(mChainCost * kStallTimeoutChainCosts);
-  return std::max(mContext.mOptions.mSilence, expected);
+  return std::max(mContext.mOptions.mStallTimeout, expected);
 }
 
 void Completion::StartStallTimer() {
--- a/daemons/router/stewardship.cpp
+++ b/daemons/router/stewardship.cpp
@@ -102,7 +102,7 @@
   const std::vector<EngineOrder> orders =
       PlanOrders({.mPlacement = mTargetPlacement,
                   .mEngines = engines,
-                  .mMaxLoads = mContext.mOptions.mMaximumLoads});
+                  .mMaxLoads = mContext.mOptions.mMaxLoads});
   for (const EngineOrder& order : orders) {
     Send(order);
   }
--- a/daemons/upstream_watcher.cpp
+++ b/daemons/upstream_watcher.cpp
@@ -19,9 +19,9 @@
       mView(aView),
       mOptions(std::move(aOptions)),
       mEngines(aClient),
-      mListTimer(aLoop.Every(mOptions.mListPeriod, [this] { ReadList(); })),
+      mListTimer(aLoop.Every(mOptions.mListInterval, [this] { ReadList(); })),
       mReportTimer(
-          aLoop.Every(mOptions.mReportPeriod, [this] { AskReports(); })) {
+          aLoop.Every(mOptions.mReportInterval, [this] { AskReports(); })) {
   ReadList();
 }
 
--- a/include/spindleweir/daemons/control_daemon.h
+++ b/include/spindleweir/daemons/control_daemon.h
@@ -36,7 +36,7 @@
   bool mFirstStart = false;          ///< Of the whole deployment.
   Millis mHeartbeatInterval = 1200;  ///< Of upstreams.
   /// Heartbeats a second that it takes itself; see CollectorChoiceOptions.
-  int mOwnBeats = 50;
+  int mMaxLocalHeartbeats = 50;
   RetryAllowanceOptions mRetries;  ///< As the routers have them.
   DocumentProtocol mDocuments;
   EngineProtocol mEngines;
--- a/include/spindleweir/daemons/heartbeat_answer.h
+++ b/include/spindleweir/daemons/heartbeat_answer.h
@@ -6,14 +6,14 @@
 
 namespace spindleweir {
 
-struct BeatAnswer {
+struct HeartbeatAnswer {
   /// False: not taken; the upstream is to tell another process.
   bool mAccepted = true;
   /// "IP:PORT" for the upstream's later heartbeats; empty: as before.
-  std::string mLaterAt;
+  std::string mNextAddress;
 };
 
 /// Called once.
-using BeatDone = std::function<void(const BeatAnswer&)>;
+using HeartbeatDone = std::function<void(const HeartbeatAnswer&)>;
 
 }  // namespace spindleweir
--- a/include/spindleweir/daemons/joined_control.h
+++ b/include/spindleweir/daemons/joined_control.h
@@ -41,12 +41,13 @@
   void Read(const OperatorDone& aDone);
   /// Takes a heartbeat; aDone is called once it may be acknowledged. Throws
   /// kUnknownService.
-  void Beat(const UpstreamRecord& aRecord, const BeatDone& aDone);
+  void ApplyHeartbeat(const UpstreamRecord& aRecord,
+                      const HeartbeatDone& aDone);
   /// aStart: of the incarnation that leaves; 0: not told.
-  void Leave(const std::string& aInstance, const BeatDone& aDone,
+  void Leave(const std::string& aInstance, const HeartbeatDone& aDone,
              std::int64_t aStart = 0);
   /// A heartbeat, or the word that one leaves, that cannot be used.
-  void BadBeat(const std::string& aInstance, const Error& aWhy);
+  void OnInvalidHeartbeat(const std::string& aInstance, const Error& aWhy);
 
   /// Takes new seeds.
   void SetSeeds(std::vector<Endpoint> aSeeds);
--- a/include/spindleweir/daemons/order_messages.h
+++ b/include/spindleweir/daemons/order_messages.h
@@ -10,14 +10,14 @@
 namespace spindleweir {
 
 namespace rpc_method {
-/// HandedOrders, from the leader to another control.
+/// ForwardedOrders, from the leader to another control.
 inline constexpr const char* kOrders = "control.orders";
 /// An OrderRefusal, from there back to the leader.
 inline constexpr const char* kOrderRefused = "control.order_refused";
 }  // namespace rpc_method
 
 /// An order to hold layers.
-struct HandedOrder {
+struct ForwardedOrder {
   std::string mInstance;
   std::string mAddress;  ///< "IP:PORT".
   LayerRange mLayers;
@@ -33,10 +33,10 @@
 };
 
 /// Orders of one term.
-struct HandedOrders {
+struct ForwardedOrders {
   std::int64_t mFence = 0;  ///< The leader's term.
   std::string mLeader;      ///< Its id.
-  std::vector<HandedOrder> mOrders;
+  std::vector<ForwardedOrder> mOrders;
 
   template <class Codec>
   void Fields(Codec& aCodec) {
@@ -48,7 +48,7 @@
 
 /// An engine did not take an order.
 struct OrderRefusal {
-  HandedOrder mOrder;
+  ForwardedOrder mOrder;
   int mStatus = 0;  ///< Of HTTP.
 
   template <class Codec>
--- a/include/spindleweir/daemons/peer_messages.h
+++ b/include/spindleweir/daemons/peer_messages.h
@@ -75,7 +75,7 @@
 };
 
 /// Asks for the receipt of one request.
-struct ReceiptQuestion {
+struct ReceiptQuery {
   std::string mRequest;
 
   template <class Codec>
--- a/include/spindleweir/daemons/relay_router.h
+++ b/include/spindleweir/daemons/relay_router.h
@@ -65,10 +65,11 @@
   /// Whether the balancer should send callers to this router.
   bool Ready() const;
   /// Applies a heartbeat of an upstream in place of control.
-  void ApplyHeartbeat(const UpstreamRecord& aRecord, const BeatDone& aDone);
+  void ApplyHeartbeat(const UpstreamRecord& aRecord,
+                      const HeartbeatDone& aDone);
   /// Applies the notice that an upstream is leaving. aStart: of the incarnation
   /// that leaves; 0 if not reported.
-  void ApplyLeave(const std::string& aInstance, const BeatDone& aDone,
+  void ApplyLeave(const std::string& aInstance, const HeartbeatDone& aDone,
                   std::int64_t aStart = 0);
   /// Counts an invalid heartbeat or notice of leaving.
   void RecordInvalidHeartbeat(const std::string& aInstance,
--- a/include/spindleweir/daemons/router_daemon.h
+++ b/include/spindleweir/daemons/router_daemon.h
@@ -22,8 +22,8 @@
   std::string mPortFile;  ///< Where to write the addresses; empty: nowhere.
   int mMaximumInFlight = 512;
   int mMaximumQueue = 1024;
-  int mMaximumLoads = 4;  ///< Loads at a time in the zone.
-  Millis mSilence = 700;  ///< Without a token before engines are probed.
+  int mMaxLoads = 4;           ///< Loads at a time in the zone.
+  Millis mStallTimeout = 700;  ///< Without a token before engines are probed.
   /// Replaces the choice of chains, as the bench does to compare others.
   std::function<ChainChoice(std::span<const ChainCandidate>, const ChainQuery&)>
       mChooseChain = ChooseChain;
--- a/include/spindleweir/daemons/sync_messages.h
+++ b/include/spindleweir/daemons/sync_messages.h
@@ -19,7 +19,7 @@
 inline constexpr const char* kSync = "control.sync";
 /// An UpstreamNotice.
 inline constexpr const char* kNotice = "control.notice";
-/// A RetryWish; answered by a RetryGrant.
+/// A RetryCreditRequest; answered by a RetryCreditGrant.
 inline constexpr const char* kRetries = "control.retries";
 }  // namespace rpc_method
 
@@ -34,7 +34,7 @@
 };
 
 /// A router has requests that it may not send once more by its own part.
-struct RetryWish {
+struct RetryCreditRequest {
   std::string mProcess;  ///< The router.
   std::string mService;
   int mWanted = 0;
@@ -48,7 +48,7 @@
 };
 
 /// How many of them may go now.
-struct RetryGrant {
+struct RetryCreditGrant {
   int mGranted = 0;
 
   template <class Codec>
@@ -58,31 +58,32 @@
 };
 
 /// A router or control process asks a control process.
-struct SyncQuestion {
+struct SyncRequest {
   std::string mProcess;  ///< Name of who asks; new at each start.
   std::string mZone;
   ControlInfo mControl;  ///< Of a control that asks; else without id.
   /// Of a control that asks: the ids of those that answered it lately.
-  std::vector<std::string> mHears;
-  std::string mKnows;  ///< The life of the answerer that mRevision is of.
+  std::vector<std::string> mAnsweringControls;
+  std::string
+      mKnownIncarnation;  ///< The life of the answerer that mRevision is of.
   std::int64_t mRevision = 0;       ///< Of its registry, known so far.
   std::int64_t mConfiguration = 0;  ///< The version held.
   /// Held for silent by who asks: rows of SilentUpstream, see ReadRows.
   std::vector<Json::Value> mSilent;
   /// The control that a router tells its loads to answered it lately.
-  bool mHearsNear = false;
+  bool mNearestAnswers = false;
   /// "IP:PORT" where a router takes heartbeats; empty: it takes none.
-  std::string mTakesAt;
-  std::string mTakenUpstreams;  ///< Those with news: see PackUpstreams.
-  Json::Value
-      mTakenBeats;  ///< Of the others: a HeartbeatTable, see ReadHeartbeats.
+  std::string mCollectorAddress;
+  std::string mCollectedUpstreams;   ///< Those with news: see PackUpstreams.
+  Json::Value mCollectedHeartbeats;  ///< Of the others: a HeartbeatTable, see
+                                     ///< ReadHeartbeats.
   /// The number of the loads that were heard last from who is asked.
-  std::int64_t mKnowsLoads = 0;
+  std::int64_t mKnownLoads = 0;
   /// Of the loads that are told; 0: none are. They replace what was told.
-  std::int64_t mTellsLoads = 0;
+  std::int64_t mReportsLoads = 0;
   LoadTable mLoads;
   /// The revision of the answerer's crash ledger that is known.
-  std::int64_t mKnowsCrashes = 0;
+  std::int64_t mKnownCrashRevision = 0;
   /// Of a router: what its ledger has that the answerer was not told: rows of
   /// CrashRecord, see ReadCrashes.
   std::vector<Json::Value> mCrashes;
@@ -92,19 +93,19 @@
     aCodec.Required("process", mProcess);
     aCodec.Sparse("zone", mZone);
     aCodec.Sparse("control", mControl);
-    aCodec.Sparse("hears", mHears);
-    aCodec.Sparse("knows", mKnows);
+    aCodec.Sparse("hears", mAnsweringControls);
+    aCodec.Sparse("knows", mKnownIncarnation);
     aCodec.Sparse("revision", mRevision);
     aCodec.Sparse("configuration", mConfiguration);
     aCodec.Sparse("silent", mSilent);
-    aCodec.Sparse("hears_near", mHearsNear);
-    aCodec.Sparse("takes_at", mTakesAt);
-    aCodec.Sparse("taken_upstreams", mTakenUpstreams);
-    aCodec.Sparse("taken_beats", mTakenBeats);
-    aCodec.Sparse("knows_loads", mKnowsLoads);
-    aCodec.Sparse("tells_loads", mTellsLoads);
+    aCodec.Sparse("hears_near", mNearestAnswers);
+    aCodec.Sparse("takes_at", mCollectorAddress);
+    aCodec.Sparse("taken_upstreams", mCollectedUpstreams);
+    aCodec.Sparse("taken_beats", mCollectedHeartbeats);
+    aCodec.Sparse("knows_loads", mKnownLoads);
+    aCodec.Sparse("tells_loads", mReportsLoads);
     aCodec.Sparse("loads", mLoads);
-    aCodec.Sparse("knows_crashes", mKnowsCrashes);
+    aCodec.Sparse("knows_crashes", mKnownCrashRevision);
     aCodec.Sparse("crashes", mCrashes);
   }
 };
@@ -112,31 +113,32 @@
 /// The answer.
 struct SyncAnswer {
   ControlInfo mSelf;
-  std::string mLife;  ///< New at each start of the answerer.
+  std::string mIncarnation;  ///< New at each start of the answerer.
   std::vector<ControlInfo> mControls;
   std::string mLeader;  ///< Id of the leader it follows; empty: none.
   std::int64_t mTerm = 0;
   std::int64_t mRevision = 0;
-  std::vector<UpstreamUpdate> mNewsOfUpstreams;  ///< Those that changed.
+  std::vector<UpstreamUpdate> mUpstreamUpdates;  ///< Those that changed.
   /// To another control: heartbeats that changed nothing, a HeartbeatTable.
-  Json::Value mBeats;
+  Json::Value mHeartbeats;
   /// Heard here later than who asks knows, though it holds them for silent:
   /// rows of UpstreamRecord.
   std::vector<Json::Value> mNotSilent;
   /// No newer version than this was accepted so long ago; -1: not known.
   std::int64_t mConfirmedVersion = 0;
   Millis mConfirmedAgo = -1;
-  std::vector<TrafficUpdate> mNews;  ///< From the version held, in order.
-  int mRouters = 1;                  ///< That tell their loads to any control.
-  int mOwnRouters = 0;               ///< That tell them to this one.
-  Millis mAskEvery = 0;  ///< So often a router of its zone should ask.
+  std::vector<TrafficUpdate>
+      mConfigurationUpdates;  ///< From the version held, in order.
+  int mRouters = 1;           ///< That tell their loads to any control.
+  int mOwnRouters = 0;        ///< That tell them to this one.
+  Millis mPollInterval = 0;   ///< So often a router of its zone should ask.
   /// Of all routers, to a router; of its own routers, to another control. Left
   /// out where who asks has them by their number.
   std::string mPackedLoads;
   std::int64_t mLoadsNumber = 0;  ///< 0: none are told.
-  Millis mLoadsAgo = 0;           ///< Since they were summed up.
+  Millis mLoadsAge = 0;           ///< Since they were summed up.
   /// The number of what who asks told that is among them; 0: nothing.
-  std::int64_t mSummedLoads = 0;
+  std::int64_t mIncludedLoads = 0;
   /// Rows of CrashRecord that are new to who asks; to a router, of requests
   /// that are or were barred.
   std::vector<Json::Value> mCrashes;
@@ -145,24 +147,24 @@
   template <class Codec>
   void Fields(Codec& aCodec) {
     aCodec.Required("self", mSelf);
-    aCodec.Required("life", mLife);
+    aCodec.Required("life", mIncarnation);
     aCodec.Sparse("controls", mControls);
     aCodec.Sparse("leader", mLeader);
     aCodec.Sparse("term", mTerm);
     aCodec.Sparse("revision", mRevision);
-    aCodec.Sparse("news_of_upstreams", mNewsOfUpstreams);
-    aCodec.Sparse("beats", mBeats);
+    aCodec.Sparse("news_of_upstreams", mUpstreamUpdates);
+    aCodec.Sparse("beats", mHeartbeats);
     aCodec.Sparse("not_silent", mNotSilent);
     aCodec.Field("confirmed_version", mConfirmedVersion);
     aCodec.Field("confirmed_ago_ms", mConfirmedAgo);
-    aCodec.Sparse("news", mNews);
+    aCodec.Sparse("news", mConfigurationUpdates);
     aCodec.Field("routers", mRouters);
     aCodec.Sparse("own_routers", mOwnRouters);
-    aCodec.Sparse("ask_every_ms", mAskEvery);
+    aCodec.Sparse("ask_every_ms", mPollInterval);
     aCodec.Sparse("packed_loads", mPackedLoads);
     aCodec.Sparse("loads_number", mLoadsNumber);
-    aCodec.Sparse("loads_ago_ms", mLoadsAgo);
-    aCodec.Sparse("summed_loads", mSummedLoads);
+    aCodec.Sparse("loads_ago_ms", mLoadsAge);
+    aCodec.Sparse("summed_loads", mIncludedLoads);
     aCodec.Sparse("crashes", mCrashes);
     aCodec.Sparse("crash_revision", mCrashRevision);
   }
--- a/include/spindleweir/daemons/traffic_protocols.h
+++ b/include/spindleweir/daemons/traffic_protocols.h
@@ -25,7 +25,7 @@
   Millis mDeadline = 0;  ///< Milliseconds the caller waits; 0: not said.
   std::string mModel;
   double mPromptTokens = 0;
-  double mMostTokens = 0;                  ///< That may be generated.
+  double mMaxTokens = 0;                   ///< That may be generated.
   double mExpectedTokens = 0;              ///< By the caller's guess; 0: none.
   std::optional<std::int64_t> mLastEvent;  ///< Goes on after this event.
 };
@@ -41,14 +41,14 @@
 };
 
 /// What an upstream's answer says of how often it may be asked.
-struct LimitWord {
+struct LimitNotice {
   /// False: it says something that cannot be read.
   bool mClear = true;
   /// Requests a second that it takes from all routers together; none: as many
   /// as there are.
   std::optional<double> mPerSecond;
 
-  bool operator==(const LimitWord&) const = default;
+  bool operator==(const LimitNotice&) const = default;
 };
 
 /// What an upstream's answer says beside its body.
@@ -59,10 +59,10 @@
   bool mIsStream = false;   ///< Its body is a stream of events.
   bool mIsEncoded = false;  ///< Its body was changed on the way.
   std::string mCulprit;     ///< Address of the upstream that refused.
-  LimitWord mLimit;
+  LimitNotice mLimit;
   /// It turned the request away, and wants nothing from this process for so
   /// long; 0: not said.
-  Millis mRest = 0;
+  Millis mBackoff = 0;
   bool mLeaves = false;  ///< Its upstream takes no new work any more.
 };
 
@@ -115,7 +115,7 @@
   LayerRange mLayers;
   bool mBusy = false;        ///< An order is under way.
   std::int64_t mOrders = 0;  ///< Taken so far.
-  double mPace = 1;          ///< Over 1: it is slow.
+  double mSlowdown = 1;      ///< Over 1: it is slow.
   int mWaiting = 0;
   int mRunning = 0;
   double mUsed = 0;   ///< Tokens x layers.
@@ -127,7 +127,7 @@
 struct EngineProtocol {
   std::function<EngineMessage(const PlaceOrder&)> mWritePlace;
   std::function<EngineMessage(const RepathOrder&)> mWriteRepath;
-  std::function<EngineMessage()> mAskState;
+  std::function<EngineMessage()> mWriteStateRequest;
   /// Throws kMalformedJson or kBadField.
   std::function<EngineState(std::string_view)> mReadState;
 };
--- a/include/spindleweir/daemons/upstream_watcher.h
+++ b/include/spindleweir/daemons/upstream_watcher.h
@@ -16,8 +16,8 @@
 /// How often it asks, and whom.
 struct UpstreamWatcherOptions {
   Endpoint mPlatform;
-  Millis mListPeriod = 500;
-  Millis mReportPeriod = 250;
+  Millis mListInterval = 500;
+  Millis mReportInterval = 250;
   /// Told of each report, after the view.
   std::function<void(const EngineReport&)> mOnReport;
 };
--- a/main/router_main.cpp
+++ b/main/router_main.cpp
@@ -58,8 +58,8 @@
           .mPortFile = FLAGS_port_file,
           .mMaximumInFlight = FLAGS_max_in_flight,
           .mMaximumQueue = FLAGS_max_queue,
-          .mMaximumLoads = FLAGS_max_loads,
-          .mSilence = FLAGS_silence_ms,
+          .mMaxLoads = FLAGS_max_loads,
+          .mStallTimeout = FLAGS_silence_ms,
           .mStopUnready = FLAGS_stop_unready_ms,
           .mStopGrace = FLAGS_stop_grace_ms};
 }
--- a/standins/plain_protocol.cpp
+++ b/standins/plain_protocol.cpp
@@ -44,7 +44,7 @@
     facts.mLimit.mPerSecond = std::stod(limit);
   }
   const std::string rest = ValueOf(aHead.mHeaders, "X-Rest");
-  facts.mRest = rest.empty() ? 0 : std::stoll(rest);
+  facts.mBackoff = rest.empty() ? 0 : std::stoll(rest);
   facts.mLeaves = FindHeader(aHead.mHeaders, "X-Leaves") != nullptr;
   return facts;
 }
@@ -92,7 +92,7 @@
             }
             return message;
           },
-      .mAskState =
+      .mWriteStateRequest =
           [] { return EngineMessage{.mMethod = "GET", .mTarget = "/state"}; },
       .mReadState = [](std::string_view) { return EngineState{}; }};
 }
--- a/tests/daemons/crashing_request_test.cpp
+++ b/tests/daemons/crashing_request_test.cpp
@@ -58,7 +58,7 @@
     }
   }
 
-  RelayStory mStory;
+  RelayFixture mStory;
   std::vector<std::unique_ptr<ScriptedUpstream>> mUpstreams;
   std::unique_ptr<RelayRouter> mOther;
 };
@@ -86,7 +86,7 @@
 Test(crashing_request, stays_barred_when_all_processes_start_again) {
   CrashStory story;
   story.ComeAgain();
-  RelayStory& all = story.mStory;
+  RelayFixture& all = story.mStory;
   REQUIRE(ReadFile(all.mFolder.Path("data/barred")).has_value());
   all.mRouter.reset();
   story.mOther.reset();
@@ -128,7 +128,7 @@
 }
 
 Test(crashing_request, is_none_that_passed_engines_which_end_at_once) {
-  RelayStory story;
+  RelayFixture story;
   ScriptedUpstream first(story.mLoop, "first");
   ScriptedUpstream second(story.mLoop, "second");
   story.BeginEngine(first);
--- a/tests/daemons/cut_streams_test.cpp
+++ b/tests/daemons/cut_streams_test.cpp
@@ -43,20 +43,20 @@
 Test(cut_streams, one_router_may_need_more_retries_than_its_equal_part) {
   // Nine others share what may be sent again: 40 in a window, 4 of them its
   // own.
-  RelayStory story(kShortStart, {.mRatio = 0,
-                                 .mWindow = kWindow,
-                                 .mSlack = 40,
-                                 .mUsableShare = 1,
-                                 .mPooledShare = kDefaultPooledRetries});
+  RelayFixture story(kShortWarmUp, {.mRatio = 0,
+                                    .mWindow = kWindow,
+                                    .mSlack = 40,
+                                    .mUsableShare = 1,
+                                    .mPooledShare = kDefaultPooledRetries});
   // Room for all of them at one: what is asked is not whether they fit.
   story.mSlots = 2 * kStreams;
   story.Begin();
-  story.TellOfRouters(9);
+  story.ReportRouters(9);
   REQUIRE(
       story.RunUntil([&story] { return KnownRouters(*story.mRouter) == 10; }));
   // Before, it keeps back what a process before it may have spent.
   story.Wait(kWindow);
-  story.TellOfRouters(9);
+  story.ReportRouters(9);
   SECTION("one upstream cuts a dozen of its streams, nobody else needs one") {
     story.mA.Next(std::vector<UpstreamAct>(kStreams, UpstreamAct::kCut));
     std::vector<std::unique_ptr<OpenCall>> streams;
@@ -89,12 +89,12 @@
 // streams with the same 921 ms of silence, in one millisecond, of two engines,
 // 0.9 s after the router's last line; each engine ran on.
 Test(cut_streams, a_router_that_stood_still_takes_no_engine_for_silent) {
-  RelayStory story;
+  RelayFixture story;
   ScriptedUpstream first(story.mLoop, "first");
   ScriptedUpstream second(story.mLoop, "second");
   story.Begin();
   story.BeginEngine(first);
-  story.BeatEngine(second);
+  story.SendEngineHeartbeat(second);
   REQUIRE(story.RunUntil([&story] {
     story.mRouter->RefreshGauges();
     return story.mRouter->OwnCounters().Value("upstreams_ready") == 4;
@@ -117,8 +117,8 @@
 // 16 to 18 of its 20 s left, while the engines came back 3.5 s later.
 Test(cut_streams, a_begun_stream_is_not_broken_off_while_it_has_time) {
   // One retry in 2 s, and it is spent.
-  RelayStory story(
-      kShortStart,
+  RelayFixture story(
+      kShortWarmUp,
       {.mRatio = 0, .mWindow = kWindow, .mSlack = 1, .mUsableShare = 1});
   story.Begin();
   story.Wait(kWindow);
--- a/tests/daemons/heartbeat_collectors_test.cpp
+++ b/tests/daemons/heartbeat_collectors_test.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-UpstreamRecord RecordOf(RelayStory& aStory, const ScriptedUpstream& aUpstream,
+UpstreamRecord RecordOf(RelayFixture& aStory, const ScriptedUpstream& aUpstream,
                         UpstreamState aState) {
   return {.mInstance = aUpstream.Instance(),
           .mService = "counter",
@@ -16,10 +16,11 @@
 }
 
 /// Sends a heartbeat to the router and waits for its answer.
-BeatAnswer BeatAtRouter(RelayStory& aStory, const UpstreamRecord& aRecord) {
-  BeatAnswer answer;
+HeartbeatAnswer BeatAtRouter(RelayFixture& aStory,
+                             const UpstreamRecord& aRecord) {
+  HeartbeatAnswer answer;
   bool ended = false;
-  aStory.mRouter->ApplyHeartbeat(aRecord, [&](const BeatAnswer& aAnswer) {
+  aStory.mRouter->ApplyHeartbeat(aRecord, [&](const HeartbeatAnswer& aAnswer) {
     answer = aAnswer;
     ended = true;
   });
@@ -30,25 +31,26 @@
 }  // namespace
 
 Test(takers_story, control_names_a_router_that_asks) {
-  RelayStory story(kShortStart, {}, 0);
+  RelayFixture story(kShortWarmUp, {}, 0);
   story.Begin();
   std::string named;
   for (int i = 0; named.empty(); i++) {
     REQUIRE(i < 200);
     bool ended = false;
-    story.mControl->Beat(RecordOf(story, story.mA, UpstreamState::kReady),
-                         [&](const BeatAnswer& aAnswer) {
-                           named = aAnswer.mLaterAt;
-                           ended = true;
-                         });
+    story.mControl->ApplyHeartbeat(
+        RecordOf(story, story.mA, UpstreamState::kReady),
+        [&](const HeartbeatAnswer& aAnswer) {
+          named = aAnswer.mNextAddress;
+          ended = true;
+        });
     REQUIRE(story.RunUntil([&ended] { return ended; }));
     story.Wait(10);
   }
-  CHECK(named == kTakesAt);
+  CHECK(named == kCollectorAddress);
 }
 
 Test(takers_story, what_a_router_takes_control_knows) {
-  RelayStory story;
+  RelayFixture story;
   story.Begin();
   SECTION("an upstream whose every heartbeat goes by the router is used") {
     UpstreamRecord fresh = RecordOf(story, story.mB, UpstreamState::kReady);
@@ -73,7 +75,7 @@
 }
 
 Test(takers_story, what_no_control_knows_is_not_acknowledged) {
-  RelayStory story;
+  RelayFixture story;
   story.Begin();
   story.mControl.reset();
   CHECK(!BeatAtRouter(story, RecordOf(story, story.mA, UpstreamState::kLeaving))
--- a/tests/daemons/incarnation_test.cpp
+++ b/tests/daemons/incarnation_test.cpp
@@ -34,10 +34,11 @@
 }
 
 /// Sends a heartbeat to control and waits for the answer.
-BeatAnswer SendHeartbeat(RelayStory& aStory, const UpstreamRecord& aRecord) {
-  BeatAnswer answer;
+HeartbeatAnswer SendHeartbeat(RelayFixture& aStory,
+                              const UpstreamRecord& aRecord) {
+  HeartbeatAnswer answer;
   bool ended = false;
-  aStory.mControl->Beat(aRecord, [&](const BeatAnswer& aAnswer) {
+  aStory.mControl->ApplyHeartbeat(aRecord, [&](const HeartbeatAnswer& aAnswer) {
     answer = aAnswer;
     ended = true;
   });
@@ -45,18 +46,18 @@
   return answer;
 }
 
-std::int64_t RestartsSeen(RelayStory& aStory) {
+std::int64_t RestartsSeen(RelayFixture& aStory) {
   return aStory.mRouter->OwnCounters().Value("upstreams_restarted");
 }
 
-std::int64_t ReadyAtRouter(RelayStory& aStory) {
+std::int64_t ReadyAtRouter(RelayFixture& aStory) {
   aStory.mRouter->RefreshGauges();
   return aStory.mRouter->OwnCounters().Value("upstreams_ready");
 }
 
 /// A stream request that is sent when it is constructed.
 struct OpenStream {
-  explicit OpenStream(RelayStory& aStory) : mBegun(SteadyNow()) {
+  explicit OpenStream(RelayFixture& aStory) : mBegun(SteadyNow()) {
     StreamCallOptions options;
     options.mServer = aStory.mRouter->Address();
     options.mMethod = "POST";
@@ -84,7 +85,7 @@
 }  // namespace
 
 Test(incarnation, an_upstream_that_left_is_used_again_after_its_restart) {
-  RelayStory story;
+  RelayFixture story;
   story.Begin();
   SendHeartbeat(story, HeartbeatOf(story.mA, kFirstStart, 90));
   UpstreamRecord leaving = HeartbeatOf(story.mA, kFirstStart, 91);
@@ -109,10 +110,11 @@
   SECTION("a leave without a start does not end it and is not acknowledged") {
     bool accepted = true;
     bool ended = false;
-    story.mControl->Leave(story.mA.Instance(), [&](const BeatAnswer& aAnswer) {
-      accepted = aAnswer.mAccepted;
-      ended = true;
-    });
+    story.mControl->Leave(story.mA.Instance(),
+                          [&](const HeartbeatAnswer& aAnswer) {
+                            accepted = aAnswer.mAccepted;
+                            ended = true;
+                          });
     REQUIRE(story.RunUntil([&ended] { return ended; }));
     CHECK(!accepted);
     CHECK(ReadyAtRouter(story) == 2);
@@ -121,7 +123,7 @@
     bool accepted = false;
     story.mControl->Leave(
         story.mA.Instance(),
-        [&](const BeatAnswer& aAnswer) { accepted = aAnswer.mAccepted; },
+        [&](const HeartbeatAnswer& aAnswer) { accepted = aAnswer.mAccepted; },
         kNextStart);
     REQUIRE(story.RunUntil(
         [&story, &accepted] { return accepted && ReadyAtRouter(story) == 1; }));
@@ -131,7 +133,7 @@
 Test(incarnation, streams_of_the_previous_incarnation_move_at_once) {
   // A stream of an upstream that is only silent moves after about one second.
   constexpr Millis kSilenceMoveTime = 900;
-  RelayStory story;
+  RelayFixture story;
   story.Begin();
   story.BeginEngine(story.mA);
   std::int64_t start = kFirstStart;
@@ -161,7 +163,7 @@
 }
 
 Test(incarnation, a_call_of_the_previous_incarnation_is_not_sent_again) {
-  RelayStory story;
+  RelayFixture story;
   story.Begin();
   SendHeartbeat(story, HeartbeatOf(story.mA, kFirstStart, 90));
   SendHeartbeat(story, HeartbeatOf(story.mB, kFirstStart, 90));
@@ -171,8 +173,8 @@
   const int before = story.mA.AllRuns() + story.mB.AllRuns();
   const auto restart = story.mLoop.After(300, [&story] {
     for (const ScriptedUpstream* upstream : {&story.mA, &story.mB}) {
-      story.mControl->Beat(HeartbeatOf(*upstream, kNextStart, 1),
-                           [](const BeatAnswer&) {});
+      story.mControl->ApplyHeartbeat(HeartbeatOf(*upstream, kNextStart, 1),
+                                     [](const HeartbeatAnswer&) {});
     }
   });
   const Answer answer = story.Call("/pay/x");
@@ -184,23 +186,25 @@
 }
 
 Test(incarnation, heartbeats_that_cannot_be_used_are_refused_and_counted) {
-  RelayStory story;
+  RelayFixture story;
   story.Begin();
   UpstreamRecord unknown = HeartbeatOf(story.mA, kFirstStart, 1);
   unknown.mInstance = "strange";
   unknown.mService = "nowhere";
   CHECK(CodeThrownBy([&] {
-          story.mControl->Beat(unknown, [](const BeatAnswer&) {});
+          story.mControl->ApplyHeartbeat(unknown,
+                                         [](const HeartbeatAnswer&) {});
         }) == ResultCode::kUnknownService);
   CHECK(CodeThrownBy([&] {
-          story.mRouter->ApplyHeartbeat(unknown, [](const BeatAnswer&) {});
+          story.mRouter->ApplyHeartbeat(unknown, [](const HeartbeatAnswer&) {});
         }) == ResultCode::kUnknownService);
   SECTION("an unknown upstream that leaves is accepted") {
     unknown.mState = UpstreamState::kLeaving;
     CHECK(SendHeartbeat(story, unknown).mAccepted);
   }
   SECTION("an invalid heartbeat is counted by its source and cause") {
-    story.mControl->BadBeat("x", Error(ResultCode::kBadHeartbeat, "why"));
+    story.mControl->OnInvalidHeartbeat("x",
+                                       Error(ResultCode::kBadHeartbeat, "why"));
     CHECK(story.mControl->OwnCounters().Value(
               "bad_upstream_words",
               "at=\"heartbeat\",cause=\"BadHeartbeat\"") == 1);
@@ -209,7 +213,7 @@
 
 Test(incarnation, an_update_with_an_invalid_age_is_ignored) {
   Counters counters;
-  BadWords words(counters);
+  InvalidMessages words(counters);
   const std::string text = PackUpstreams({{.mInstance = "a",
                                            .mService = "s",
                                            .mAddress = "10.0.0.1:80",
--- a/tests/daemons/large_fleet_test.cpp
+++ b/tests/daemons/large_fleet_test.cpp
@@ -29,11 +29,11 @@
 }  // namespace
 
 Test(large_fleet, a_service_that_never_answered_is_sent_its_first_request) {
-  RelayStory story;
+  RelayFixture story;
   REQUIRE(story.Publish(Document(Traffic(7))).mCode == ResultCode::kOk);
   story.Beat(story.mA, UpstreamState::kReady);
   REQUIRE(story.RunUntil([&story] { return story.mRouter->Ready(); }));
-  story.TellOfRouters(300);
+  story.ReportRouters(300);
   REQUIRE(
       story.RunUntil([&story] { return KnownRouters(*story.mRouter) > 290; }));
   SECTION("though hundreds of routers share it, and none knows its time") {
@@ -64,7 +64,7 @@
 // twice: 342 for 195, until the processes ended. Evidence: the routers' figure
 // at all 195 routers from the first reading to the last.
 Test(large_fleet, routers_that_ended_are_not_counted_for_ever) {
-  RelayStory story(kShortStart, {.mWindow = 500});
+  RelayFixture story(kShortWarmUp, {.mWindow = 500});
   story.Begin();
   std::unique_ptr<RelayRouter> second = story.MakeRouter("second");
   REQUIRE(
--- a/tests/daemons/memory_test.cpp
+++ b/tests/daemons/memory_test.cpp
@@ -65,7 +65,7 @@
 
 /// A crowd of them, poked by a timer, and the most that is held meanwhile.
 struct Crowd {
-  explicit Crowd(RelayStory& aStory) : mStory(aStory) {
+  explicit Crowd(RelayFixture& aStory) : mStory(aStory) {
     mTimer = aStory.mLoop.Every(20, [this] { Step(); });
   }
 
@@ -90,7 +90,7 @@
     mMostHeld = std::max(mMostHeld, Gauge("memory_held_bytes"));
   }
 
-  RelayStory& mStory;
+  RelayFixture& mStory;
   std::vector<std::unique_ptr<SlowCaller>> mCallers;
   std::vector<std::string> mIds;
   std::int64_t mMostHeld = 0;
@@ -98,7 +98,7 @@
 };
 
 /// A call that comes back when it is refused, as callers do.
-Answer CallUntilServed(RelayStory& aStory, const std::string& aTarget) {
+Answer CallUntilServed(RelayFixture& aStory, const std::string& aTarget) {
   Answer answer;
   for (int i = 0; i < 400; i++) {
     answer = aStory.Call(aTarget);
@@ -117,7 +117,7 @@
 }  // namespace
 
 Test(memory, callers_that_read_well_are_served_beside_those_that_do_not) {
-  RelayStory story;
+  RelayFixture story;
   story.mMemoryBytes = kMemory;
   // Memory is what runs short: with few slots, full upstreams turn most slow
   // callers away before, and nobody has to be cut.
@@ -166,7 +166,7 @@
 }
 
 Test(memory, a_slow_caller_gets_its_whole_answer_where_there_is_room) {
-  RelayStory story;
+  RelayFixture story;
   story.mMemoryBytes = kMemory;
   story.StartRouter();
   story.Begin();
--- a/tests/daemons/outcome_test.cpp
+++ b/tests/daemons/outcome_test.cpp
@@ -133,8 +133,9 @@
   std::unique_ptr<StreamCall> mCall;
 };
 
-std::shared_ptr<OpenCall> Start(RelayStory& aStory, const std::string& aTarget,
-                                Millis aDeadline, std::string aBody = "") {
+std::shared_ptr<OpenCall> Start(RelayFixture& aStory,
+                                const std::string& aTarget, Millis aDeadline,
+                                std::string aBody = "") {
   auto open = std::make_shared<OpenCall>();
   StreamCallOptions options;
   options.mServer = aStory.mRouter->Address();
@@ -157,7 +158,7 @@
 }
 
 /// A configuration in force, and one upstream known.
-void BeginWith(RelayStory& aStory, const SocketUpstream& aUpstream,
+void BeginWith(RelayFixture& aStory, const SocketUpstream& aUpstream,
                const TrafficConfiguration& aTraffic = Traffic(7)) {
   REQUIRE(aStory.Publish(Document(aTraffic)).mCode == ResultCode::kOk);
   aStory.Beat({.mInstance = "socket",
@@ -173,7 +174,7 @@
 }  // namespace
 
 Test(outcomes, a_failure_of_the_upstream_is_no_promise) {
-  RelayStory story;
+  RelayFixture story;
   story.Begin();
   for (int status : kPromises) {
     // It says nothing of not running, so that it may have run.
@@ -196,7 +197,7 @@
 
 Test(outcomes, a_deadline_that_passes_is_a_promise_only_if_nothing_left) {
   SECTION("sent and unanswered") {
-    RelayStory story;
+    RelayFixture story;
     SocketUpstream upstream;
     BeginWith(story, upstream);
     const auto call = Start(story, "/pay/1", 400);
@@ -206,7 +207,7 @@
     CHECK(upstream.Got().starts_with("POST /pay/1"));
   }
   SECTION("sent in part") {
-    RelayStory story;
+    RelayFixture story;
     SocketUpstream upstream;
     BeginWith(story, upstream);
     const auto call =
@@ -215,7 +216,7 @@
     CHECK(call->mStatus == 504);
   }
   SECTION("still connecting, all bytes held here") {
-    RelayStory story;
+    RelayFixture story;
     SocketUpstream upstream(0);
     BeginWith(story, upstream);
     upstream.Fill();
@@ -235,7 +236,7 @@
 }
 
 Test(outcomes, a_connection_that_breaks_after_the_bytes_left_is_no_promise) {
-  RelayStory story;
+  RelayFixture story;
   SocketUpstream upstream;
   BeginWith(story, upstream);
   const auto ends = [&](bool aReset) {
@@ -258,7 +259,7 @@
 }
 
 Test(outcomes, an_upstream_that_says_not_run_gets_no_more_of_it) {
-  RelayStory story;
+  RelayFixture story;
   SocketUpstream upstream;
   BeginWith(story, upstream);
   constexpr std::size_t kBody = 4 * 1024 * 1024;
@@ -284,7 +285,7 @@
 }
 
 Test(outcomes, a_caller_that_leaves_causes_no_second_run) {
-  RelayStory story;
+  RelayFixture story;
   story.Begin();
   story.mA.Next({UpstreamAct::kSilent});
   story.mB.Next({UpstreamAct::kSilent});
@@ -298,7 +299,7 @@
 }
 
 Test(outcomes, nothing_that_may_not_be_repeated_is_switched) {
-  RelayStory story;
+  RelayFixture story;
   story.Begin();
   TrafficConfiguration traffic = Traffic(8);
   traffic.mRoutes.back().mResumable = false;
--- a/tests/daemons/placing_test.cpp
+++ b/tests/daemons/placing_test.cpp
@@ -80,15 +80,15 @@
   void SendHeartbeats() {
     mSequence++;
     for (int i = 0; i < kEngines; i++) {
-      mControl->Beat({.mInstance = "i" + std::to_string(i),
-                      .mStart = mStart,
-                      .mService = "model",
-                      .mAddress = AddressOf(i),
-                      .mZone = "z",
-                      .mKind = "k",
-                      .mSlots = 6,
-                      .mSequence = mSequence},
-                     [](const BeatAnswer&) {});
+      mControl->ApplyHeartbeat({.mInstance = "i" + std::to_string(i),
+                                .mStart = mStart,
+                                .mService = "model",
+                                .mAddress = AddressOf(i),
+                                .mZone = "z",
+                                .mKind = "k",
+                                .mSlots = 6,
+                                .mSequence = mSequence},
+                               [](const HeartbeatAnswer&) {});
     }
   }
 
--- a/tests/daemons/planned_stop_test.cpp
+++ b/tests/daemons/planned_stop_test.cpp
@@ -29,7 +29,7 @@
 }
 
 /// A story whose router has a short grace.
-struct StopStory : RelayStory {
+struct StopStory : RelayFixture {
   StopStory() {
     mStopGrace = kShortGrace;
     mRouter.reset();
--- a/tests/daemons/refused_move_test.cpp
+++ b/tests/daemons/refused_move_test.cpp
@@ -17,27 +17,27 @@
 }  // namespace
 
 Test(refused_move, another_path_is_looked_for) {
-  RelayStory story;
+  RelayFixture story;
   ScriptedUpstream front(story.mLoop, "front");
   ScriptedUpstream leaving(story.mLoop, "leaving");
   ScriptedUpstream one(story.mLoop, "one");
   ScriptedUpstream two(story.mLoop, "two");
   story.Begin();
-  story.BeginModel();
-  story.BeatEngine(leaving, kBack);
-  story.BeatEngine(front, kFront);
+  story.PublishModel();
+  story.SendEngineHeartbeat(leaving, kBack);
+  story.SendEngineHeartbeat(front, kFront);
   story.AwaitCall(front);
   front.Next({UpstreamAct::kStall});
   const auto open = story.Open("/stream/1", "moved");
   REQUIRE(story.RunUntil([&open] { return !open->mAnswer.mBody.empty(); }));
-  story.BeatEngine(one, kBack);
-  story.BeatEngine(two, kBack);
+  story.SendEngineHeartbeat(one, kBack);
+  story.SendEngineHeartbeat(two, kBack);
   REQUIRE(story.RunUntil([&story] {
     story.mRouter->RefreshGauges();
     return story.mRouter->OwnCounters().Value("upstreams_ready") == 6;
   }));
   front.RefuseMoves(1);
-  story.BeatEngine(leaving, kBack, UpstreamState::kLeaving);
+  story.SendEngineHeartbeat(leaving, kBack, UpstreamState::kLeaving);
   REQUIRE(story.RunUntil([&front] { return front.Moves().size() >= 2; }));
   CHECK(front.Moves()[0] != front.Moves()[1]);
   for (const std::string& path : front.Moves()) {
--- a/tests/daemons/relay_fixture.cpp
+++ b/tests/daemons/relay_fixture.cpp
@@ -74,29 +74,29 @@
   return DumpJson(ToJson(aTraffic));
 }
 
-RelayStory::RelayStory(Millis aStartWait, RetryAllowanceOptions aRetries,
-                       int aOwnBeats)
+RelayFixture::RelayFixture(Millis aStartWait, RetryAllowanceOptions aRetries,
+                           int aOwnBeats)
     : mA(mLoop, "a"),
       mB(mLoop, "b"),
       mSeed(FreeEndpoint()),
       mStartWait(aStartWait),
       mRetries(aRetries),
-      mOwnBeats(aOwnBeats) {
+      mMaxLocalHeartbeats(aOwnBeats) {
   StartControl();
   StartRouter();
 }
 
-void RelayStory::StartRouter() {
+void RelayFixture::StartRouter() {
   mRouter = MakeRouter("router");
 }
 
-std::unique_ptr<RelayRouter> RelayStory::MakeRouter(const std::string& aId) {
+std::unique_ptr<RelayRouter> RelayFixture::MakeRouter(const std::string& aId) {
   RelayOptions options;
   options.mId = aId;
   options.mZone = "z";
   options.mListen = {"127.0.0.1", 0};
   options.mSeeds = {mSeed};
-  options.mHeartbeatAddress = kTakesAt;
+  options.mHeartbeatAddress = kCollectorAddress;
   options.mClusterKey = "secret";
   options.mLeaseLength = kLease;
   options.mStopGrace = mStopGrace;
@@ -108,7 +108,7 @@
   return std::make_unique<RelayRouter>(mLoop, std::move(options));
 }
 
-void RelayStory::StartControl() {
+void RelayFixture::StartControl() {
   ControlOptions options;
   options.mZone = "z";
   options.mRpcListen = mSeed;
@@ -118,7 +118,7 @@
   options.mSeeds = {mSeed};
   options.mFirstStart = true;
   options.mElectionTimeout = 50;
-  options.mOwnBeats = mOwnBeats;
+  options.mMaxLocalHeartbeats = mMaxLocalHeartbeats;
   options.mRetries = mRetries;
   options.mDocuments = PlainDocuments();
   options.mDocuments.mRead = [this](std::string_view aDocument) {
@@ -129,11 +129,11 @@
   mControl = std::make_unique<JoinedControl>(mLoop, std::move(options));
 }
 
-bool RelayStory::RunUntil(const std::function<bool()>& aCondition) {
+bool RelayFixture::RunUntil(const std::function<bool()>& aCondition) {
   return RunLoopUntil(mLoop, aCondition);
 }
 
-OperatorAnswer RelayStory::Publish(const std::string& aDocument) {
+OperatorAnswer RelayFixture::Publish(const std::string& aDocument) {
   OperatorAnswer answer;
   bool done = false;
   // Until a leader is there the answer is "not now".
@@ -152,7 +152,7 @@
   return answer;
 }
 
-OperatorAnswer RelayStory::Read() {
+OperatorAnswer RelayFixture::Read() {
   OperatorAnswer answer;
   bool ended = false;
   mControl->Read([&](const OperatorAnswer& aAnswer) {
@@ -163,15 +163,15 @@
   return answer;
 }
 
-void RelayStory::TellOfRouters(int aCount) {
+void RelayFixture::ReportRouters(int aCount) {
   HttpClient client(mLoop);
   RpcChannel rpc(client, "secret");
   int answered = 0;
   for (int i = 0; i < aCount; i++) {
-    SyncQuestion question;
+    SyncRequest question;
     question.mProcess = "other" + std::to_string(i) + "/1";
     question.mZone = "z";
-    question.mTellsLoads = 1;
+    question.mReportsLoads = 1;
     rpc.Call(mSeed, rpc_method::kSync, ToJson(question), 20000,
              [&answered](const RpcResult& aResult) {
                answered += aResult.mOk ? 1 : 0;
@@ -185,12 +185,13 @@
   return aRouter.OwnCounters().Value("routers_known");
 }
 
-void RelayStory::Wait(Millis aTime) {
+void RelayFixture::Wait(Millis aTime) {
   const Millis until = SteadyNow() + aTime;
   RunUntil([until] { return SteadyNow() >= until; });
 }
 
-void RelayStory::Beat(const ScriptedUpstream& aUpstream, UpstreamState aState) {
+void RelayFixture::Beat(const ScriptedUpstream& aUpstream,
+                        UpstreamState aState) {
   Beat({.mInstance = aUpstream.Instance(),
         .mService = "counter",
         .mAddress = aUpstream.Address(),
@@ -199,14 +200,15 @@
         .mState = aState});
 }
 
-void RelayStory::Beat(UpstreamRecord aRecord) {
+void RelayFixture::Beat(UpstreamRecord aRecord) {
   bool acknowledged = false;
   aRecord.mSequence = ++mSequence;
-  mControl->Beat(aRecord, [&](const BeatAnswer&) { acknowledged = true; });
+  mControl->ApplyHeartbeat(
+      aRecord, [&](const HeartbeatAnswer&) { acknowledged = true; });
   REQUIRE(RunUntil([&] { return acknowledged; }));
 }
 
-void RelayStory::BeginModel() {
+void RelayFixture::PublishModel() {
   TrafficConfiguration traffic = Traffic(8);
   TrafficService model{.mName = "model"};
   model.mEngine.mLayers = 8;
@@ -220,13 +222,13 @@
   REQUIRE(Publish(Document(traffic)).mCode == ResultCode::kOk);
 }
 
-void RelayStory::BeginEngine(const ScriptedUpstream& aEngine) {
-  BeginModel();
-  BeatEngine(aEngine);
+void RelayFixture::BeginEngine(const ScriptedUpstream& aEngine) {
+  PublishModel();
+  SendEngineHeartbeat(aEngine);
   AwaitCall(aEngine);
 }
 
-void RelayStory::AwaitCall(const ScriptedUpstream& aEngine) {
+void RelayFixture::AwaitCall(const ScriptedUpstream& aEngine) {
   for (int i = 0; aEngine.AllRuns() == 0; i++) {
     REQUIRE(i < 200);
     Call("/stream/x");
@@ -234,8 +236,9 @@
   }
 }
 
-void RelayStory::BeatEngine(const ScriptedUpstream& aEngine, LayerRange aLayers,
-                            UpstreamState aState) {
+void RelayFixture::SendEngineHeartbeat(const ScriptedUpstream& aEngine,
+                                       LayerRange aLayers,
+                                       UpstreamState aState) {
   Beat({.mInstance = aEngine.Instance(),
         .mService = "model",
         .mAddress = aEngine.Address(),
@@ -246,14 +249,14 @@
         .mLayers = aLayers});
 }
 
-Answer RelayStory::Call(const std::string& aTarget, const std::string& aKey,
-                        Millis aDeadline) {
+Answer RelayFixture::Call(const std::string& aTarget, const std::string& aKey,
+                          Millis aDeadline) {
   return CallAt(*mRouter, aTarget, aKey, aDeadline);
 }
 
-Answer RelayStory::CallAt(const RelayRouter& aRouter,
-                          const std::string& aTarget, const std::string& aKey,
-                          Millis aDeadline) {
+Answer RelayFixture::CallAt(const RelayRouter& aRouter,
+                            const std::string& aTarget, const std::string& aKey,
+                            Millis aDeadline) {
   const auto open = OpenAt(aRouter, {.mTarget = aTarget,
                                      .mId = "r" + std::to_string(++mRequest),
                                      .mKey = aKey,
@@ -262,13 +265,13 @@
   return open->mAnswer;
 }
 
-std::unique_ptr<OpenCall> RelayStory::Open(const std::string& aTarget,
-                                           const std::string& aId) {
+std::unique_ptr<OpenCall> RelayFixture::Open(const std::string& aTarget,
+                                             const std::string& aId) {
   return OpenAt(*mRouter, {.mTarget = aTarget, .mId = aId});
 }
 
-std::unique_ptr<OpenCall> RelayStory::OpenAt(const RelayRouter& aRouter,
-                                             const CallFacts& aFacts) {
+std::unique_ptr<OpenCall> RelayFixture::OpenAt(const RelayRouter& aRouter,
+                                               const CallInput& aFacts) {
   auto open = std::make_unique<OpenCall>();
   StreamCallOptions options;
   options.mServer = aRouter.Address();
@@ -295,7 +298,7 @@
   return open;
 }
 
-std::unique_ptr<Timer> RelayStory::CutNextOnce() {
+std::unique_ptr<Timer> RelayFixture::CutNextOnce() {
   mA.Next({UpstreamAct::kCut});
   mB.Next({UpstreamAct::kCut});
   const std::string id = "r" + std::to_string(mRequest + 1);
@@ -308,7 +311,7 @@
   });
 }
 
-void RelayStory::Begin() {
+void RelayFixture::Begin() {
   REQUIRE(Publish(Document(Traffic(7))).mCode == ResultCode::kOk);
   Beat(mA, UpstreamState::kReady);
   Beat(mB, UpstreamState::kReady);
--- a/tests/daemons/relay_fixture.h
+++ b/tests/daemons/relay_fixture.h
@@ -16,11 +16,11 @@
 
 /// How long a request is kept at a start: long enough for any machine, and
 /// short where nothing is to come.
-inline constexpr Millis kLongStart = 30000;
-inline constexpr Millis kShortStart = 50;
+inline constexpr Millis kLongWarmUp = 30000;
+inline constexpr Millis kShortWarmUp = 50;
 
 /// Where the router says that it takes heartbeats.
-inline constexpr const char* kTakesAt = "127.0.0.1:7";
+inline constexpr const char* kCollectorAddress = "127.0.0.1:7";
 
 /// What a caller got.
 struct Answer {
@@ -38,7 +38,7 @@
 };
 
 /// What a caller's request says of itself.
-struct CallFacts {
+struct CallInput {
   std::string mTarget;
   std::string mId;
   std::string mKey = "key";
@@ -56,9 +56,10 @@
 std::int64_t KnownRouters(RelayRouter& aRouter);
 
 /// The system under test.
-struct RelayStory {
-  explicit RelayStory(Millis aStartWait = kShortStart,
-                      RetryAllowanceOptions aRetries = {}, int aOwnBeats = 50);
+struct RelayFixture {
+  explicit RelayFixture(Millis aStartWait = kShortWarmUp,
+                        RetryAllowanceOptions aRetries = {},
+                        int aOwnBeats = 50);
 
   /// A control on the disk that is there, empty at first.
   void StartControl();
@@ -79,21 +80,22 @@
   void Wait(Millis aTime);
 
   /// Routers that tell control of themselves once; they do nothing else.
-  void TellOfRouters(int aCount);
+  void ReportRouters(int aCount);
 
   /// A heartbeat, until it is acknowledged.
   void Beat(const ScriptedUpstream& aUpstream, UpstreamState aState);
   void Beat(UpstreamRecord aRecord);
 
   /// A configuration with a service "model" of eight layers, for /stream/.
-  void BeginModel();
+  void PublishModel();
   /// The same with an engine that holds all layers and gets calls.
   void BeginEngine(const ScriptedUpstream& aEngine);
   /// Calls until this engine got one.
   void AwaitCall(const ScriptedUpstream& aEngine);
   /// One more engine.
-  void BeatEngine(const ScriptedUpstream& aEngine, LayerRange aLayers = {0, 8},
-                  UpstreamState aState = UpstreamState::kReady);
+  void SendEngineHeartbeat(const ScriptedUpstream& aEngine,
+                           LayerRange aLayers = {0, 8},
+                           UpstreamState aState = UpstreamState::kReady);
 
   /// A request with the next id, until its answer ends. aDeadline: what its
   /// caller says that it has left, in milliseconds; 0: nothing.
@@ -105,7 +107,7 @@
 
   /// Begins a request at a router, which ends on its own.
   std::unique_ptr<OpenCall> OpenAt(const RelayRouter& aRouter,
-                                   const CallFacts& aFacts);
+                                   const CallInput& aFacts);
   /// The same at the first router.
   std::unique_ptr<OpenCall> Open(const std::string& aTarget,
                                  const std::string& aId);
@@ -134,8 +136,8 @@
   int mSlots = 6;                ///< Of each upstream.
   std::size_t mMemoryBytes = 0;  ///< Of routers that are started from now on.
   Millis mStopGrace = 2000;      ///< The same.
-  int mOwnBeats;           ///< Heartbeats a second that control takes itself.
-  int mDocumentsRead = 0;  ///< By control.
+  int mMaxLocalHeartbeats;  ///< Heartbeats a second that control takes itself.
+  int mDocumentsRead = 0;   ///< By control.
 };
 
 }  // namespace spindleweir
--- a/tests/daemons/relay_test.cpp
+++ b/tests/daemons/relay_test.cpp
@@ -6,7 +6,7 @@
 using namespace spindleweir;
 
 Test(relay, configurations_are_accepted_by_their_version) {
-  RelayStory story;
+  RelayFixture story;
   CHECK(story.Call("/look/x").mStatus == 503);
   const std::string seven = Document(Traffic(7));
   CHECK(story.Publish(seven).mCode == ResultCode::kOk);
@@ -42,7 +42,7 @@
 
 Test(relay, a_start_from_the_disk_reads_the_newest_configuration_only) {
   constexpr int kVersions = 20;
-  RelayStory story;
+  RelayFixture story;
   for (int version = 1; version <= kVersions; version++) {
     REQUIRE(story.Publish(Document(Traffic(version))).mCode == ResultCode::kOk);
   }
@@ -64,32 +64,32 @@
 
 Test(relay, a_router_that_has_just_started_keeps_requests_for_a_while) {
   SECTION("one that is told what it lacks serves them") {
-    RelayStory story(kLongStart);
+    RelayFixture story(kLongWarmUp);
     const std::string document = Document(Traffic(7));
     const auto publisher = story.mLoop.Every(20, [&] {
       story.mControl->Publish(document, [](const OperatorAnswer&) {});
     });
     const auto beats = story.mLoop.Every(50, [&] {
-      story.mControl->Beat({.mInstance = story.mA.Instance(),
-                            .mService = "counter",
-                            .mAddress = story.mA.Address(),
-                            .mZone = "z",
-                            .mSlots = 6,
-                            .mSequence = ++story.mSequence},
-                           [](const BeatAnswer&) {});
+      story.mControl->ApplyHeartbeat({.mInstance = story.mA.Instance(),
+                                      .mService = "counter",
+                                      .mAddress = story.mA.Address(),
+                                      .mZone = "z",
+                                      .mSlots = 6,
+                                      .mSequence = ++story.mSequence},
+                                     [](const HeartbeatAnswer&) {});
     });
     CHECK(story.Call("/pay/x").mStatus == 200);
     CHECK(story.RunsOfLast() == 1);
   }
   SECTION("one that is told nothing refuses them") {
-    RelayStory story(kShortStart);
+    RelayFixture story(kShortWarmUp);
     CHECK(story.Call("/pay/x").mStatus == 503);
     CHECK(story.RunsOfLast() == 0);
   }
 }
 
 Test(relay, requests_go_where_the_routes_say) {
-  RelayStory story;
+  RelayFixture story;
   story.Begin();
   const Answer good = story.Call("/pay/1");
   CHECK(good.mStatus == 200 && good.mBody.starts_with("by "));
@@ -101,7 +101,7 @@
 }
 
 Test(relay, what_may_not_be_repeated_runs_at_most_once) {
-  RelayStory story;
+  RelayFixture story;
   story.Begin();
   const auto next = [&story](UpstreamAct aAct) {
     story.mA.Next({aAct});
@@ -133,7 +133,7 @@
 }
 
 Test(relay, what_may_be_repeated_is_sent_once_more) {
-  RelayStory story;
+  RelayFixture story;
   story.Begin();
   for (UpstreamAct act : {UpstreamAct::kCut, UpstreamAct::kFail}) {
     // Whichever is chosen first fails; the other one answers.
@@ -145,7 +145,7 @@
 }
 
 Test(relay, a_stream_goes_on_after_its_last_event) {
-  RelayStory story;
+  RelayFixture story;
   story.Begin();
   story.mA.Next({UpstreamAct::kCut});
   story.mB.Next({UpstreamAct::kCut});
@@ -170,8 +170,8 @@
 
 Test(relay, a_stream_that_has_begun_waits_until_its_retry_is_paid) {
   // One retry in 400 ms, and it is spent.
-  RelayStory story(
-      kShortStart,
+  RelayFixture story(
+      kShortWarmUp,
       {.mRatio = 0, .mWindow = 400, .mSlack = 1, .mUsableShare = 1});
   story.Begin();
   // Before, it keeps back what a process before it may have spent.
@@ -190,7 +190,7 @@
 }
 
 Test(relay, who_leaves_gets_no_new_work) {
-  RelayStory story;
+  RelayFixture story;
   story.Begin();
   story.Beat(story.mA, UpstreamState::kLeaving);
   const Millis toldAt = SteadyNow();
@@ -203,7 +203,7 @@
 }
 
 Test(relay, without_control_keys_are_soon_of_no_use) {
-  RelayStory story;
+  RelayFixture story;
   story.Begin();
   story.mControl.reset();
   REQUIRE(story.RunUntil([&] { return !story.mRouter->Ready(); }));
@@ -217,7 +217,7 @@
 }
 
 Test(relay, a_caller_that_leaves_frees_its_upstream) {
-  RelayStory story;
+  RelayFixture story;
   story.Begin();
   story.mA.Next({UpstreamAct::kSilent});
   story.mB.Next({UpstreamAct::kSilent});
@@ -237,7 +237,7 @@
 }
 
 Test(relay, a_planned_stop_ends_what_is_in_flight) {
-  RelayStory story;
+  RelayFixture story;
   story.Begin();
   story.mRouter->Stop();
   CHECK(!story.mRouter->Ready());
@@ -252,7 +252,7 @@
 Test(relay, a_router_may_end_with_requests_in_flight) {
   // Found on the users' platform, grown: at the end of the grace the requests
   // that were left outlived the parts that they use.
-  RelayStory story;
+  RelayFixture story;
   ScriptedUpstream engine(story.mLoop, "engine");
   story.Begin();
   story.BeginEngine(engine);
--- a/tests/daemons/restart_test.cpp
+++ b/tests/daemons/restart_test.cpp
@@ -22,7 +22,7 @@
 }  // namespace
 
 Test(restart, upstreams_are_known_before_they_report_after_a_full_stop) {
-  RelayStory story(kLongStart);
+  RelayFixture story(kLongWarmUp);
   story.Begin();
   REQUIRE(story.RunUntil([&story] {
     return ReadFile(story.mFolder.Path("data/upstreams")).has_value();
@@ -123,7 +123,7 @@
 }
 
 Test(restart, a_long_time_leader_does_not_restore_upstreams_that_left) {
-  RelayStory story(kLongStart);
+  RelayFixture story(kLongWarmUp);
   story.Begin();
   REQUIRE(story.RunUntil([&story] {
     return ReadFile(story.mFolder.Path("data/upstreams")).has_value();
@@ -140,7 +140,7 @@
 }
 
 Test(restart, an_operator_call_waits_for_the_first_leader) {
-  RelayStory story(kLongStart);
+  RelayFixture story(kLongWarmUp);
   // There is no leader yet. An immediate refusal would make the operator retry
   // with a back-off that grows each time.
   OperatorAnswer answer;
@@ -172,7 +172,7 @@
 }
 
 Test(restart, waiting_requests_are_admitted_by_the_prefill_capacity) {
-  RelayStory story(kLongStart);
+  RelayFixture story(kLongWarmUp);
   story.Begin();
   ScriptedUpstream engine(story.mLoop, "engine");
   story.BeginEngine(engine);
@@ -197,7 +197,7 @@
 }
 
 Test(restart, a_retried_request_is_held_until_there_is_capacity) {
-  RelayStory story;
+  RelayFixture story;
   story.Begin();
   ScriptedUpstream engine(story.mLoop, "engine");
   story.BeginEngine(engine);
@@ -210,7 +210,7 @@
     CHECK(story.RunsOfLast() + engine.Runs(story.Last()) == 0);
   }
   // Keeps the engine from counting as silent on a busy machine.
-  story.BeatEngine(engine);
+  story.SendEngineHeartbeat(engine);
   SECTION("a later try, which has less time left, is served") {
     engine.Next(refusals);
     CHECK(story.Call("/stream/x", "key", kFirstDeadline / 2).mStatus == 200);
@@ -219,7 +219,7 @@
 }
 
 Test(restart, a_very_long_deadline_does_not_make_later_requests_retries) {
-  RelayStory story;
+  RelayFixture story;
   story.Begin();
   ScriptedUpstream engine(story.mLoop, "engine");
   story.BeginEngine(engine);
@@ -235,8 +235,8 @@
 
 Test(restart, a_retried_call_to_a_service_without_engines_is_not_held) {
   // A budget of one retry per minute.
-  RelayStory story(
-      kShortStart,
+  RelayFixture story(
+      kShortWarmUp,
       {.mRatio = 0, .mWindow = 60000, .mSlack = 1, .mUsableShare = 1});
   story.Begin();
   constexpr Millis kFirstDeadline = 2000;
--- a/tests/daemons/suspended_vm_test.cpp
+++ b/tests/daemons/suspended_vm_test.cpp
@@ -12,7 +12,7 @@
 }  // namespace
 
 Test(suspended_vm, uses_no_key_by_a_lease_that_has_run_out) {
-  RelayStory story;
+  RelayFixture story;
   story.Begin();
   story.mControl.reset();
   Suspend(kSuspended);
@@ -29,7 +29,7 @@
 }
 
 Test(suspended_vm, ends_what_passed_its_deadline_meanwhile) {
-  RelayStory story;
+  RelayFixture story;
   story.Begin();
   story.mA.Next({UpstreamAct::kSilent, UpstreamAct::kSilent});
   story.mB.Next({UpstreamAct::kSilent, UpstreamAct::kSilent});
@@ -60,7 +60,7 @@
 }
 
 Test(suspended_vm, of_control_confirms_nothing_that_it_knew_before) {
-  RelayStory story;
+  RelayFixture story;
   story.Begin();
   const OperatorAnswer before = story.Read();
   REQUIRE(before.mCode == ResultCode::kOk);
--- a/tests/daemons/upstream_backoff_test.cpp
+++ b/tests/daemons/upstream_backoff_test.cpp
@@ -16,7 +16,7 @@
 
 /// Calls again and again until the rest that was asked for is nearly over.
 /// Returns how many were answered so.
-int CallThroughRest(RelayStory& aStory, const ScriptedUpstream& aResting,
+int CallThroughRest(RelayFixture& aStory, const ScriptedUpstream& aResting,
                     const std::string& aTarget, int aStatus) {
   const Millis told = SteadyNow();
   int answered = 0;
@@ -29,7 +29,7 @@
 }
 
 /// Calls until this upstream has turned one away.
-void AwaitRefusal(RelayStory& aStory, const ScriptedUpstream& aUpstream,
+void AwaitRefusal(RelayFixture& aStory, const ScriptedUpstream& aUpstream,
                   const std::string& aTarget) {
   const Millis from = SteadyNow();
   for (int i = 0; aUpstream.ArrivalsSince(from) == 0; i++) {
@@ -42,11 +42,11 @@
 /// Two engines that hold all layers; of two that have no work the first is
 /// asked.
 struct TwoEngines {
-  explicit TwoEngines(RelayStory& aStory)
+  explicit TwoEngines(RelayFixture& aStory)
       : mFirst(aStory.mLoop, "e1"), mSecond(aStory.mLoop, "e2") {
     aStory.Begin();
     aStory.BeginEngine(mFirst);
-    aStory.BeatEngine(mSecond);
+    aStory.SendEngineHeartbeat(mSecond);
     REQUIRE(aStory.RunUntil([&aStory] {
       aStory.mRouter->RefreshGauges();
       return aStory.mRouter->OwnCounters().Value("upstreams_ready") == 4;
@@ -60,7 +60,7 @@
 }  // namespace
 
 Test(upstream_rest, of_a_plain_service_is_kept) {
-  RelayStory story;
+  RelayFixture story;
   story.Begin();
   story.mA.TurnAway(kRest);
   AwaitRefusal(story, story.mA, "/look/1");
@@ -77,7 +77,7 @@
 }
 
 Test(upstream_rest, of_an_engine_that_begins_paths_is_kept) {
-  RelayStory story;
+  RelayFixture story;
   TwoEngines engines(story);
   engines.mFirst.TurnAway(kRest);
   AwaitRefusal(story, engines.mFirst, "/stream/1");
@@ -85,7 +85,7 @@
 }
 
 Test(upstream_rest, is_kept_though_nobody_else_is_there) {
-  RelayStory story;
+  RelayFixture story;
   story.Begin();
   story.mA.TurnAway(kRest);
   story.mB.TurnAway(kRest);
@@ -97,7 +97,7 @@
 }
 
 Test(upstream_rest, is_kept_by_streams_that_go_on_elsewhere) {
-  RelayStory story;
+  RelayFixture story;
   TwoEngines engines(story);
   engines.mSecond.TurnAway(kRest);
   // Cut by the first, it is sent to the second.
@@ -115,7 +115,7 @@
 
 Test(upstream_rest,
      is_not_needed_for_a_request_to_go_elsewhere_after_a_refusal) {
-  RelayStory story;
+  RelayFixture story;
   TwoEngines engines(story);
   engines.mFirst.TurnAway(0);
   const Millis from = SteadyNow();
@@ -127,12 +127,12 @@
 }
 
 Test(upstream_rest, of_the_only_engine_is_waited_for_by_a_begun_stream) {
-  RelayStory story;
+  RelayFixture story;
   TwoEngines engines(story);
   engines.mFirst.Next({UpstreamAct::kStall});
   const auto open = story.Open("/stream/1", "begun");
   REQUIRE(story.RunUntil([&open] { return !open->mAnswer.mBody.empty(); }));
-  story.BeatEngine(engines.mFirst, {0, 8}, UpstreamState::kLeaving);
+  story.SendEngineHeartbeat(engines.mFirst, {0, 8}, UpstreamState::kLeaving);
   REQUIRE(story.RunUntil([&story] {
     story.mRouter->RefreshGauges();
     return story.mRouter->OwnCounters().Value("upstreams_ready") == 3;
--- a/tests/daemons/upstream_leave_test.cpp
+++ b/tests/daemons/upstream_leave_test.cpp
@@ -11,7 +11,7 @@
 constexpr int kCalls = 50;
 
 /// Calls until an answer of this upstream came.
-void AwaitAnswer(RelayStory& aStory, const ScriptedUpstream& aUpstream,
+void AwaitAnswer(RelayFixture& aStory, const ScriptedUpstream& aUpstream,
                  const std::string& aTarget) {
   const Millis from = SteadyNow();
   for (int i = 0; aUpstream.ArrivalsSince(from) == 0; i++) {
@@ -22,7 +22,7 @@
 }
 
 /// Calls that must all be answered well.
-void CheckServed(RelayStory& aStory, const std::string& aTarget) {
+void CheckServed(RelayFixture& aStory, const std::string& aTarget) {
   for (int i = 0; i < kCalls; i++) {
     const Answer answer = aStory.Call(aTarget);
     CHECK_FOUND(answer.mStatus == kOk,
@@ -33,7 +33,7 @@
 }  // namespace
 
 Test(upstream_leave, told_in_an_answer_of_a_plain_service_holds) {
-  RelayStory story;
+  RelayFixture story;
   story.Begin();
   story.mA.SayLeaving();
   AwaitAnswer(story, story.mA, "/look/1");
@@ -54,7 +54,7 @@
 }
 
 Test(upstream_leave, told_in_a_refusal_holds) {
-  RelayStory story;
+  RelayFixture story;
   story.Begin();
   story.mA.SayLeaving();
   story.mA.TurnAway(0);
@@ -68,12 +68,12 @@
 }
 
 Test(upstream_leave, told_in_an_answer_of_an_engine_holds) {
-  RelayStory story;
+  RelayFixture story;
   ScriptedUpstream leaving(story.mLoop, "e1");
   ScriptedUpstream other(story.mLoop, "e2");
   story.Begin();
   story.BeginEngine(leaving);
-  story.BeatEngine(other);
+  story.SendEngineHeartbeat(other);
   story.Wait(500);
   leaving.SayLeaving();
   AwaitAnswer(story, leaving, "/stream/1");
--- a/tests/daemons/upstream_limit_test.cpp
+++ b/tests/daemons/upstream_limit_test.cpp
@@ -24,7 +24,7 @@
 /// Callers that ask several routers in turn, for as long as they are there.
 class Callers {
  public:
-  Callers(RelayStory& aStory, std::string aTarget)
+  Callers(RelayFixture& aStory, std::string aTarget)
       : mStory(aStory), mTarget(std::move(aTarget)) {
     mRouters.push_back(mStory.mRouter.get());
     for (int i = 1; i < kRouters; i++) {
@@ -55,7 +55,7 @@
                       {.mTarget = mTarget, .mId = "c" + std::to_string(n)}));
   }
 
-  RelayStory& mStory;
+  RelayFixture& mStory;
   std::string mTarget;
   std::vector<std::unique_ptr<RelayRouter>> mOthers;
   std::vector<RelayRouter*> mRouters;
@@ -66,7 +66,7 @@
 /// Lets time pass, while upstreams go on to be heard of.
 class Passing {
  public:
-  Passing(RelayStory& aStory, std::function<void()> aBeats)
+  Passing(RelayFixture& aStory, std::function<void()> aBeats)
       : mStory(aStory), mBeats(std::move(aBeats)) {}
 
   void Wait(Millis aTime) {
@@ -79,11 +79,11 @@
  private:
   static constexpr Millis kBeatEvery = 500;
 
-  RelayStory& mStory;
+  RelayFixture& mStory;
   std::function<void()> mBeats;
 };
 
-void CheckLimit(RelayStory& aStory, ScriptedUpstream& aLimited,
+void CheckLimit(RelayFixture& aStory, ScriptedUpstream& aLimited,
                 const std::string& aTarget, std::function<void()> aBeats) {
   aLimited.NameLimit(kPerSecond);
   const Callers callers(aStory, aTarget);
@@ -108,7 +108,7 @@
 }  // namespace
 
 Test(upstream_limit, of_a_plain_service_holds_over_all_routers) {
-  RelayStory story;
+  RelayFixture story;
   story.Begin();
   CheckLimit(story, story.mA, "/look/1", [&story] {
     story.Beat(story.mA, UpstreamState::kReady);
@@ -117,19 +117,19 @@
 }
 
 Test(upstream_limit, of_an_engine_that_begins_paths_holds_over_all_routers) {
-  RelayStory story;
+  RelayFixture story;
   ScriptedUpstream limited(story.mLoop, "limited");
   ScriptedUpstream other(story.mLoop, "other");
   story.Begin();
   story.BeginEngine(limited);
   CheckLimit(story, limited, "/stream/1", [&] {
-    story.BeatEngine(limited);
-    story.BeatEngine(other);
+    story.SendEngineHeartbeat(limited);
+    story.SendEngineHeartbeat(other);
   });
 }
 
 Test(upstream_limit, holds_for_requests_that_are_sent_once_more) {
-  RelayStory story;
+  RelayFixture story;
   story.Begin();
   const std::vector<UpstreamAct> refusals(1000, UpstreamAct::kRefuse);
   story.mB.Next(refusals);
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -85,7 +85,7 @@
   const CallerProtocol protocol = CallerHeaders();
   const RequestFacts facts = protocol.mReadRequest(Head());
   CHECK(facts.mId == "9c41" && facts.mKey == "k" && facts.mDeadline == 4000);
-  CHECK(facts.mPromptTokens == 1460 && facts.mMostTokens == 80);
+  CHECK(facts.mPromptTokens == 1460 && facts.mMaxTokens == 80);
   CHECK(facts.mExpectedTokens == 60 && facts.mLastEvent == 12);
   SECTION("the key stays here, the workspace is ours, the rest goes along") {
     const LayerPath path = {{"i-1", "10.1.0.1:80", {0, 20}},
@@ -126,11 +126,12 @@
                        facts)
           .mLimit;
     };
-    CHECK(protocol.mReadAnswer({.mStatus = 200}, facts).mLimit == LimitWord());
-    CHECK(limit("2.2") == (LimitWord{.mPerSecond = 2.2}));
-    CHECK(limit("0") == (LimitWord{.mPerSecond = 0}));
+    CHECK(protocol.mReadAnswer({.mStatus = 200}, facts).mLimit ==
+          LimitNotice());
+    CHECK(limit("2.2") == (LimitNotice{.mPerSecond = 2.2}));
+    CHECK(limit("0") == (LimitNotice{.mPerSecond = 0}));
     for (const char* text : {"", "-1", "nan", "inf", "2,2", "2 a second"}) {
-      CHECK(limit(text) == (LimitWord{.mClear = false}));
+      CHECK(limit(text) == (LimitNotice{.mClear = false}));
     }
   }
   SECTION("how long an upstream that turned a request away wants nothing") {
@@ -138,7 +139,7 @@
       return protocol
           .mReadAnswer(
               {.mStatus = aStatus, .mHeaders = {{"Retry-After", aText}}}, facts)
-          .mRest;
+          .mBackoff;
     };
     CHECK(rest(503, "3") == 3000);
     CHECK(rest(503, "0.2504") == 251);
