--- a/daemons/engine_call.h
+++ b/daemons/engine_call.h
@@ -1,4 +1,4 @@
-/// Calls of engines with messages of the seam.
+/// HTTP calls to engines with messages of the EngineProtocol.
 #pragma once
 
 #include <string>
@@ -8,7 +8,8 @@
 
 namespace spindleweir {
 
-/// A call that sends aMessage to the upstream at aAddress ("IP:PORT").
+/// Options of a call that sends aMessage to the upstream at aAddress
+/// ("IP:PORT"). Throws if the address is invalid.
 StreamCallOptions MakeEngineCall(EngineMessage aMessage,
                                  const std::string& aAddress, Millis aTimeout);
 
--- a/daemons/entry_vms_file.cpp
+++ b/daemons/entry_vms_file.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-constexpr Millis kCheckPeriod = 200;
+constexpr Millis kCheckInterval = 200;
 
 }  // namespace
 
 EntryVmsFile::EntryVmsFile(EventLoop& aLoop, std::string aPath)
     : mPath(std::move(aPath)),
-      mTimer(aLoop.Every(kCheckPeriod, [this] { Check(); })) {}
+      mTimer(aLoop.Every(kCheckInterval, [this] { Check(); })) {}
 
 void EntryVmsFile::Check() {
   const std::string text = ReadFile(mPath).value_or("");
--- a/daemons/invalid_messages.cpp
+++ b/daemons/invalid_messages.cpp
@@ -7,75 +7,75 @@
 
 namespace {
 
-/// What is shown of a name or a message that another writer chose.
-constexpr std::size_t kShown = 200;
+/// Names and error texts from other processes are cut to this length in logs.
+constexpr std::size_t kMaxLoggedLength = 200;
 
 }  // namespace
 
-void InvalidMessages::Record(const char* aAt, const std::string& aInstance,
+void InvalidMessages::Record(const char* aSource, const std::string& aInstance,
                              const Error& aWhy) {
-  const std::string labels = std::string("at=\"") + aAt + "\",cause=\"" +
+  const std::string labels = std::string("at=\"") + aSource + "\",cause=\"" +
                              std::string(InfoOf(aWhy.Code()).mName) + "\"";
   mCounters.Add("bad_upstream_words", labels);
-  const InvalidMessageLogLimiter::Decision turn =
-      mPaces[labels].OnInvalidMessage(SteadyNow());
-  if (!turn.mShouldLog) {
+  const InvalidMessageLogLimiter::Decision decision =
+      mLogLimiters[labels].OnInvalidMessage(SteadyNow());
+  if (!decision.mShouldLog) {
     return;
   }
   LogLine(LogLevel::kWarning, "upstream_word_left_out")
-      .Add("at", aAt)
-      .Add("instance", aInstance.substr(0, kShown))
+      .Add("at", aSource)
+      .Add("instance", aInstance.substr(0, kMaxLoggedLength))
       .Add("code", static_cast<int>(aWhy.Code()))
-      .Add("why", std::string(aWhy.what()).substr(0, kShown))
-      .Add("not_logged", turn.mSuppressed);
+      .Add("why", std::string(aWhy.what()).substr(0, kMaxLoggedLength))
+      .Add("not_logged", decision.mSuppressed);
 }
 
-InvalidRowHook InvalidMessages::HookFor(const char* aAt) {
-  return [this, aAt](const std::string& aInstance, const Error& aWhy) {
-    Record(aAt, aInstance, aWhy);
+InvalidRowHook InvalidMessages::HookFor(const char* aSource) {
+  return [this, aSource](const std::string& aInstance, const Error& aWhy) {
+    Record(aSource, aInstance, aWhy);
   };
 }
 
 template <class Rows>
-Rows InvalidMessages::RowsOf(const char* aAt,
-                             const std::function<Rows()>& aRead) {
+Rows InvalidMessages::ReadOrRecord(const char* aSource,
+                                   const std::function<Rows()>& aRead) {
   try {
     return aRead();
   } catch (const Error& error) {
-    Record(aAt, "", error);
+    Record(aSource, "", error);
     return {};
   }
 }
 
-std::vector<UpstreamRecord> InvalidMessages::Unpack(const char* aAt,
+std::vector<UpstreamRecord> InvalidMessages::Unpack(const char* aSource,
                                                     std::string_view aPacked) {
-  return RowsOf<std::vector<UpstreamRecord>>(
-      aAt, [&] { return UnpackUpstreams(aPacked, HookFor(aAt)); });
+  return ReadOrRecord<std::vector<UpstreamRecord>>(
+      aSource, [&] { return UnpackUpstreams(aPacked, HookFor(aSource)); });
 }
 
 std::vector<UpstreamRecord> InvalidMessages::Unpack(
-    const char* aAt, const UpstreamUpdate& aNews) {
-  return RowsOf<std::vector<UpstreamRecord>>(aAt, [&] {
-    RequireAge(aNews.mAge);
+    const char* aSource, const UpstreamUpdate& aUpdate) {
+  return ReadOrRecord<std::vector<UpstreamRecord>>(aSource, [&] {
+    RequireAge(aUpdate.mAge);
     std::vector<UpstreamRecord> records =
-        UnpackUpstreams(aNews.mText, HookFor(aAt));
+        UnpackUpstreams(aUpdate.mText, HookFor(aSource));
     for (UpstreamRecord& record : records) {
-      record.mLastSeenAgo += aNews.mAge;
+      record.mLastSeenAgo += aUpdate.mAge;
     }
     return records;
   });
 }
 
 std::vector<UpstreamHeartbeat> InvalidMessages::UnpackHeartbeats(
-    const char* aAt, const Json::Value& aTable) {
-  return RowsOf<std::vector<UpstreamHeartbeat>>(
-      aAt, [&] { return ReadHeartbeats(aTable, HookFor(aAt)); });
+    const char* aSource, const Json::Value& aTable) {
+  return ReadOrRecord<std::vector<UpstreamHeartbeat>>(
+      aSource, [&] { return ReadHeartbeats(aTable, HookFor(aSource)); });
 }
 
-LoadShares InvalidMessages::UnpackLoadShares(const char* aAt,
+LoadShares InvalidMessages::UnpackLoadShares(const char* aSource,
                                              std::string_view aPacked) {
-  return RowsOf<LoadShares>(aAt,
-                            [&] { return UnpackLoads(aPacked, HookFor(aAt)); });
+  return ReadOrRecord<LoadShares>(
+      aSource, [&] { return UnpackLoads(aPacked, HookFor(aSource)); });
 }
 
 }  // namespace spindleweir
--- a/daemons/invalid_messages.h
+++ b/daemons/invalid_messages.h
@@ -1,4 +1,4 @@
-/// Counts and logs word of upstreams that cannot be used.
+/// Counts and logs invalid messages about upstreams.
 #pragma once
 
 #include <json/value.h>
@@ -16,32 +16,35 @@
 
 namespace spindleweir {
 
-/// One per process. Each word counts under `bad_upstream_words` by where it
-/// came in and by its result; a log line tells one of many.
+/// One per process. Each invalid message is counted under `bad_upstream_words`
+/// by its source and error code; the log is rate limited.
 class InvalidMessages {
  public:
   explicit InvalidMessages(Counters& aCounters) : mCounters(aCounters) {}
 
-  /// aAt: where it came in: "heartbeat", "news", "loads", "disk", "report".
-  void Record(const char* aAt, const std::string& aInstance, const Error& aWhy);
-  /// The same as a hook.
-  InvalidRowHook HookFor(const char* aAt);
-  /// The rows of a list that can be used; none where it cannot be read at all.
-  std::vector<UpstreamRecord> Unpack(const char* aAt, std::string_view aPacked);
-  /// The same of records as they were some time ago, with their ages of now.
-  std::vector<UpstreamRecord> Unpack(const char* aAt,
-                                     const UpstreamUpdate& aNews);
-  std::vector<UpstreamHeartbeat> UnpackHeartbeats(const char* aAt,
+  /// Counts one invalid message of aInstance (empty: unknown). aSource:
+  /// "heartbeat", "news", "loads", "crashes", "disk" or "report".
+  void Record(const char* aSource, const std::string& aInstance,
+              const Error& aWhy);
+  /// A hook that calls Record() for each invalid row.
+  InvalidRowHook HookFor(const char* aSource);
+  /// The valid rows of a list; none if the list as a whole cannot be parsed.
+  std::vector<UpstreamRecord> Unpack(const char* aSource,
+                                     std::string_view aPacked);
+  /// The same for records of some time ago; adds the update's age to theirs.
+  std::vector<UpstreamRecord> Unpack(const char* aSource,
+                                     const UpstreamUpdate& aUpdate);
+  std::vector<UpstreamHeartbeat> UnpackHeartbeats(const char* aSource,
                                                   const Json::Value& aTable);
-  LoadShares UnpackLoadShares(const char* aAt, std::string_view aPacked);
+  LoadShares UnpackLoadShares(const char* aSource, std::string_view aPacked);
 
  private:
-  /// What aRead gives; nothing where it throws.
+  /// Returns the result of aRead; an empty list if aRead throws.
   template <class Rows>
-  Rows RowsOf(const char* aAt, const std::function<Rows()>& aRead);
+  Rows ReadOrRecord(const char* aSource, const std::function<Rows()>& aRead);
 
   Counters& mCounters;
-  std::map<std::string, InvalidMessageLogLimiter> mPaces;  ///< By labels.
+  std::map<std::string, InvalidMessageLogLimiter> mLogLimiters;  ///< By labels.
 };
 
 }  // namespace spindleweir
--- a/daemons/rpc_meter.cpp
+++ b/daemons/rpc_meter.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr Millis kLogPeriod = 10000;
+constexpr Millis kLogInterval = 10000;
 
 }  // namespace
 
@@ -14,7 +14,7 @@
                    RpcMeterOptions aOptions)
     : mCounters(aCounters), mOptions(std::move(aOptions)) {
   aChannel.OnBytes([this](const RpcBytes& aBytes) { Count(aBytes); });
-  mTimer = aLoop.Every(kLogPeriod, [this] { Log(); });
+  mTimer = aLoop.Every(kLogInterval, [this] { Log(); });
 }
 
 void RpcMeter::Count(const RpcBytes& aBytes) {
@@ -27,17 +27,17 @@
   mCounters.Add("rpc_bytes", labels + "sent\"", aBytes.mSent);
   mCounters.Add("rpc_bytes", labels + "received\"", aBytes.mReceived);
   if (other != mOptions.mZone) {
-    mBetween[aBytes.mMethod] += aBytes.mSent + aBytes.mReceived;
-    mCalls[aBytes.mMethod]++;
+    mInterZoneBytes[aBytes.mMethod] += aBytes.mSent + aBytes.mReceived;
+    mInterZoneCalls[aBytes.mMethod]++;
   }
 }
 
 void RpcMeter::Log() const {
   Json::Value bytes(Json::objectValue);
   Json::Value calls(Json::objectValue);
-  for (const auto& [kind, n] : mBetween) {
+  for (const auto& [kind, n] : mInterZoneBytes) {
     bytes[kind] = static_cast<Json::Int64>(n);
-    calls[kind] = static_cast<Json::Int64>(mCalls.at(kind));
+    calls[kind] = static_cast<Json::Int64>(mInterZoneCalls.at(kind));
   }
   LogLine(LogLevel::kInfo, "bytes_between_zones")
       .Add("bytes", bytes)
--- a/daemons/rpc_meter.h
+++ b/daemons/rpc_meter.h
@@ -1,4 +1,4 @@
-/// Counts what calls between processes put on the wire, by kind and zone.
+/// Counts the bytes of calls between processes by method and zone.
 #pragma once
 
 #include <cstdint>
@@ -13,16 +13,16 @@
 
 namespace spindleweir {
 
-/// What a meter counts for.
+/// Settings of an RpcMeter.
 struct RpcMeterOptions {
-  std::string mZone;  ///< Of this process.
-  /// The zone of another process; empty: not known.
+  std::string mZone;  ///< The zone of this process.
+  /// Returns the zone of another process; empty: not known.
   std::function<std::string(const Endpoint&)> mZoneOf;
 };
 
-/// Counter "rpc_bytes", by kind (the method), zone (own, other, unknown) and
-/// way (sent, received), each call counted where it was made; a log line with
-/// the sums between zones each 10 s.
+/// Adds to the counter "rpc_bytes" by kind (the method), zone (own, other,
+/// unknown) and way (sent, received); only the process that makes a call counts
+/// it. Logs the sums of calls that left the zone every 10 s.
 class RpcMeter {
  public:
   RpcMeter(EventLoop& aLoop, RpcChannel& aChannel, Counters& aCounters,
@@ -34,9 +34,10 @@
 
   Counters& mCounters;
   RpcMeterOptions mOptions;
-  /// Bytes between zones by kind, both ways.
-  std::map<std::string, std::int64_t> mBetween;
-  std::map<std::string, std::int64_t> mCalls;
+  /// By method: bytes sent and received, and calls, to processes that are not
+  /// known to be in this zone.
+  std::map<std::string, std::int64_t> mInterZoneBytes;
+  std::map<std::string, std::int64_t> mInterZoneCalls;
   std::unique_ptr<Timer> mTimer;
 };
 
--- a/daemons/upstream_watcher.cpp
+++ b/daemons/upstream_watcher.cpp
@@ -21,7 +21,7 @@
       mEngines(aClient),
       mListTimer(aLoop.Every(mOptions.mListInterval, [this] { ReadList(); })),
       mReportTimer(
-          aLoop.Every(mOptions.mReportInterval, [this] { AskReports(); })) {
+          aLoop.Every(mOptions.mReportInterval, [this] { PollReports(); })) {
   ReadList();
 }
 
@@ -37,7 +37,7 @@
                                       ParseEndpoint(vm.mAddress, vm.mVm),
                                       vm.mLeaving, mLoop.RunningNow());
                        } catch (const Error&) {
-                         // A VM without a usable address cannot be an upstream.
+                         // A VM without a valid address cannot be an upstream.
                          continue;
                        }
                      }
@@ -45,16 +45,16 @@
                    });
 }
 
-void UpstreamWatcher::AskReports() {
+void UpstreamWatcher::PollReports() {
   for (const auto& [vm, upstream] : mView.All()) {
-    if (!upstream.mService.empty() || mOpen.contains(vm)) {
+    if (!upstream.mService.empty() || mPending.contains(vm)) {
       continue;
     }
     const std::string name = vm;
-    mOpen.insert(name);
+    mPending.insert(name);
     mEngines.GetReport(upstream.mAddress, kReportTimeout,
                        [this, name](const EngineReport* aReport) {
-                         mOpen.erase(name);
+                         mPending.erase(name);
                          if (aReport == nullptr || aReport->mEngine != name) {
                            return;
                          }
--- a/include/spindleweir/daemons/control_daemon.h
+++ b/include/spindleweir/daemons/control_daemon.h
@@ -1,5 +1,5 @@
-/// A control process: a voter of the replicated log, a claim keeper, a store
-/// of receipts, and the operators' interface.
+/// A control process: a voter of the replicated log, a claim keeper, a receipt
+/// store and the operators' interface.
 #pragma once
 
 #include <memory>
@@ -16,28 +16,32 @@
 struct ControlOptions {
   std::string mId;
   std::string mZone;
-  Endpoint mRpcListen;       ///< For our processes.
+  Endpoint mRpcListen;       ///< For routers and other controls.
   Endpoint mOperatorListen;  ///< For operators.
   std::string mOperatorKey;
   std::string mClusterKey;
-  std::string mEntryVms;  ///< Path of the list of entry VMs.
-  std::string mData;      ///< The data folder.
-  /// The first voters, by id; used only with an empty data folder. Without
-  /// them an empty process waits to be made a voter by the others.
+  std::string mEntryVms;  ///< Path of the file that lists entry VMs.
+  std::string mData;      ///< Path of the data folder.
+  /// Ids of the first voters; used only if the data folder is empty. A process
+  /// with an empty folder and no initial voters waits until the others make it
+  /// a voter.
   std::vector<std::string> mInitialVoters;
   Endpoint mPlatform;
   std::string mPortFile;
   Millis mElectionTimeout = 500;
   Millis mPlanLifetime = 600000;
-  std::size_t mReceipts = 100000;  ///< Kept on this VM.
+  std::size_t mReceipts = 100000;  ///< Max. number stored on this VM.
 
-  /// For a control that finds the others by seeds instead of a list.
-  std::vector<Endpoint> mSeeds;      ///< RPC addresses of some controls.
-  bool mFirstStart = false;          ///< Of the whole deployment.
+  /// The members below are for a control that finds the others by seeds
+  /// instead of a list.
+  std::vector<Endpoint> mSeeds;  ///< RPC addresses of some controls.
+  bool mFirstStart = false;      ///< The whole deployment starts for
+  ///< the first time.
   Millis mHeartbeatInterval = 1200;  ///< Of upstreams.
-  /// Heartbeats a second that it takes itself; see CollectorChoiceOptions.
+  /// Heartbeats per second above which control refers upstreams to collectors;
+  /// see CollectorChoiceOptions.
   int mMaxLocalHeartbeats = 50;
-  RetryAllowanceOptions mRetries;  ///< As the routers have them.
+  RetryAllowanceOptions mRetries;  ///< The same as the routers'.
   DocumentProtocol mDocuments;
   EngineProtocol mEngines;
 };
--- a/include/spindleweir/daemons/entry_vms_file.h
+++ b/include/spindleweir/daemons/entry_vms_file.h
@@ -1,4 +1,4 @@
-/// Reads the list of entry VMs from its file again whenever it changes.
+/// Watches the file that lists the entry VMs and reads it when it changes.
 #pragma once
 
 #include <sigc++/signal.h>
@@ -11,8 +11,8 @@
 
 namespace spindleweir {
 
-/// The file and its last good content. A bad file after a good one is logged
-/// and left unused.
+/// The file and its last valid content. Invalid content is logged and ignored:
+/// the last valid list stays in use.
 class EntryVmsFile {
  public:
   EntryVmsFile(EventLoop& aLoop, std::string aPath);
@@ -21,7 +21,8 @@
   sigc::signal<void, const EntryVms&>& SignalChanged() {
     return mSignalChanged;
   }
-  /// Reads the file if it changed.
+  /// Reads the file and emits SignalChanged() if its content changed and is
+  /// valid. Runs periodically.
   void Check();
 
  private:
--- a/include/spindleweir/daemons/heartbeat_answer.h
+++ b/include/spindleweir/daemons/heartbeat_answer.h
@@ -1,4 +1,4 @@
-/// What a heartbeat, or the word that an upstream leaves, is answered with.
+/// The answer to an upstream's heartbeat or leave notice.
 #pragma once
 
 #include <functional>
@@ -7,13 +7,14 @@
 namespace spindleweir {
 
 struct HeartbeatAnswer {
-  /// False: not taken; the upstream is to tell another process.
+  /// False: not accepted; the upstream must send it to another process.
   bool mAccepted = true;
-  /// "IP:PORT" for the upstream's later heartbeats; empty: as before.
+  /// "IP:PORT" to which the upstream sends its next heartbeats; empty: the
+  /// address does not change.
   std::string mNextAddress;
 };
 
-/// Called once.
+/// Called once per heartbeat or leave notice.
 using HeartbeatDone = std::function<void(const HeartbeatAnswer&)>;
 
 }  // namespace spindleweir
--- a/include/spindleweir/daemons/joined_control.h
+++ b/include/spindleweir/daemons/joined_control.h
@@ -1,6 +1,6 @@
 /// A control process that finds the others by seeds and accepts
 /// configurations by their version: replicated log, registry of upstreams,
-/// placement. What operators and upstreams say reaches it as typed calls.
+/// placement. Requests of operators and upstreams reach it as typed calls.
 #pragma once
 
 #include <functional>
@@ -16,12 +16,13 @@
 
 namespace spindleweir {
 
-/// What an operator's call came to.
+/// The result of an operator's call.
 struct OperatorAnswer {
   ResultCode mCode = ResultCode::kOk;
   std::string mMessage;
-  std::string mDocument;  ///< For a read.
-  std::string mLeader;    ///< For kNotLeader: "IP:PORT" for operators.
+  std::string mDocument;  ///< Result of Read().
+  std::string mLeader;    ///< For kNotLeader: the leader's "IP:PORT" for
+                          ///< operators.
 };
 
 using OperatorDone = std::function<void(const OperatorAnswer&)>;
@@ -35,24 +36,27 @@
   JoinedControl(const JoinedControl&) = delete;
   JoinedControl& operator=(const JoinedControl&) = delete;
 
-  /// Accepts a configuration by its version; aDone is called once.
+  /// Publishes a configuration under the version that it carries; aDone is
+  /// called once.
   void Publish(const std::string& aDocument, const OperatorDone& aDone);
-  /// Gives the newest document; kNoQuorum where it may not be the newest.
+  /// Reads the newest document; kNoQuorum if the document held here may not be
+  /// the newest.
   void Read(const OperatorDone& aDone);
-  /// Takes a heartbeat; aDone is called once it may be acknowledged. Throws
-  /// kUnknownService.
+  /// Applies a heartbeat; aDone is called as soon as it may be acknowledged.
+  /// Throws kUnknownService.
   void ApplyHeartbeat(const UpstreamRecord& aRecord,
                       const HeartbeatDone& aDone);
-  /// aStart: of the incarnation that leaves; 0: not told.
+  /// Applies a leave notice. aStart: of the incarnation that leaves; 0:
+  /// unknown.
   void Leave(const std::string& aInstance, const HeartbeatDone& aDone,
              std::int64_t aStart = 0);
-  /// A heartbeat, or the word that one leaves, that cannot be used.
+  /// Counts and logs a heartbeat or leave notice that is invalid.
   void OnInvalidHeartbeat(const std::string& aInstance, const Error& aWhy);
 
-  /// Takes new seeds.
+  /// Replaces the seeds.
   void SetSeeds(std::vector<Endpoint> aSeeds);
   Counters& OwnCounters();
-  /// Sets the gauges that stand for the state of the moment.
+  /// Sets the gauges that describe the current state.
   void RefreshGauges();
   void Stop();
 
--- a/include/spindleweir/daemons/metrics_server.h
+++ b/include/spindleweir/daemons/metrics_server.h
@@ -1,4 +1,4 @@
-/// Tells the counters of a process in the Prometheus text format.
+/// Serves the counters of a process in the Prometheus text format.
 #pragma once
 
 #include <functional>
@@ -8,15 +8,15 @@
 
 namespace spindleweir {
 
-/// What is told.
+/// Settings of a MetricsServer.
 struct MetricsServerOptions {
   Endpoint mListen;
-  Counters* mCounters = nullptr;
-  /// Called before each answer, to set gauges.
+  Counters* mCounters = nullptr;  ///< Must outlive the server.
+  /// Called before each answer to set gauges; may be empty.
   std::function<void()> mRefresh;
 };
 
-/// Answers GET /metrics.
+/// Answers requests for /metrics; other paths get 404.
 class MetricsServer {
  public:
   /// Throws kCannotListen.
--- a/include/spindleweir/daemons/order_messages.h
+++ b/include/spindleweir/daemons/order_messages.h
@@ -1,4 +1,4 @@
-/// Orders to engines as a leader hands them to other controls.
+/// Messages by which a leader forwards orders for engines to other controls.
 #pragma once
 
 #include <cstdint>
@@ -10,18 +10,18 @@
 namespace spindleweir {
 
 namespace rpc_method {
-/// ForwardedOrders, from the leader to another control.
+/// Carries ForwardedOrders, from the leader to another control.
 inline constexpr const char* kOrders = "control.orders";
-/// An OrderRefusal, from there back to the leader.
+/// Carries an OrderRefusal, from that control to the leader.
 inline constexpr const char* kOrderRefused = "control.order_refused";
 }  // namespace rpc_method
 
-/// An order to hold layers.
+/// An order to an engine to hold layers.
 struct ForwardedOrder {
   std::string mInstance;
   std::string mAddress;  ///< "IP:PORT".
   LayerRange mLayers;
-  std::int64_t mStart = 0;  ///< Of the incarnation that is meant.
+  std::int64_t mStart = 0;  ///< Of the incarnation that must obey.
 
   template <class Codec>
   void Fields(Codec& aCodec) {
@@ -32,10 +32,10 @@
   }
 };
 
-/// Orders of one term.
+/// Orders that a leader forwards, all of one term.
 struct ForwardedOrders {
   std::int64_t mFence = 0;  ///< The leader's term.
-  std::string mLeader;      ///< Its id.
+  std::string mLeader;      ///< The leader's id.
   std::vector<ForwardedOrder> mOrders;
 
   template <class Codec>
@@ -46,10 +46,10 @@
   }
 };
 
-/// An engine did not take an order.
+/// Reports that an engine did not accept an order.
 struct OrderRefusal {
   ForwardedOrder mOrder;
-  int mStatus = 0;  ///< Of HTTP.
+  int mStatus = 0;  ///< HTTP status of the engine's answer.
 
   template <class Codec>
   void Fields(Codec& aCodec) {
--- a/include/spindleweir/daemons/peer_messages.h
+++ b/include/spindleweir/daemons/peer_messages.h
@@ -1,4 +1,4 @@
-/// What our processes tell each other with every probe.
+/// Messages that processes exchange: probes, receipts, method names.
 #pragma once
 
 #include <cstdint>
@@ -29,15 +29,15 @@
 inline constexpr const char* kRouterState = "router.state";
 }  // namespace rpc_method
 
-/// A probe, and likewise the answer to one.
+/// The sender's state; the content of a probe and of the answer to one.
 struct PeerState {
   std::string mFrom;
   std::string mZone;
-  std::int64_t mVersion = 0;  ///< Of its configuration.
+  std::int64_t mVersion = 0;  ///< Of the sender's configuration.
   bool mReady = false;
   std::vector<MemberUpdate> mUpdates;
   std::vector<LeaveNotice> mLeaving;
-  std::vector<WorkspaceDemand> mDemands;  ///< At the sender; routers only.
+  std::vector<WorkspaceDemand> mDemands;  ///< Only if a router sends.
 
   template <class Codec>
   void Fields(Codec& aCodec) {
@@ -51,8 +51,8 @@
   }
 };
 
-/// Asks a peer to probe another in the asker's place, or says that it was
-/// answered.
+/// Requests that a peer probes another in place of the sender, or reports that
+/// such a probe was answered.
 struct IndirectProbe {
   std::string mFrom;
   std::string mTarget;
@@ -64,7 +64,7 @@
   }
 };
 
-/// A batch of receipts on its way to a disk.
+/// A batch of receipts to be stored on disk.
 struct ReceiptBatch {
   std::vector<Receipt> mReceipts;
 
@@ -74,7 +74,7 @@
   }
 };
 
-/// Asks for the receipt of one request.
+/// Requests the receipt of one request.
 struct ReceiptQuery {
   std::string mRequest;
 
--- a/include/spindleweir/daemons/router_daemon.h
+++ b/include/spindleweir/daemons/router_daemon.h
@@ -1,4 +1,4 @@
-/// A router: takes callers' requests and streams answers.
+/// A router: accepts callers' requests and streams answers.
 #pragma once
 
 #include <memory>
@@ -15,21 +15,24 @@
   std::string mId;
   std::string mZone;
   Endpoint mListen;       ///< For callers.
-  Endpoint mRpcListen;    ///< For our processes.
-  std::string mEntryVms;  ///< Path of the list of entry VMs.
+  Endpoint mRpcListen;    ///< For controls and other routers.
+  std::string mEntryVms;  ///< Path of the file that lists entry VMs.
   Endpoint mPlatform;
   std::string mClusterKey;
-  std::string mPortFile;  ///< Where to write the addresses; empty: nowhere.
+  std::string mPortFile;  ///< Path of a file that receives the
+                          ///< addresses; empty: none is written.
   int mMaximumInFlight = 512;
   int mMaximumQueue = 1024;
-  int mMaxLoads = 4;           ///< Loads at a time in the zone.
-  Millis mStallTimeout = 700;  ///< Without a token before engines are probed.
-  /// Replaces the choice of chains, as the bench does to compare others.
+  int mMaxLoads = 4;           ///< Concurrent layer loads in the zone.
+  Millis mStallTimeout = 700;  ///< Without a token until engines are
+                               ///< probed.
+  /// Chooses chains; the bench replaces it to compare algorithms.
   std::function<ChainChoice(std::span<const ChainCandidate>, const ChainQuery&)>
       mChooseChain = ChooseChain;
-  /// Told of each configuration when it comes into force here.
+  /// Called with the version of each configuration that comes into force.
   std::function<void(std::int64_t)> mOnConfiguration;
-  Millis mStopUnready = 2000;  ///< Serves on so long after becoming unready.
+  Millis mStopUnready = 2000;  ///< Serves for this time after becoming
+                               ///< unready.
   Millis mStopGrace = 60000;   ///< For requests in flight at a planned stop.
 };
 
@@ -43,8 +46,8 @@
 
   const Endpoint& CallerAddress() const;
   const Endpoint& RpcAddress() const;
-  /// A planned stop: takes nothing new, serves what is in flight to its end,
-  /// then stops the loop.
+  /// Stops as planned: accepts no new requests, completes those in flight, then
+  /// stops the loop.
   void Stop();
 
  private:
--- a/include/spindleweir/daemons/sync_messages.h
+++ b/include/spindleweir/daemons/sync_messages.h
@@ -1,5 +1,6 @@
-/// What processes that joined by seeds ask and tell control a few times a
-/// second: who is there, what upstreams do, which configuration is in force.
+/// Messages by which processes that joined by seeds poll the controls a few
+/// times per second and report to them: controls, states of upstreams, loads,
+/// crashes and configurations.
 #pragma once
 
 #include <cstdint>
@@ -16,6 +17,7 @@
 namespace spindleweir {
 
 namespace rpc_method {
+/// A SyncRequest; answered by a SyncAnswer.
 inline constexpr const char* kSync = "control.sync";
 /// An UpstreamNotice.
 inline constexpr const char* kNotice = "control.notice";
@@ -23,7 +25,7 @@
 inline constexpr const char* kRetries = "control.retries";
 }  // namespace rpc_method
 
-/// Records that a control must know at once.
+/// Records that a control must receive immediately.
 struct UpstreamNotice {
   std::vector<Json::Value> mUpstreams;  ///< UpstreamRecord: see ReadRows.
 
@@ -33,11 +35,11 @@
   }
 };
 
-/// A router has requests that it may not send once more by its own part.
+/// A router requests credit for retries that its own share does not cover.
 struct RetryCreditRequest {
-  std::string mProcess;  ///< The router.
+  std::string mProcess;  ///< Name of the router.
   std::string mService;
-  int mWanted = 0;
+  int mWanted = 0;  ///< Retries.
 
   template <class Codec>
   void Fields(Codec& aCodec) {
@@ -47,9 +49,9 @@
   }
 };
 
-/// How many of them may go now.
+/// Answers a RetryCreditRequest.
 struct RetryCreditGrant {
-  int mGranted = 0;
+  int mGranted = 0;  ///< Retries that may be sent now.
 
   template <class Codec>
   void Fields(Codec& aCodec) {
@@ -57,35 +59,40 @@
   }
 };
 
-/// A router or control process asks a control process.
+/// A router or control polls a control.
 struct SyncRequest {
-  std::string mProcess;  ///< Name of who asks; new at each start.
+  std::string mProcess;  ///< Name of the poller; new at each start.
   std::string mZone;
-  ControlInfo mControl;  ///< Of a control that asks; else without id.
-  /// Of a control that asks: the ids of those that answered it lately.
+  ControlInfo mControl;  ///< Of a polling control; without id if a
+                         ///< router polls.
+  /// From a control: ids of the controls that answered it recently.
   std::vector<std::string> mAnsweringControls;
-  std::string
-      mKnownIncarnation;  ///< The life of the answerer that mRevision is of.
-  std::int64_t mRevision = 0;       ///< Of its registry, known so far.
-  std::int64_t mConfiguration = 0;  ///< The version held.
-  /// Held for silent by who asks: rows of SilentUpstream, see ReadRows.
+  std::string mKnownIncarnation;    ///< The answerer's incarnation to which the
+                                    ///< known numbers below belong.
+  std::int64_t mRevision = 0;       ///< Known revision of its registry.
+  std::int64_t mConfiguration = 0;  ///< Version that the poller holds.
+  /// Upstreams that the poller considers silent: rows of SilentUpstream, see
+  /// ReadRows.
   std::vector<Json::Value> mSilent;
-  /// The control that a router tells its loads to answered it lately.
+  /// From a router: the nearest control, to which it reports its loads,
+  /// answered it recently.
   bool mNearestAnswers = false;
-  /// "IP:PORT" where a router takes heartbeats; empty: it takes none.
+  /// "IP:PORT" at which a router collects heartbeats; empty: it collects none.
   std::string mCollectorAddress;
-  std::string mCollectedUpstreams;   ///< Those with news: see PackUpstreams.
+  std::string mCollectedUpstreams;   ///< Collected records that changed: see
+                                     ///< PackUpstreams.
   Json::Value mCollectedHeartbeats;  ///< Of the others: a HeartbeatTable, see
                                      ///< ReadHeartbeats.
-  /// The number of the loads that were heard last from who is asked.
+  /// Sequence number of the loads that were received last from the answerer.
   std::int64_t mKnownLoads = 0;
-  /// Of the loads that are told; 0: none are. They replace what was told.
+  /// Sequence number of mLoads, which replace those reported before; 0: no
+  /// loads are reported.
   std::int64_t mReportsLoads = 0;
   LoadTable mLoads;
-  /// The revision of the answerer's crash ledger that is known.
+  /// Known revision of the answerer's crash ledger.
   std::int64_t mKnownCrashRevision = 0;
-  /// Of a router: what its ledger has that the answerer was not told: rows of
-  /// CrashRecord, see ReadCrashes.
+  /// From a router: records of its ledger that the answerer has not received:
+  /// rows of CrashRecord, see ReadCrashes.
   std::vector<Json::Value> mCrashes;
 
   template <class Codec>
@@ -110,39 +117,40 @@
   }
 };
 
-/// The answer.
+/// Answers a SyncRequest.
 struct SyncAnswer {
   ControlInfo mSelf;
   std::string mIncarnation;  ///< New at each start of the answerer.
   std::vector<ControlInfo> mControls;
-  std::string mLeader;  ///< Id of the leader it follows; empty: none.
+  std::string mLeader;  ///< Id of the answerer's leader; empty: none.
   std::int64_t mTerm = 0;
   std::int64_t mRevision = 0;
-  std::vector<UpstreamUpdate> mUpstreamUpdates;  ///< Those that changed.
-  /// To another control: heartbeats that changed nothing, a HeartbeatTable.
+  std::vector<UpstreamUpdate> mUpstreamUpdates;  ///< Records that changed.
+  /// To a control: heartbeats that changed nothing else, a HeartbeatTable.
   Json::Value mHeartbeats;
-  /// Heard here later than who asks knows, though it holds them for silent:
-  /// rows of UpstreamRecord.
+  /// Upstreams that the poller considers silent but that the answerer has seen
+  /// later: rows of UpstreamRecord.
   std::vector<Json::Value> mNotSilent;
-  /// No newer version than this was accepted so long ago; -1: not known.
+  /// mConfirmedAgo milliseconds ago, no version newer than mConfirmedVersion
+  /// had been accepted; -1: not known.
   std::int64_t mConfirmedVersion = 0;
   Millis mConfirmedAgo = -1;
   std::vector<TrafficUpdate>
-      mConfigurationUpdates;  ///< From the version held, in order.
-  int mRouters = 1;           ///< That tell their loads to any control.
-  int mOwnRouters = 0;        ///< That tell them to this one.
-  Millis mPollInterval = 0;   ///< So often a router of its zone should ask.
-  /// Of all routers, to a router; of its own routers, to another control. Left
-  /// out where who asks has them by their number.
+      mConfigurationUpdates;  ///< After the poller's version, in order.
+  int mRouters = 1;           ///< That report their loads to any control.
+  int mOwnRouters = 0;        ///< That report them to this control.
+  Millis mPollInterval = 0;   ///< Of routers in the answerer's zone.
+  /// To a router: loads of all routers; to a control: loads of the routers that
+  /// report to the answerer. Empty if the poller has those of mLoadsNumber.
   std::string mPackedLoads;
-  std::int64_t mLoadsNumber = 0;  ///< 0: none are told.
-  Millis mLoadsAge = 0;           ///< Since they were summed up.
-  /// The number of what who asks told that is among them; 0: nothing.
+  std::int64_t mLoadsNumber = 0;  ///< Sequence number of the loads; 0: none.
+  Millis mLoadsAge = 0;           ///< Since the loads were summed.
+  /// Sequence number of the poller's own report that the sums include; 0: none.
   std::int64_t mIncludedLoads = 0;
-  /// Rows of CrashRecord that are new to who asks; to a router, of requests
-  /// that are or were barred.
+  /// Rows of CrashRecord that are new to the poller; to a router only those of
+  /// requests that are or were barred.
   std::vector<Json::Value> mCrashes;
-  std::int64_t mCrashRevision = 0;  ///< Known with them.
+  std::int64_t mCrashRevision = 0;  ///< Ledger's revision with mCrashes.
 
   template <class Codec>
   void Fields(Codec& aCodec) {
--- a/include/spindleweir/daemons/traffic_protocols.h
+++ b/include/spindleweir/daemons/traffic_protocols.h
@@ -1,6 +1,6 @@
-/// The seam between the product and a platform's manner of speaking: typed
-/// facts on one side, names and formats on the other. An implementation
-/// translates and decides nothing.
+/// The interface between the product and a platform's protocols: typed values
+/// on one side, field names and formats on the other. An implementation only
+/// translates; it makes no decisions.
 #pragma once
 
 #include <cstdint>
@@ -17,65 +17,66 @@
 
 namespace spindleweir {
 
-/// What a caller's request says of itself.
+/// Properties of a caller's request, read from its head.
 struct RequestFacts {
   std::string mId;
   std::string mHost;
-  std::string mKey;      ///< Empty: none was shown.
-  Millis mDeadline = 0;  ///< Milliseconds the caller waits; 0: not said.
+  std::string mKey;      ///< Empty: the request has none.
+  Millis mDeadline = 0;  ///< Time the caller waits; 0: not given.
   std::string mModel;
   double mPromptTokens = 0;
-  double mMaxTokens = 0;                   ///< That may be generated.
-  double mExpectedTokens = 0;              ///< By the caller's guess; 0: none.
-  std::optional<std::int64_t> mLastEvent;  ///< Goes on after this event.
+  double mMaxTokens = 0;       ///< Max. generated tokens; 0: not given.
+  double mExpectedTokens = 0;  ///< The caller's estimate; 0: none.
+  std::optional<std::int64_t> mLastEvent;  ///< Resumes after this event.
 };
 
-/// How a request is sent to an upstream.
+/// Properties of a request that is sent to an upstream.
 struct DispatchFacts {
   Millis mRemaining = 0;                   ///< Until the caller's deadline.
-  std::string mInstance;                   ///< No other incarnation may run it.
+  std::string mInstance;                   ///< Only this instance may run it.
   std::string mWorkspace;                  ///< Empty: none.
   const LayerPath* mPath = nullptr;        ///< For engines.
-  std::optional<std::int64_t> mLastEvent;  ///< Goes on after this event.
-  int mPriority = -1;                      ///< 0 to 9; -1: not said.
+  std::optional<std::int64_t> mLastEvent;  ///< Resumes after this event.
+  int mPriority = -1;                      ///< 0 to 9; -1: not given.
 };
 
-/// What an upstream's answer says of how often it may be asked.
+/// The request rate that an upstream's answer advertises as its limit.
 struct LimitNotice {
-  /// False: it says something that cannot be read.
+  /// False: the notice is there but cannot be parsed.
   bool mClear = true;
-  /// Requests a second that it takes from all routers together; none: as many
-  /// as there are.
+  /// Requests per second that the upstream accepts from all routers together;
+  /// empty: no limit.
   std::optional<double> mPerSecond;
 
   bool operator==(const LimitNotice&) const = default;
 };
 
-/// What an upstream's answer says beside its body.
+/// Properties of an upstream's answer, read from its head.
 struct AnswerFacts {
   Ran mRan = Ran::kUnknown;
-  bool mOurs = true;        ///< It belongs to this request.
-  bool mSigned = false;     ///< It carries the upstream's signature.
-  bool mIsStream = false;   ///< Its body is a stream of events.
-  bool mIsEncoded = false;  ///< Its body was changed on the way.
+  bool mOurs = true;        ///< The answer belongs to this request.
+  bool mSigned = false;     ///< The upstream signed the answer.
+  bool mIsStream = false;   ///< The body is a stream of events.
+  bool mIsEncoded = false;  ///< The body has a content encoding.
   std::string mCulprit;     ///< Address of the upstream that refused.
   LimitNotice mLimit;
-  /// It turned the request away, and wants nothing from this process for so
-  /// long; 0: not said.
+  /// The upstream refused the request and asks this process to send it nothing
+  /// for this time; 0: not given.
   Millis mBackoff = 0;
-  bool mLeaves = false;  ///< Its upstream takes no new work any more.
+  bool mLeaves = false;  ///< The upstream accepts no new work.
 };
 
-/// Callers' requests and upstreams' answers.
+/// Translates callers' requests and upstreams' answers.
 struct CallerProtocol {
-  /// Throws an Error that is answered as it says.
+  /// Throws an Error, which is sent to the caller as the answer.
   std::function<RequestFacts(const RequestHead&)> mReadRequest;
   std::function<HttpHeaders(const RequestHead&, const DispatchFacts&)>
       mWriteRequest;
   std::function<AnswerFacts(const AnswerHead&, const RequestFacts&)>
       mReadAnswer;
   std::function<HttpHeaders(const AnswerHead&)> mWriteAnswer;
-  /// Headers of an answer of our own; aRetryAfter in milliseconds, -1: none.
+  /// Headers of an answer that the router itself generates; aRetryAfter in
+  /// milliseconds, -1: no such header.
   std::function<HttpHeaders(const std::string& aRequestId, Millis aRetryAfter)>
       mWriteRefusal;
 };
@@ -88,12 +89,15 @@
   std::string mBody;
 };
 
-/// An order to hold layers.
+/// An order to an engine to hold layers.
 struct PlaceOrder {
   LayerRange mLayers;
   std::int64_t mFence = 0;
-  std::optional<std::int64_t> mExpectedOrders;  ///< Taken by it so far.
-  bool mCutsOff = false;  ///< Does not wait for what passes the old layers.
+  std::optional<std::int64_t>
+      mExpectedOrders;  ///< Accepted by the engine so far.
+  /// Takes effect at once, without waiting for requests that use the old
+  /// layers.
+  bool mCutsOff = false;
 };
 
 /// An order to move a running request to another path.
@@ -103,36 +107,37 @@
   std::int64_t mFence = 0;
 };
 
-/// A request that stands still, as its first engine reports.
+/// A stalled request, as the engine of its first stage reports it.
 struct StalledRequest {
   std::string mRequestId;
-  std::string mAddress;  ///< Of the engine it waits for.
+  std::string mAddress;  ///< Of the engine that the request waits for.
 };
 
-/// What an engine reports of itself.
+/// The state that an engine reports.
 struct EngineState {
   std::int64_t mStart = 0;  ///< See UpstreamRecord.
   LayerRange mLayers;
-  bool mBusy = false;        ///< An order is under way.
-  std::int64_t mOrders = 0;  ///< Taken so far.
-  double mSlowdown = 1;      ///< Over 1: it is slow.
-  int mWaiting = 0;
-  int mRunning = 0;
-  double mUsed = 0;   ///< Tokens x layers.
-  double mTotal = 0;  ///< Tokens x layers.
+  bool mBusy = false;        ///< An order is being carried out.
+  std::int64_t mOrders = 0;  ///< Accepted so far.
+  double mSlowdown = 1;      ///< Factor; 1: as modelled, more: slower.
+  int mWaiting = 0;          ///< Requests.
+  int mRunning = 0;          ///< Requests.
+  double mUsed = 0;          ///< Tokens x layers.
+  double mTotal = 0;         ///< Tokens x layers.
   std::vector<StalledRequest> mStalled;
 };
 
-/// Orders to engines and their reports.
+/// Translates orders to engines and engines' reports.
 struct EngineProtocol {
   std::function<EngineMessage(const PlaceOrder&)> mWritePlace;
   std::function<EngineMessage(const RepathOrder&)> mWriteRepath;
+  /// The message by which a router polls an engine's state.
   std::function<EngineMessage()> mWriteStateRequest;
   /// Throws kMalformedJson or kBadField.
   std::function<EngineState(std::string_view)> mReadState;
 };
 
-/// Configurations as operators write them.
+/// Parses configurations in the operators' format.
 struct DocumentProtocol {
   /// Throws kMalformedJson, kBadField or kBadConfiguration.
   std::function<TrafficConfiguration(std::string_view)> mRead;
--- a/include/spindleweir/daemons/upstream_watcher.h
+++ b/include/spindleweir/daemons/upstream_watcher.h
@@ -1,5 +1,5 @@
-/// Keeps an UpstreamView up to date: polls the platform's list and the
-/// engines' reports.
+/// Keeps an UpstreamView up to date by polling the platform's list of VMs and
+/// the engines' reports.
 #pragma once
 
 #include <functional>
@@ -13,16 +13,16 @@
 
 namespace spindleweir {
 
-/// How often it asks, and whom.
+/// Settings of an UpstreamWatcher.
 struct UpstreamWatcherOptions {
   Endpoint mPlatform;
   Millis mListInterval = 500;
   Millis mReportInterval = 250;
-  /// Told of each report, after the view.
+  /// Called with each report after the view has been updated; may be empty.
   std::function<void(const EngineReport&)> mOnReport;
 };
 
-/// Polls; at most one question to each engine is open at a time.
+/// Polls periodically; at most one request per engine is pending at a time.
 class UpstreamWatcher {
  public:
   UpstreamWatcher(EventLoop& aLoop, HttpClient& aClient, UpstreamView& aView,
@@ -30,14 +30,14 @@
 
  private:
   void ReadList();
-  void AskReports();
+  void PollReports();
 
   EventLoop& mLoop;
   HttpClient& mClient;
   UpstreamView& mView;
   UpstreamWatcherOptions mOptions;
   EngineClient mEngines;
-  std::set<std::string> mOpen;  ///< Engines asked and not yet heard.
+  std::set<std::string> mPending;  ///< Engines that have not answered yet.
   std::unique_ptr<Timer> mListTimer;
   std::unique_ptr<Timer> mReportTimer;
 };
