--- a/tests/daemons/crashing_request_test.cpp
+++ b/tests/daemons/crashing_request_test.cpp
@@ -19,23 +19,23 @@
 constexpr const char* kCrashing = "/look/crashing";
 constexpr int kUpstreams = 24;
 /// Crashes that it takes to know, and what may be under way meanwhile.
-constexpr int kMostCrashes = 6;
+constexpr int kMaxCrashes = 6;
 constexpr int kCalls = 10;
 
 /// Two routers before upstreams of which each crashes at most once.
-struct CrashStory {
-  CrashStory() {
-    REQUIRE(mStory.Publish(Document(Traffic(7))).mCode == ResultCode::kOk);
+struct CrashFixture {
+  CrashFixture() {
+    REQUIRE(mFixture.Publish(Document(Traffic(7))).mCode == ResultCode::kOk);
     for (int i = 0; i < kUpstreams; i++) {
       mUpstreams.push_back(std::make_unique<ScriptedUpstream>(
-          mStory.mLoop, "u" + std::to_string(i)));
+          mFixture.mLoop, "u" + std::to_string(i)));
       mUpstreams.back()->CrashOn("crashing");
-      mStory.Beat(*mUpstreams.back(), UpstreamState::kReady);
+      mFixture.SendHeartbeat(*mUpstreams.back(), UpstreamState::kReady);
     }
-    mOther = mStory.MakeRouter("other");
-    REQUIRE(mStory.RunUntil(
-        [this] { return mStory.mRouter->Ready() && mOther->Ready(); }));
-    REQUIRE(mStory.RunUntil([this] {
+    mOther = mFixture.MakeRouter("other");
+    REQUIRE(mFixture.RunUntil(
+        [this] { return mFixture.mRouter->Ready() && mOther->Ready(); }));
+    REQUIRE(mFixture.RunUntil([this] {
       mOther->RefreshGauges();
       return mOther->OwnCounters().Value("upstreams_ready") == kUpstreams;
     }));
@@ -53,12 +53,12 @@
   /// for word between them.
   void ComeAgain() {
     for (int i = 0; i < kCalls; i++) {
-      mStory.CallAt(i % 2 == 0 ? *mOther : *mStory.mRouter, kCrashing);
-      mStory.Wait(300);
+      mFixture.CallAt(i % 2 == 0 ? *mOther : *mFixture.mRouter, kCrashing);
+      mFixture.Wait(300);
     }
   }
 
-  RelayFixture mStory;
+  RelayFixture mFixture;
   std::vector<std::unique_ptr<ScriptedUpstream>> mUpstreams;
   std::unique_ptr<RelayRouter> mOther;
 };
@@ -66,43 +66,43 @@
 }  // namespace
 
 Test(crashing_request, comes_again_at_any_router_and_is_run_no_more) {
-  CrashStory story;
-  story.ComeAgain();
+  CrashFixture fixture;
+  fixture.ComeAgain();
   SECTION("only so many upstreams crash under it, over all routers and tries") {
-    CHECK(story.Crashed() <= kMostCrashes);
+    CHECK(fixture.Crashed() <= kMaxCrashes);
   }
   SECTION("whoever sends it is told at once, and that it did not run") {
-    const int before = story.Crashed();
-    CHECK(story.mStory.Call(kCrashing).mStatus == 503);
-    CHECK(story.mStory.CallAt(*story.mOther, kCrashing).mStatus == 503);
-    CHECK(story.Crashed() == before);
+    const int before = fixture.Crashed();
+    CHECK(fixture.mFixture.Call(kCrashing).mStatus == 503);
+    CHECK(fixture.mFixture.CallAt(*fixture.mOther, kCrashing).mStatus == 503);
+    CHECK(fixture.Crashed() == before);
   }
   SECTION("other requests of the same caller are served") {
-    CHECK(story.mStory.Call("/look/x").mStatus == 200);
-    CHECK(story.mStory.CallAt(*story.mOther, "/look/x").mStatus == 200);
+    CHECK(fixture.mFixture.Call("/look/x").mStatus == 200);
+    CHECK(fixture.mFixture.CallAt(*fixture.mOther, "/look/x").mStatus == 200);
   }
 }
 
 Test(crashing_request, stays_barred_when_all_processes_start_again) {
-  CrashStory story;
-  story.ComeAgain();
-  RelayFixture& all = story.mStory;
+  CrashFixture fixture;
+  fixture.ComeAgain();
+  RelayFixture& all = fixture.mFixture;
   REQUIRE(ReadFile(all.mFolder.Path("data/barred")).has_value());
   all.mRouter.reset();
-  story.mOther.reset();
+  fixture.mOther.reset();
   all.mControl.reset();
   all.StartControl();
   all.StartRouter();
-  for (const auto& upstream : story.mUpstreams) {
+  for (const auto& upstream : fixture.mUpstreams) {
     if (!upstream->Crashed()) {
-      all.Beat(*upstream, UpstreamState::kReady);
+      all.SendHeartbeat(*upstream, UpstreamState::kReady);
     }
   }
   REQUIRE(all.RunUntil([&all] { return all.mRouter->Ready(); }));
-  const int before = story.Crashed();
+  const int before = fixture.Crashed();
   SECTION("the first try after the start is refused already") {
     CHECK(all.Call(kCrashing).mStatus == 503);
-    CHECK(story.Crashed() == before);
+    CHECK(fixture.Crashed() == before);
   }
   SECTION("others are served") {
     CHECK(all.Call("/look/x").mStatus == 200);
@@ -112,55 +112,55 @@
 Test(crashing_request, costs_what_was_lost_with_it_no_place) {
   // A request that is under way at an upstream that ends, and is served by the
   // next one, has crashed nothing.
-  CrashStory story;
+  CrashFixture fixture;
   SECTION("however often upstreams end under it, since it completes between") {
     for (int i = 0; i < 5; i++) {
-      ScriptedUpstream ends(story.mStory.mLoop, "ends" + std::to_string(i));
+      ScriptedUpstream ends(fixture.mFixture.mLoop, "ends" + std::to_string(i));
       ends.CrashOn("innocent");
-      story.mStory.Beat(ends, UpstreamState::kReady);
+      fixture.mFixture.SendHeartbeat(ends, UpstreamState::kReady);
       for (int n = 0; !ends.Crashed(); n++) {
         REQUIRE(n < 2000);
-        CHECK(story.mStory.Call("/look/innocent").mStatus == 200);
+        CHECK(fixture.mFixture.Call("/look/innocent").mStatus == 200);
       }
     }
-    CHECK(story.mStory.Call("/look/innocent").mStatus == 200);
+    CHECK(fixture.mFixture.Call("/look/innocent").mStatus == 200);
   }
 }
 
 Test(crashing_request, is_none_that_passed_engines_which_end_at_once) {
-  RelayFixture story;
-  ScriptedUpstream first(story.mLoop, "first");
-  ScriptedUpstream second(story.mLoop, "second");
-  story.BeginEngine(first);
-  const auto hold = [&story](const ScriptedUpstream& aEngine, int aFrom) {
-    story.Beat({.mInstance = aEngine.Instance(),
-                .mService = "model",
-                .mAddress = aEngine.Address(),
-                .mZone = "z",
-                .mKind = "k",
-                .mSlots = 6,
-                .mLayers = {aFrom, aFrom + 4}});
+  RelayFixture fixture;
+  ScriptedUpstream first(fixture.mLoop, "first");
+  ScriptedUpstream second(fixture.mLoop, "second");
+  fixture.BeginEngine(first);
+  const auto hold = [&fixture](const ScriptedUpstream& aEngine, int aFrom) {
+    fixture.SendHeartbeat({.mInstance = aEngine.Instance(),
+                           .mService = "model",
+                           .mAddress = aEngine.Address(),
+                           .mZone = "z",
+                           .mKind = "k",
+                           .mSlots = 6,
+                           .mLayers = {aFrom, aFrom + 4}});
   };
   hold(first, 0);
   hold(second, 4);
-  story.Wait(600);
+  fixture.Wait(600);
   first.Next({UpstreamAct::kSilent});
   const int before = first.AllRuns();
   StreamCallOptions options;
-  options.mServer = story.mRouter->Address();
+  options.mServer = fixture.mRouter->Address();
   options.mMethod = "POST";
   options.mTarget = "/stream/x";
   options.mHeaders = {{"Host", "shop"}, {"X-Request", "p"}, {"X-Key", "key"}};
   bool ended = false;
   options.mOnEnd = [&](StreamEnd) { ended = true; };
-  const auto call = StartStreamCall(story.mLoop, std::move(options));
-  REQUIRE(story.RunUntil([&] { return first.AllRuns() > before; }));
+  const auto call = StartStreamCall(fixture.mLoop, std::move(options));
+  REQUIRE(fixture.RunUntil([&] { return first.AllRuns() > before; }));
   second.Crash();
   first.Crash();
-  REQUIRE(story.RunUntil([&] { return ended; }));
-  story.Wait(600);
+  REQUIRE(fixture.RunUntil([&] { return ended; }));
+  fixture.Wait(600);
   SECTION("it is a suspect for the one that began it") {
-    CHECK(story.mRouter->OwnCounters().Value("crashes_seen") == 1);
+    CHECK(fixture.mRouter->OwnCounters().Value("crashes_seen") == 1);
   }
 }
 
--- a/tests/daemons/cut_streams_test.cpp
+++ b/tests/daemons/cut_streams_test.cpp
@@ -43,27 +43,27 @@
 Test(cut_streams, one_router_may_need_more_retries_than_its_equal_part) {
   // Nine others share what may be sent again: 40 in a window, 4 of them its
   // own.
-  RelayFixture story(kShortWarmUp, {.mRatio = 0,
-                                    .mWindow = kWindow,
-                                    .mSlack = 40,
-                                    .mUsableShare = 1,
-                                    .mPooledShare = kDefaultPooledRetries});
+  RelayFixture fixture(kShortWarmUp, {.mRatio = 0,
+                                      .mWindow = kWindow,
+                                      .mSlack = 40,
+                                      .mUsableShare = 1,
+                                      .mPooledShare = kDefaultPooledRetries});
   // Room for all of them at one: what is asked is not whether they fit.
-  story.mSlots = 2 * kStreams;
-  story.Begin();
-  story.ReportRouters(9);
-  REQUIRE(
-      story.RunUntil([&story] { return KnownRouters(*story.mRouter) == 10; }));
+  fixture.mSlots = 2 * kStreams;
+  fixture.Begin();
+  fixture.ReportRouters(9);
+  REQUIRE(fixture.RunUntil(
+      [&fixture] { return KnownRouters(*fixture.mRouter) == 10; }));
   // Before, it keeps back what a process before it may have spent.
-  story.Wait(kWindow);
-  story.ReportRouters(9);
+  fixture.Wait(kWindow);
+  fixture.ReportRouters(9);
   SECTION("one upstream cuts a dozen of its streams, nobody else needs one") {
-    story.mA.Next(std::vector<UpstreamAct>(kStreams, UpstreamAct::kCut));
+    fixture.mA.Next(std::vector<UpstreamAct>(kStreams, UpstreamAct::kCut));
     std::vector<std::unique_ptr<OpenCall>> streams;
     for (int i = 0; i < kStreams; i++) {
-      streams.push_back(story.Open("/stream/1", "s" + std::to_string(i)));
+      streams.push_back(fixture.Open("/stream/1", "s" + std::to_string(i)));
     }
-    REQUIRE(story.RunUntil([&streams] {
+    REQUIRE(fixture.RunUntil([&streams] {
       return std::all_of(streams.begin(), streams.end(),
                          [](const auto& aStream) { return aStream->mEnded; });
     }));
@@ -72,7 +72,7 @@
     for (int i = 0; i < kStreams; i++) {
       const std::string id = "s" + std::to_string(i);
       whole += IsWhole(*streams[i]) ? 1 : 0;
-      again += story.mA.Runs(id) + story.mB.Runs(id) - 1;
+      again += fixture.mA.Runs(id) + fixture.mB.Runs(id) - 1;
     }
     CHECK(again >= 8);
     CHECK(whole == kStreams);
@@ -89,23 +89,24 @@
 // streams with the same 921 ms of silence, in one millisecond, of two engines,
 // 0.9 s after the router's last line; each engine ran on.
 Test(cut_streams, a_router_that_stood_still_takes_no_engine_for_silent) {
-  RelayFixture story;
-  ScriptedUpstream first(story.mLoop, "first");
-  ScriptedUpstream second(story.mLoop, "second");
-  story.Begin();
-  story.BeginEngine(first);
-  story.SendEngineHeartbeat(second);
-  REQUIRE(story.RunUntil([&story] {
-    story.mRouter->RefreshGauges();
-    return story.mRouter->OwnCounters().Value("upstreams_ready") == 4;
+  RelayFixture fixture;
+  ScriptedUpstream first(fixture.mLoop, "first");
+  ScriptedUpstream second(fixture.mLoop, "second");
+  fixture.Begin();
+  fixture.BeginEngine(first);
+  fixture.SendEngineHeartbeat(second);
+  REQUIRE(fixture.RunUntil([&fixture] {
+    fixture.mRouter->RefreshGauges();
+    return fixture.mRouter->OwnCounters().Value("upstreams_ready") == 4;
   }));
   const std::vector<UpstreamAct> paced(2, UpstreamAct::kPaced);
   first.Next(paced);
   second.Next(paced);
-  const auto stream = story.Open("/stream/1", "still");
-  REQUIRE(story.RunUntil([&stream] { return !stream->mAnswer.mBody.empty(); }));
+  const auto stream = fixture.Open("/stream/1", "still");
+  REQUIRE(
+      fixture.RunUntil([&stream] { return !stream->mAnswer.mBody.empty(); }));
   std::this_thread::sleep_for(std::chrono::milliseconds(kStill));
-  CHECK(story.RunUntil([&stream] { return stream->mEnded; }));
+  CHECK(fixture.RunUntil([&stream] { return stream->mEnded; }));
   CHECK(IsWhole(*stream));
   CHECK(first.Runs("still") + second.Runs("still") == 1);
 }
@@ -117,17 +118,17 @@
 // 16 to 18 of its 20 s left, while the engines came back 3.5 s later.
 Test(cut_streams, a_begun_stream_is_not_broken_off_while_it_has_time) {
   // One retry in 2 s, and it is spent.
-  RelayFixture story(
+  RelayFixture fixture(
       kShortWarmUp,
       {.mRatio = 0, .mWindow = kWindow, .mSlack = 1, .mUsableShare = 1});
-  story.Begin();
-  story.Wait(kWindow);
-  story.mA.Next({UpstreamAct::kCut});
-  story.mB.Next({UpstreamAct::kCut});
-  CHECK(story.Call("/look/1").mStatus == 502);
+  fixture.Begin();
+  fixture.Wait(kWindow);
+  fixture.mA.Next({UpstreamAct::kCut});
+  fixture.mB.Next({UpstreamAct::kCut});
+  CHECK(fixture.Call("/look/1").mStatus == 502);
   SECTION("its retry comes free 2 s later, of the 5 s that its route gives") {
-    const auto watch = story.CutNextOnce();
-    const Answer answer = story.Call("/stream/1");
+    const auto watch = fixture.CutNextOnce();
+    const Answer answer = fixture.Call("/stream/1");
     CHECK(answer.mEnd == StreamEnd::kComplete);
     CHECK(answer.mBody == WholeBody());
   }
--- a/tests/daemons/heartbeat_collectors_test.cpp
+++ b/tests/daemons/heartbeat_collectors_test.cpp
@@ -4,7 +4,8 @@
 
 namespace {
 
-UpstreamRecord RecordOf(RelayFixture& aStory, const ScriptedUpstream& aUpstream,
+UpstreamRecord RecordOf(RelayFixture& aFixture,
+                        const ScriptedUpstream& aUpstream,
                         UpstreamState aState) {
   return {.mInstance = aUpstream.Instance(),
           .mService = "counter",
@@ -12,77 +13,80 @@
           .mZone = "z",
           .mSlots = 6,
           .mState = aState,
-          .mSequence = ++aStory.mSequence};
+          .mSequence = ++aFixture.mSequence};
 }
 
 /// Sends a heartbeat to the router and waits for its answer.
-HeartbeatAnswer BeatAtRouter(RelayFixture& aStory,
-                             const UpstreamRecord& aRecord) {
+HeartbeatAnswer SendHeartbeatToRouter(RelayFixture& aFixture,
+                                      const UpstreamRecord& aRecord) {
   HeartbeatAnswer answer;
   bool ended = false;
-  aStory.mRouter->ApplyHeartbeat(aRecord, [&](const HeartbeatAnswer& aAnswer) {
-    answer = aAnswer;
-    ended = true;
-  });
-  REQUIRE(aStory.RunUntil([&ended] { return ended; }));
+  aFixture.mRouter->ApplyHeartbeat(aRecord,
+                                   [&](const HeartbeatAnswer& aAnswer) {
+                                     answer = aAnswer;
+                                     ended = true;
+                                   });
+  REQUIRE(aFixture.RunUntil([&ended] { return ended; }));
   return answer;
 }
 
 }  // namespace
 
-Test(takers_story, control_names_a_router_that_asks) {
-  RelayFixture story(kShortWarmUp, {}, 0);
-  story.Begin();
+Test(heartbeat_collectors, control_names_a_router_that_asks) {
+  RelayFixture fixture(kShortWarmUp, {}, 0);
+  fixture.Begin();
   std::string named;
   for (int i = 0; named.empty(); i++) {
     REQUIRE(i < 200);
     bool ended = false;
-    story.mControl->ApplyHeartbeat(
-        RecordOf(story, story.mA, UpstreamState::kReady),
+    fixture.mControl->ApplyHeartbeat(
+        RecordOf(fixture, fixture.mA, UpstreamState::kReady),
         [&](const HeartbeatAnswer& aAnswer) {
           named = aAnswer.mNextAddress;
           ended = true;
         });
-    REQUIRE(story.RunUntil([&ended] { return ended; }));
-    story.Wait(10);
+    REQUIRE(fixture.RunUntil([&ended] { return ended; }));
+    fixture.Wait(10);
   }
   CHECK(named == kCollectorAddress);
 }
 
-Test(takers_story, what_a_router_takes_control_knows) {
-  RelayFixture story;
-  story.Begin();
+Test(heartbeat_collectors, what_a_router_takes_control_knows) {
+  RelayFixture fixture;
+  fixture.Begin();
   SECTION("an upstream whose every heartbeat goes by the router is used") {
-    UpstreamRecord fresh = RecordOf(story, story.mB, UpstreamState::kReady);
+    UpstreamRecord fresh = RecordOf(fixture, fixture.mB, UpstreamState::kReady);
     fresh.mInstance = "fresh";
     fresh.mAddress = "127.0.0.1:9";
-    CHECK(BeatAtRouter(story, fresh).mAccepted);
-    CHECK(story.RunUntil([&story] {
-      story.mControl->RefreshGauges();
-      return story.mControl->OwnCounters().Value("upstreams_known") == 3;
+    CHECK(SendHeartbeatToRouter(fixture, fresh).mAccepted);
+    CHECK(fixture.RunUntil([&fixture] {
+      fixture.mControl->RefreshGauges();
+      return fixture.mControl->OwnCounters().Value("upstreams_known") == 3;
     }));
   }
   SECTION("one that leaves gets no new work once that is acknowledged") {
-    CHECK(
-        BeatAtRouter(story, RecordOf(story, story.mA, UpstreamState::kLeaving))
-            .mAccepted);
-    const int before = story.mA.AllRuns();
+    CHECK(SendHeartbeatToRouter(
+              fixture, RecordOf(fixture, fixture.mA, UpstreamState::kLeaving))
+              .mAccepted);
+    const int before = fixture.mA.AllRuns();
     for (int i = 0; i < 20; i++) {
-      CHECK(story.Call("/look/x").mStatus == 200);
+      CHECK(fixture.Call("/look/x").mStatus == 200);
     }
-    CHECK(story.mA.AllRuns() == before);
+    CHECK(fixture.mA.AllRuns() == before);
   }
 }
 
-Test(takers_story, what_no_control_knows_is_not_acknowledged) {
-  RelayFixture story;
-  story.Begin();
-  story.mControl.reset();
-  CHECK(!BeatAtRouter(story, RecordOf(story, story.mA, UpstreamState::kLeaving))
+Test(heartbeat_collectors, what_no_control_knows_is_not_acknowledged) {
+  RelayFixture fixture;
+  fixture.Begin();
+  fixture.mControl.reset();
+  CHECK(!SendHeartbeatToRouter(
+             fixture, RecordOf(fixture, fixture.mA, UpstreamState::kLeaving))
              .mAccepted);
   SECTION("nor does a router that stops take any") {
-    story.mRouter->Stop();
-    CHECK(!BeatAtRouter(story, RecordOf(story, story.mB, UpstreamState::kReady))
+    fixture.mRouter->Stop();
+    CHECK(!SendHeartbeatToRouter(
+               fixture, RecordOf(fixture, fixture.mB, UpstreamState::kReady))
                .mAccepted);
   }
 }
--- a/tests/daemons/large_fleet_test.cpp
+++ b/tests/daemons/large_fleet_test.cpp
@@ -29,33 +29,33 @@
 }  // namespace
 
 Test(large_fleet, a_service_that_never_answered_is_sent_its_first_request) {
-  RelayFixture story;
-  REQUIRE(story.Publish(Document(Traffic(7))).mCode == ResultCode::kOk);
-  story.Beat(story.mA, UpstreamState::kReady);
-  REQUIRE(story.RunUntil([&story] { return story.mRouter->Ready(); }));
-  story.ReportRouters(300);
-  REQUIRE(
-      story.RunUntil([&story] { return KnownRouters(*story.mRouter) > 290; }));
+  RelayFixture fixture;
+  REQUIRE(fixture.Publish(Document(Traffic(7))).mCode == ResultCode::kOk);
+  fixture.SendHeartbeat(fixture.mA, UpstreamState::kReady);
+  REQUIRE(fixture.RunUntil([&fixture] { return fixture.mRouter->Ready(); }));
+  fixture.ReportRouters(300);
+  REQUIRE(fixture.RunUntil(
+      [&fixture] { return KnownRouters(*fixture.mRouter) > 290; }));
   SECTION("though hundreds of routers share it, and none knows its time") {
-    CHECK(story.Call("/look/x").mStatus == 200);
-    CHECK(story.Call("/pay/x").mStatus == 200);
+    CHECK(fixture.Call("/look/x").mStatus == 200);
+    CHECK(fixture.Call("/pay/x").mStatus == 200);
   }
   SECTION("nor is one that comes by a route of a later configuration") {
     TrafficConfiguration traffic = Traffic(8);
     traffic.mRoutes.push_back(traffic.mRoutes.front());
     traffic.mRoutes.back().mName = "added";
     traffic.mRoutes.back().mPrefix = "/added/";
-    REQUIRE(story.Publish(Document(traffic)).mCode == ResultCode::kOk);
+    REQUIRE(fixture.Publish(Document(traffic)).mCode == ResultCode::kOk);
     int status = 404;
     for (int i = 0; status == 404; i++) {
       REQUIRE(i < 200);
-      status = story.Call("/added/x").mStatus;
-      story.Wait(10);
+      status = fixture.Call("/added/x").mStatus;
+      fixture.Wait(10);
     }
     CHECK(status == 200);
   }
   SECTION("what ended is not told as work that goes on") {
-    CHECK(AttemptsTold(*story.mRouter) == 0);
+    CHECK(AttemptsTold(*fixture.mRouter) == 0);
   }
 }
 
@@ -64,11 +64,12 @@
 // twice: 342 for 195, until the processes ended. Evidence: the routers' figure
 // at all 195 routers from the first reading to the last.
 Test(large_fleet, routers_that_ended_are_not_counted_for_ever) {
-  RelayFixture story(kShortWarmUp, {.mWindow = 500});
-  story.Begin();
-  std::unique_ptr<RelayRouter> second = story.MakeRouter("second");
-  REQUIRE(
-      story.RunUntil([&story] { return KnownRouters(*story.mRouter) == 2; }));
+  RelayFixture fixture(kShortWarmUp, {.mWindow = 500});
+  fixture.Begin();
+  std::unique_ptr<RelayRouter> second = fixture.MakeRouter("second");
+  REQUIRE(fixture.RunUntil(
+      [&fixture] { return KnownRouters(*fixture.mRouter) == 2; }));
   second.reset();
-  CHECK(story.RunUntil([&story] { return KnownRouters(*story.mRouter) == 1; }));
+  CHECK(fixture.RunUntil(
+      [&fixture] { return KnownRouters(*fixture.mRouter) == 1; }));
 }
--- a/tests/daemons/memory_test.cpp
+++ b/tests/daemons/memory_test.cpp
@@ -65,51 +65,51 @@
 
 /// A crowd of them, poked by a timer, and the most that is held meanwhile.
 struct Crowd {
-  explicit Crowd(RelayFixture& aStory) : mStory(aStory) {
-    mTimer = aStory.mLoop.Every(20, [this] { Step(); });
+  explicit Crowd(RelayFixture& aFixture) : mFixture(aFixture) {
+    mTimer = aFixture.mLoop.Every(20, [this] { Step(); });
   }
 
   void Add(int aCount, const std::string& aTarget, Slow aHow) {
     for (int i = 0; i < aCount; i++) {
       const std::string id = "slow" + std::to_string(mCallers.size());
       mIds.push_back(id);
-      mCallers.push_back(std::make_unique<SlowCaller>(mStory.mRouter->Address(),
-                                                      aTarget, id, aHow));
+      mCallers.push_back(std::make_unique<SlowCaller>(
+          mFixture.mRouter->Address(), aTarget, id, aHow));
     }
   }
 
   std::int64_t Gauge(const char* aName) const {
-    return mStory.mRouter->OwnCounters().Value(aName);
+    return mFixture.mRouter->OwnCounters().Value(aName);
   }
 
   void Step() {
     for (const auto& caller : mCallers) {
       caller->Poke();
     }
-    mStory.mRouter->RefreshGauges();
-    mMostHeld = std::max(mMostHeld, Gauge("memory_held_bytes"));
+    mFixture.mRouter->RefreshGauges();
+    mMaxHeld = std::max(mMaxHeld, Gauge("memory_held_bytes"));
   }
 
-  RelayFixture& mStory;
+  RelayFixture& mFixture;
   std::vector<std::unique_ptr<SlowCaller>> mCallers;
   std::vector<std::string> mIds;
-  std::int64_t mMostHeld = 0;
+  std::int64_t mMaxHeld = 0;
   std::unique_ptr<Timer> mTimer;
 };
 
 /// A call that comes back when it is refused, as callers do.
-Answer CallUntilServed(RelayFixture& aStory, const std::string& aTarget) {
+Answer CallUntilServed(RelayFixture& aFixture, const std::string& aTarget) {
   Answer answer;
   for (int i = 0; i < 400; i++) {
-    answer = aStory.Call(aTarget);
+    answer = aFixture.Call(aTarget);
     if (answer.mStatus == 200) {
       break;
     }
     // It was refused, and that is a promise.
     REQUIRE(answer.mStatus == 503);
     CHECK(FindHeader(answer.mHeaders, "Retry-After") != nullptr);
-    CHECK(aStory.RunsOfLast() == 0);
-    aStory.Wait(20);
+    CHECK(aFixture.RunsOfLast() == 0);
+    aFixture.Wait(20);
   }
   return answer;
 }
@@ -117,16 +117,16 @@
 }  // namespace
 
 Test(memory, callers_that_read_well_are_served_beside_those_that_do_not) {
-  RelayFixture story;
-  story.mMemoryBytes = kMemory;
+  RelayFixture fixture;
+  fixture.mMemoryBytes = kMemory;
   // Memory is what runs short: with few slots, full upstreams turn most slow
   // callers away before, and nobody has to be cut.
-  story.mSlots = 1000;
-  story.StartRouter();
-  story.Begin();
-  story.mA.SetBytes(kAnswer);
-  story.mB.SetBytes(kAnswer);
-  Crowd crowd(story);
+  fixture.mSlots = 1000;
+  fixture.StartRouter();
+  fixture.Begin();
+  fixture.mA.SetBytes(kAnswer);
+  fixture.mB.SetBytes(kAnswer);
+  Crowd crowd(fixture);
   crowd.Add(60, "/look/slow", Slow::kReadsNothing);
   crowd.Add(10, "/pay/slow", Slow::kReadsNothing);
   crowd.Add(10, "/look/slow", Slow::kReadsAByte);
@@ -137,28 +137,28 @@
   for (int i = 0; i < 20; i++) {
     crowd.Add(5, "/look/slow", Slow::kReadsNothing);
     for (const char* target : {"/look/good", "/pay/good"}) {
-      const Answer answer = CallUntilServed(story, target);
+      const Answer answer = CallUntilServed(fixture, target);
       CHECK(answer.mStatus == 200 && answer.mEnd == StreamEnd::kComplete);
-      CHECK(answer.mBody == ScriptedUpstream::BodyOf(story.Last(), kAnswer));
-      CHECK(story.RunsOfLast() == 1);
+      CHECK(answer.mBody == ScriptedUpstream::BodyOf(fixture.Last(), kAnswer));
+      CHECK(fixture.RunsOfLast() == 1);
     }
   }
   // Slow callers end by the route's time-out of 5 s, and upstreams that are
   // full turn further ones away: they come on until there is no room.
-  auto more = story.mLoop.Every(
+  auto more = fixture.mLoop.Every(
       100, [&crowd] { crowd.Add(5, "/look/slow", Slow::kReadsNothing); });
-  REQUIRE(story.RunUntil([&] { return crowd.Gauge("memory_cut") > 0; }));
+  REQUIRE(fixture.RunUntil([&] { return crowd.Gauge("memory_cut") > 0; }));
   more.reset();
-  CHECK(crowd.mMostHeld > bound / 4);
-  CHECK(crowd.mMostHeld <= bound);
+  CHECK(crowd.mMaxHeld > bound / 4);
+  CHECK(crowd.mMaxHeld <= bound);
   SECTION("none of the slow callers' requests ran twice") {
     for (const std::string& id : crowd.mIds) {
-      CHECK(story.mA.Runs(id) + story.mB.Runs(id) <= 1);
+      CHECK(fixture.mA.Runs(id) + fixture.mB.Runs(id) <= 1);
     }
   }
   SECTION("all is given back once they are gone") {
     crowd.mCallers.clear();
-    CHECK(story.RunUntil([&] {
+    CHECK(fixture.RunUntil([&] {
       return crowd.Gauge("memory_held_bytes") == 0 &&
              crowd.Gauge("memory_committed_bytes") == 0;
     }));
@@ -166,23 +166,23 @@
 }
 
 Test(memory, a_slow_caller_gets_its_whole_answer_where_there_is_room) {
-  RelayFixture story;
-  story.mMemoryBytes = kMemory;
-  story.StartRouter();
-  story.Begin();
-  story.mA.SetBytes(kAnswer);
-  story.mB.SetBytes(kAnswer);
-  SlowCaller caller(story.mRouter->Address(), "/pay/slow", "slow",
+  RelayFixture fixture;
+  fixture.mMemoryBytes = kMemory;
+  fixture.StartRouter();
+  fixture.Begin();
+  fixture.mA.SetBytes(kAnswer);
+  fixture.mB.SetBytes(kAnswer);
+  SlowCaller caller(fixture.mRouter->Address(), "/pay/slow", "slow",
                     Slow::kReadsNothing);
   caller.Poke();
-  const auto poke = story.mLoop.Every(20, [&caller] { caller.Poke(); });
+  const auto poke = fixture.mLoop.Every(20, [&caller] { caller.Poke(); });
   // Nothing is left at the upstream, which would cut it.
-  REQUIRE(story.RunUntil([&] {
-    story.mRouter->RefreshGauges();
-    return story.mRouter->OwnCounters().Value("memory_unread_bytes") >
+  REQUIRE(fixture.RunUntil([&] {
+    fixture.mRouter->RefreshGauges();
+    return fixture.mRouter->OwnCounters().Value("memory_unread_bytes") >
                static_cast<std::int64_t>(kAnswer / 2) &&
-           story.mRouter->OwnCounters().Value("requests_open") == 0;
+           fixture.mRouter->OwnCounters().Value("requests_open") == 0;
   }));
-  CHECK(story.mA.Runs("slow") + story.mB.Runs("slow") == 1);
-  CHECK(story.mRouter->OwnCounters().Value("memory_cut") == 0);
+  CHECK(fixture.mA.Runs("slow") + fixture.mB.Runs("slow") == 1);
+  CHECK(fixture.mRouter->OwnCounters().Value("memory_cut") == 0);
 }
--- a/tests/daemons/outcome_test.cpp
+++ b/tests/daemons/outcome_test.cpp
@@ -133,16 +133,16 @@
   std::unique_ptr<StreamCall> mCall;
 };
 
-std::shared_ptr<OpenCall> Start(RelayFixture& aStory,
+std::shared_ptr<OpenCall> Start(RelayFixture& aFixture,
                                 const std::string& aTarget, Millis aDeadline,
                                 std::string aBody = "") {
   auto open = std::make_shared<OpenCall>();
   StreamCallOptions options;
-  options.mServer = aStory.mRouter->Address();
+  options.mServer = aFixture.mRouter->Address();
   options.mMethod = "POST";
   options.mTarget = aTarget;
   options.mHeaders = {{"Host", "shop"},
-                      {"X-Request", "r" + std::to_string(++aStory.mRequest)},
+                      {"X-Request", "r" + std::to_string(++aFixture.mRequest)},
                       {"X-Key", "key"},
                       {"X-Deadline", std::to_string(aDeadline)}};
   options.mBody = std::move(aBody);
@@ -153,79 +153,79 @@
     open->mEnd = aEnd;
     open->mDone = true;
   };
-  open->mCall = StartStreamCall(aStory.mLoop, std::move(options));
+  open->mCall = StartStreamCall(aFixture.mLoop, std::move(options));
   return open;
 }
 
 /// A configuration in force, and one upstream known.
-void BeginWith(RelayFixture& aStory, const SocketUpstream& aUpstream,
+void BeginWith(RelayFixture& aFixture, const SocketUpstream& aUpstream,
                const TrafficConfiguration& aTraffic = Traffic(7)) {
-  REQUIRE(aStory.Publish(Document(aTraffic)).mCode == ResultCode::kOk);
-  aStory.Beat({.mInstance = "socket",
-               .mService = "counter",
-               .mAddress = aUpstream.Address(),
-               .mZone = "z",
-               .mSlots = 6});
-  REQUIRE(aStory.RunUntil([&] { return aStory.mRouter->Ready(); }));
+  REQUIRE(aFixture.Publish(Document(aTraffic)).mCode == ResultCode::kOk);
+  aFixture.SendHeartbeat({.mInstance = "socket",
+                          .mService = "counter",
+                          .mAddress = aUpstream.Address(),
+                          .mZone = "z",
+                          .mSlots = 6});
+  REQUIRE(aFixture.RunUntil([&] { return aFixture.mRouter->Ready(); }));
   // Until the router has heard of it as well.
-  aStory.Wait(600);
+  aFixture.Wait(600);
 }
 
 }  // namespace
 
 Test(outcomes, a_failure_of_the_upstream_is_no_promise) {
-  RelayFixture story;
-  story.Begin();
+  RelayFixture fixture;
+  fixture.Begin();
   for (int status : kPromises) {
     // It says nothing of not running, so that it may have run.
-    story.mA.FailWith(status);
-    story.mB.FailWith(status);
-    story.mA.Next({UpstreamAct::kFail});
-    story.mB.Next({UpstreamAct::kFail});
-    const Answer answer = story.Call("/pay/1");
+    fixture.mA.FailWith(status);
+    fixture.mB.FailWith(status);
+    fixture.mA.Next({UpstreamAct::kFail});
+    fixture.mB.Next({UpstreamAct::kFail});
+    const Answer answer = fixture.Call("/pay/1");
     CHECK(answer.mStatus == 502);
-    CHECK(story.RunsOfLast() == 1);
-    story.mA.Next({});
-    story.mB.Next({});
+    CHECK(fixture.RunsOfLast() == 1);
+    fixture.mA.Next({});
+    fixture.mB.Next({});
   }
   SECTION("of what may be repeated it is handed on") {
-    story.mA.Next({UpstreamAct::kFail, UpstreamAct::kFail});
-    story.mB.Next({UpstreamAct::kFail, UpstreamAct::kFail});
-    CHECK(story.Call("/look/1").mStatus == 503);
+    fixture.mA.Next({UpstreamAct::kFail, UpstreamAct::kFail});
+    fixture.mB.Next({UpstreamAct::kFail, UpstreamAct::kFail});
+    CHECK(fixture.Call("/look/1").mStatus == 503);
   }
 }
 
 Test(outcomes, a_deadline_that_passes_is_a_promise_only_if_nothing_left) {
   SECTION("sent and unanswered") {
-    RelayFixture story;
+    RelayFixture fixture;
     SocketUpstream upstream;
-    BeginWith(story, upstream);
-    const auto call = Start(story, "/pay/1", 400);
-    REQUIRE(story.RunUntil([&] { return call->mDone; }));
+    BeginWith(fixture, upstream);
+    const auto call = Start(fixture, "/pay/1", 400);
+    REQUIRE(fixture.RunUntil([&] { return call->mDone; }));
     CHECK(call->mStatus == 504);
-    REQUIRE(story.RunUntil([&] { return upstream.Take(); }));
+    REQUIRE(fixture.RunUntil([&] { return upstream.Take(); }));
     CHECK(upstream.Got().starts_with("POST /pay/1"));
   }
   SECTION("sent in part") {
-    RelayFixture story;
+    RelayFixture fixture;
     SocketUpstream upstream;
-    BeginWith(story, upstream);
+    BeginWith(fixture, upstream);
     const auto call =
-        Start(story, "/pay/1", 400, std::string(4 * 1024 * 1024, 'x'));
-    REQUIRE(story.RunUntil([&] { return call->mDone; }));
+        Start(fixture, "/pay/1", 400, std::string(4 * 1024 * 1024, 'x'));
+    REQUIRE(fixture.RunUntil([&] { return call->mDone; }));
     CHECK(call->mStatus == 504);
   }
   SECTION("still connecting, all bytes held here") {
-    RelayFixture story;
+    RelayFixture fixture;
     SocketUpstream upstream(0);
-    BeginWith(story, upstream);
+    BeginWith(fixture, upstream);
     upstream.Fill();
-    const auto call = Start(story, "/pay/1", 300);
-    REQUIRE(story.RunUntil([&] { return call->mDone; }));
+    const auto call = Start(fixture, "/pay/1", 300);
+    REQUIRE(fixture.RunUntil([&] { return call->mDone; }));
     CHECK(Promises(call->mStatus));
     // The promise is kept once the upstream takes connections again.
     const Millis until = SteadyNow() + 2500;
-    story.RunUntil([&] {
+    fixture.RunUntil([&] {
       if (upstream.Take()) {
         upstream.Next();
       }
@@ -236,18 +236,18 @@
 }
 
 Test(outcomes, a_connection_that_breaks_after_the_bytes_left_is_no_promise) {
-  RelayFixture story;
+  RelayFixture fixture;
   SocketUpstream upstream;
-  BeginWith(story, upstream);
+  BeginWith(fixture, upstream);
   const auto ends = [&](bool aReset) {
-    const auto call = Start(story, "/pay/1", 5000);
-    REQUIRE(story.RunUntil(
+    const auto call = Start(fixture, "/pay/1", 5000);
+    REQUIRE(fixture.RunUntil(
         [&] { return upstream.Take() && !upstream.Got().empty(); }));
     if (!aReset) {
       upstream.Say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart");
     }
     upstream.Reset();
-    REQUIRE(story.RunUntil([&] { return call->mDone; }));
+    REQUIRE(fixture.RunUntil([&] { return call->mDone; }));
     return call->mStatus;
   };
   SECTION("without an answer") {
@@ -259,16 +259,16 @@
 }
 
 Test(outcomes, an_upstream_that_says_not_run_gets_no_more_of_it) {
-  RelayFixture story;
+  RelayFixture fixture;
   SocketUpstream upstream;
-  BeginWith(story, upstream);
+  BeginWith(fixture, upstream);
   constexpr std::size_t kBody = 4 * 1024 * 1024;
-  const auto call = Start(story, "/pay/1", 3000, std::string(kBody, 'x'));
+  const auto call = Start(fixture, "/pay/1", 3000, std::string(kBody, 'x'));
   // It refuses each attempt before the body is in, and would run one that
   // becomes whole.
   std::size_t most = 0;
   bool said = false;
-  REQUIRE(story.RunUntil([&] {
+  REQUIRE(fixture.RunUntil([&] {
     if (!said && upstream.Accept()) {
       upstream.Say(
           "HTTP/1.1 503 Full\r\nX-Ran: no\r\nContent-Length: 0\r\n\r\n");
@@ -285,38 +285,38 @@
 }
 
 Test(outcomes, a_caller_that_leaves_causes_no_second_run) {
-  RelayFixture story;
-  story.Begin();
-  story.mA.Next({UpstreamAct::kSilent});
-  story.mB.Next({UpstreamAct::kSilent});
-  auto call = Start(story, "/pay/1", 3000);
-  REQUIRE(story.RunUntil([&] { return story.RunsOfLast() == 1; }));
+  RelayFixture fixture;
+  fixture.Begin();
+  fixture.mA.Next({UpstreamAct::kSilent});
+  fixture.mB.Next({UpstreamAct::kSilent});
+  auto call = Start(fixture, "/pay/1", 3000);
+  REQUIRE(fixture.RunUntil([&] { return fixture.RunsOfLast() == 1; }));
   call->mCall.reset();
-  REQUIRE(story.RunUntil(
-      [&] { return story.mA.Closed() + story.mB.Closed() == 1; }));
-  story.Wait(300);
-  CHECK(story.RunsOfLast() == 1);
+  REQUIRE(fixture.RunUntil(
+      [&] { return fixture.mA.Closed() + fixture.mB.Closed() == 1; }));
+  fixture.Wait(300);
+  CHECK(fixture.RunsOfLast() == 1);
 }
 
 Test(outcomes, nothing_that_may_not_be_repeated_is_switched) {
-  RelayFixture story;
-  story.Begin();
+  RelayFixture fixture;
+  fixture.Begin();
   TrafficConfiguration traffic = Traffic(8);
   traffic.mRoutes.back().mResumable = false;
-  REQUIRE(story.Publish(Document(traffic)).mCode == ResultCode::kOk);
-  REQUIRE(story.RunUntil([&story] {
-    return story.mRouter->OwnCounters().Value("traffic_version") == 8;
+  REQUIRE(fixture.Publish(Document(traffic)).mCode == ResultCode::kOk);
+  REQUIRE(fixture.RunUntil([&fixture] {
+    return fixture.mRouter->OwnCounters().Value("traffic_version") == 8;
   }));
   // Longer than an upstream of a stream may be silent.
   constexpr Millis kDeadline = 3500;
   for (const char* target : {"/pay/1", "/stream/1"}) {
-    story.mA.Next({UpstreamAct::kSilent});
-    story.mB.Next({UpstreamAct::kSilent});
-    const auto call = Start(story, target, kDeadline);
-    REQUIRE(story.RunUntil([&] { return call->mDone; }));
+    fixture.mA.Next({UpstreamAct::kSilent});
+    fixture.mB.Next({UpstreamAct::kSilent});
+    const auto call = Start(fixture, target, kDeadline);
+    REQUIRE(fixture.RunUntil([&] { return call->mDone; }));
     CHECK(call->mStatus == 504);
-    CHECK(story.RunsOfLast() == 1);
-    story.mA.Next({});
-    story.mB.Next({});
+    CHECK(fixture.RunsOfLast() == 1);
+    fixture.mA.Next({});
+    fixture.mB.Next({});
   }
 }
--- a/tests/daemons/planned_stop_test.cpp
+++ b/tests/daemons/planned_stop_test.cpp
@@ -28,9 +28,9 @@
                       "\"");
 }
 
-/// A story whose router has a short grace.
-struct StopStory : RelayFixture {
-  StopStory() {
+/// A fixture whose router has a short grace.
+struct StopFixture : RelayFixture {
+  StopFixture() {
     mStopGrace = kShortGrace;
     mRouter.reset();
     StartRouter();
@@ -41,42 +41,43 @@
 }  // namespace
 
 Test(planned_stop, what_cannot_end_in_time_is_sent_elsewhere_at_once) {
-  StopStory story;
+  StopFixture fixture;
   constexpr int kLateCalls = 8;
-  story.mA.Next(std::vector<UpstreamAct>(kLateCalls, UpstreamAct::kLate));
-  story.mB.Next(std::vector<UpstreamAct>(kLateCalls, UpstreamAct::kLate));
+  fixture.mA.Next(std::vector<UpstreamAct>(kLateCalls, UpstreamAct::kLate));
+  fixture.mB.Next(std::vector<UpstreamAct>(kLateCalls, UpstreamAct::kLate));
   std::vector<std::unique_ptr<OpenCall>> late;
   for (int i = 0; i < kLateCalls; i++) {
-    late.push_back(story.Open("/pay/1", "late" + std::to_string(i)));
+    late.push_back(fixture.Open("/pay/1", "late" + std::to_string(i)));
   }
-  REQUIRE(story.RunUntil([&late] {
+  REQUIRE(fixture.RunUntil([&late] {
     return std::all_of(late.begin(), late.end(),
                        [](const auto& aOpen) { return aOpen->mEnded; });
   }));
-  story.mA.Next({});
-  story.mB.Next({});
-  story.mRouter->Stop();
+  fixture.mA.Next({});
+  fixture.mB.Next({});
+  fixture.mRouter->Stop();
   SECTION("a call of a service that takes longer than is left") {
-    const Answer answer = story.Call("/pay/1");
+    const Answer answer = fixture.Call("/pay/1");
     CHECK(answer.mStatus == 503);
-    CHECK(story.RunsOfLast() == 0);
+    CHECK(fixture.RunsOfLast() == 0);
     const std::string* after = FindHeader(answer.mHeaders, "Retry-After");
     CHECK(after != nullptr && std::stod(*after) == 0);
   }
   SECTION("one whose caller waits for less than what is left is served") {
-    CHECK(story.Call("/look/1", "key", 1000).mStatus == 200);
+    CHECK(fixture.Call("/look/1", "key", 1000).mStatus == 200);
   }
 }
 
 Test(planned_stop, what_is_left_at_the_end_gets_an_answer) {
-  StopStory story;
-  story.mA.Next({UpstreamAct::kSilent});
-  story.mB.Next({UpstreamAct::kSilent});
-  const auto open = story.Open("/pay/1", "left");
-  REQUIRE(story.RunUntil(
-      [&story] { return story.mA.Runs("left") + story.mB.Runs("left") == 1; }));
-  story.mRouter->Stop();
-  CHECK(story.RunUntil([&open] { return open->mEnded; }));
+  StopFixture fixture;
+  fixture.mA.Next({UpstreamAct::kSilent});
+  fixture.mB.Next({UpstreamAct::kSilent});
+  const auto open = fixture.Open("/pay/1", "left");
+  REQUIRE(fixture.RunUntil([&fixture] {
+    return fixture.mA.Runs("left") + fixture.mB.Runs("left") == 1;
+  }));
+  fixture.mRouter->Stop();
+  CHECK(fixture.RunUntil([&open] { return open->mEnded; }));
   SECTION("it may have run: no promise that it did not") {
     CHECK(open->mAnswer.mStatus == 502);
     CHECK(open->mAnswer.mEnd == StreamEnd::kComplete);
@@ -85,33 +86,34 @@
 
 Test(planned_stop, it_ends_after_its_slowest_caller_has_the_answer) {
   constexpr std::size_t kBytes = 4 * 1000 * 1000;
-  StopStory story;
-  story.mA.SetBytes(kBytes);
-  story.mB.SetBytes(kBytes);
-  const auto open = story.Open("/pay/1", "slow");
+  StopFixture fixture;
+  fixture.mA.SetBytes(kBytes);
+  fixture.mB.SetBytes(kBytes);
+  const auto open = fixture.Open("/pay/1", "slow");
   open->mCall->Pause(true);
-  REQUIRE(story.RunUntil(
-      [&story] { return EndedAs(*story.mRouter, "pay", "served", 200) == 1; }));
-  story.mRouter->Stop();
+  REQUIRE(fixture.RunUntil([&fixture] {
+    return EndedAs(*fixture.mRouter, "pay", "served", 200) == 1;
+  }));
+  fixture.mRouter->Stop();
   const auto resume =
-      story.mLoop.After(1200, [&open] { open->mCall->Pause(false); });
+      fixture.mLoop.After(1200, [&open] { open->mCall->Pause(false); });
   SECTION("it would have nothing more to do before its caller reads") {
-    story.RunUntil([&open] { return open->mEnded; });
+    fixture.RunUntil([&open] { return open->mEnded; });
     CHECK(open->mAnswer.mEnd == StreamEnd::kComplete);
     CHECK(open->mAnswer.mBody == ScriptedUpstream::BodyOf("slow", kBytes));
   }
 }
 
 Test(planned_stop, a_stream_that_is_cut_is_known_to_be_cut_by_the_router) {
-  StopStory story;
-  ScriptedUpstream engine(story.mLoop, "engine");
-  story.BeginEngine(engine);
+  StopFixture fixture;
+  ScriptedUpstream engine(fixture.mLoop, "engine");
+  fixture.BeginEngine(engine);
   engine.Next({UpstreamAct::kStall});
-  const auto open = story.Open("/stream/1", "cut");
-  REQUIRE(story.RunUntil([&open] { return !open->mAnswer.mBody.empty(); }));
-  story.mRouter->Stop();
-  CHECK(story.RunUntil([&open] { return open->mEnded; }));
+  const auto open = fixture.Open("/stream/1", "cut");
+  REQUIRE(fixture.RunUntil([&open] { return !open->mAnswer.mBody.empty(); }));
+  fixture.mRouter->Stop();
+  CHECK(fixture.RunUntil([&open] { return open->mEnded; }));
   CHECK(open->mAnswer.mEnd == StreamEnd::kLost);
-  CHECK(EndedAs(*story.mRouter, "stream", "router_ended", 0) == 1);
-  CHECK(EndedAs(*story.mRouter, "stream", "caller_gone", 0) == 0);
+  CHECK(EndedAs(*fixture.mRouter, "stream", "router_ended", 0) == 1);
+  CHECK(EndedAs(*fixture.mRouter, "stream", "caller_gone", 0) == 0);
 }
--- a/tests/daemons/refused_move_test.cpp
+++ b/tests/daemons/refused_move_test.cpp
@@ -17,28 +17,28 @@
 }  // namespace
 
 Test(refused_move, another_path_is_looked_for) {
-  RelayFixture story;
-  ScriptedUpstream front(story.mLoop, "front");
-  ScriptedUpstream leaving(story.mLoop, "leaving");
-  ScriptedUpstream one(story.mLoop, "one");
-  ScriptedUpstream two(story.mLoop, "two");
-  story.Begin();
-  story.PublishModel();
-  story.SendEngineHeartbeat(leaving, kBack);
-  story.SendEngineHeartbeat(front, kFront);
-  story.AwaitCall(front);
+  RelayFixture fixture;
+  ScriptedUpstream front(fixture.mLoop, "front");
+  ScriptedUpstream leaving(fixture.mLoop, "leaving");
+  ScriptedUpstream one(fixture.mLoop, "one");
+  ScriptedUpstream two(fixture.mLoop, "two");
+  fixture.Begin();
+  fixture.PublishModel();
+  fixture.SendEngineHeartbeat(leaving, kBack);
+  fixture.SendEngineHeartbeat(front, kFront);
+  fixture.AwaitCall(front);
   front.Next({UpstreamAct::kStall});
-  const auto open = story.Open("/stream/1", "moved");
-  REQUIRE(story.RunUntil([&open] { return !open->mAnswer.mBody.empty(); }));
-  story.SendEngineHeartbeat(one, kBack);
-  story.SendEngineHeartbeat(two, kBack);
-  REQUIRE(story.RunUntil([&story] {
-    story.mRouter->RefreshGauges();
-    return story.mRouter->OwnCounters().Value("upstreams_ready") == 6;
+  const auto open = fixture.Open("/stream/1", "moved");
+  REQUIRE(fixture.RunUntil([&open] { return !open->mAnswer.mBody.empty(); }));
+  fixture.SendEngineHeartbeat(one, kBack);
+  fixture.SendEngineHeartbeat(two, kBack);
+  REQUIRE(fixture.RunUntil([&fixture] {
+    fixture.mRouter->RefreshGauges();
+    return fixture.mRouter->OwnCounters().Value("upstreams_ready") == 6;
   }));
   front.RefuseMoves(1);
-  story.SendEngineHeartbeat(leaving, kBack, UpstreamState::kLeaving);
-  REQUIRE(story.RunUntil([&front] { return front.Moves().size() >= 2; }));
+  fixture.SendEngineHeartbeat(leaving, kBack, UpstreamState::kLeaving);
+  REQUIRE(fixture.RunUntil([&front] { return front.Moves().size() >= 2; }));
   CHECK(front.Moves()[0] != front.Moves()[1]);
   for (const std::string& path : front.Moves()) {
     CHECK(path == "front one " || path == "front two ");
--- a/tests/daemons/relay_fixture.cpp
+++ b/tests/daemons/relay_fixture.cpp
@@ -74,14 +74,14 @@
   return DumpJson(ToJson(aTraffic));
 }
 
-RelayFixture::RelayFixture(Millis aStartWait, RetryAllowanceOptions aRetries,
-                           int aOwnBeats)
+RelayFixture::RelayFixture(Millis aWarmUp, RetryAllowanceOptions aRetries,
+                           int aMaxLocalHeartbeats)
     : mA(mLoop, "a"),
       mB(mLoop, "b"),
       mSeed(FreeEndpoint()),
-      mStartWait(aStartWait),
+      mStartWait(aWarmUp),
       mRetries(aRetries),
-      mMaxLocalHeartbeats(aOwnBeats) {
+      mMaxLocalHeartbeats(aMaxLocalHeartbeats) {
   StartControl();
   StartRouter();
 }
@@ -190,17 +190,17 @@
   RunUntil([until] { return SteadyNow() >= until; });
 }
 
-void RelayFixture::Beat(const ScriptedUpstream& aUpstream,
-                        UpstreamState aState) {
-  Beat({.mInstance = aUpstream.Instance(),
-        .mService = "counter",
-        .mAddress = aUpstream.Address(),
-        .mZone = "z",
-        .mSlots = mSlots,
-        .mState = aState});
+void RelayFixture::SendHeartbeat(const ScriptedUpstream& aUpstream,
+                                 UpstreamState aState) {
+  SendHeartbeat({.mInstance = aUpstream.Instance(),
+                 .mService = "counter",
+                 .mAddress = aUpstream.Address(),
+                 .mZone = "z",
+                 .mSlots = mSlots,
+                 .mState = aState});
 }
 
-void RelayFixture::Beat(UpstreamRecord aRecord) {
+void RelayFixture::SendHeartbeat(UpstreamRecord aRecord) {
   bool acknowledged = false;
   aRecord.mSequence = ++mSequence;
   mControl->ApplyHeartbeat(
@@ -239,14 +239,14 @@
 void RelayFixture::SendEngineHeartbeat(const ScriptedUpstream& aEngine,
                                        LayerRange aLayers,
                                        UpstreamState aState) {
-  Beat({.mInstance = aEngine.Instance(),
-        .mService = "model",
-        .mAddress = aEngine.Address(),
-        .mZone = "z",
-        .mKind = "k",
-        .mSlots = 6,
-        .mState = aState,
-        .mLayers = aLayers});
+  SendHeartbeat({.mInstance = aEngine.Instance(),
+                 .mService = "model",
+                 .mAddress = aEngine.Address(),
+                 .mZone = "z",
+                 .mKind = "k",
+                 .mSlots = 6,
+                 .mState = aState,
+                 .mLayers = aLayers});
 }
 
 Answer RelayFixture::Call(const std::string& aTarget, const std::string& aKey,
@@ -313,8 +313,8 @@
 
 void RelayFixture::Begin() {
   REQUIRE(Publish(Document(Traffic(7))).mCode == ResultCode::kOk);
-  Beat(mA, UpstreamState::kReady);
-  Beat(mB, UpstreamState::kReady);
+  SendHeartbeat(mA, UpstreamState::kReady);
+  SendHeartbeat(mB, UpstreamState::kReady);
   REQUIRE(RunUntil([this] { return mRouter->Ready(); }));
   for (int i = 0; mA.AllRuns() == 0 || mB.AllRuns() == 0; i++) {
     REQUIRE(i < 200);
--- a/tests/daemons/relay_fixture.h
+++ b/tests/daemons/relay_fixture.h
@@ -57,9 +57,9 @@
 
 /// The system under test.
 struct RelayFixture {
-  explicit RelayFixture(Millis aStartWait = kShortWarmUp,
+  explicit RelayFixture(Millis aWarmUp = kShortWarmUp,
                         RetryAllowanceOptions aRetries = {},
-                        int aOwnBeats = 50);
+                        int aMaxLocalHeartbeats = 50);
 
   /// A control on the disk that is there, empty at first.
   void StartControl();
@@ -83,8 +83,8 @@
   void ReportRouters(int aCount);
 
   /// A heartbeat, until it is acknowledged.
-  void Beat(const ScriptedUpstream& aUpstream, UpstreamState aState);
-  void Beat(UpstreamRecord aRecord);
+  void SendHeartbeat(const ScriptedUpstream& aUpstream, UpstreamState aState);
+  void SendHeartbeat(UpstreamRecord aRecord);
 
   /// A configuration with a service "model" of eight layers, for /stream/.
   void PublishModel();
--- a/tests/daemons/upstream_limit_test.cpp
+++ b/tests/daemons/upstream_limit_test.cpp
@@ -17,26 +17,26 @@
 constexpr int kAllowed = 17;
 /// By then each router has had an answer that names it.
 constexpr Millis kTold = 1500;
-constexpr Millis kCallEvery = 20;
+constexpr Millis kCallInterval = 20;
 /// Requests of an upstream whose limit does not hold any more, in a window.
 constexpr int kUnlimited = 2 * kAllowed;
 
 /// Callers that ask several routers in turn, for as long as they are there.
 class Callers {
  public:
-  Callers(RelayFixture& aStory, std::string aTarget)
-      : mStory(aStory), mTarget(std::move(aTarget)) {
-    mRouters.push_back(mStory.mRouter.get());
+  Callers(RelayFixture& aFixture, std::string aTarget)
+      : mFixture(aFixture), mTarget(std::move(aTarget)) {
+    mRouters.push_back(mFixture.mRouter.get());
     for (int i = 1; i < kRouters; i++) {
-      mOthers.push_back(mStory.MakeRouter("router" + std::to_string(i)));
+      mOthers.push_back(mFixture.MakeRouter("router" + std::to_string(i)));
       mRouters.push_back(mOthers.back().get());
     }
-    REQUIRE(mStory.RunUntil([this] {
+    REQUIRE(mFixture.RunUntil([this] {
       return std::all_of(
           mRouters.begin(), mRouters.end(),
           [](const RelayRouter* aRouter) { return aRouter->Ready(); });
     }));
-    mTimer = mStory.mLoop.Every(kCallEvery, [this] { Ask(); });
+    mTimer = mFixture.mLoop.Every(kCallInterval, [this] { Ask(); });
   }
 
   int Served() const {
@@ -51,11 +51,11 @@
   void Ask() {
     const std::size_t n = mCalls.size();
     mCalls.push_back(
-        mStory.OpenAt(*mRouters[n % mRouters.size()],
-                      {.mTarget = mTarget, .mId = "c" + std::to_string(n)}));
+        mFixture.OpenAt(*mRouters[n % mRouters.size()],
+                        {.mTarget = mTarget, .mId = "c" + std::to_string(n)}));
   }
 
-  RelayFixture& mStory;
+  RelayFixture& mFixture;
   std::string mTarget;
   std::vector<std::unique_ptr<RelayRouter>> mOthers;
   std::vector<RelayRouter*> mRouters;
@@ -66,28 +66,28 @@
 /// Lets time pass, while upstreams go on to be heard of.
 class Passing {
  public:
-  Passing(RelayFixture& aStory, std::function<void()> aBeats)
-      : mStory(aStory), mBeats(std::move(aBeats)) {}
+  Passing(RelayFixture& aFixture, std::function<void()> aBeats)
+      : mFixture(aFixture), mBeats(std::move(aBeats)) {}
 
   void Wait(Millis aTime) {
-    for (Millis passed = 0; passed < aTime; passed += kBeatEvery) {
+    for (Millis passed = 0; passed < aTime; passed += kHeartbeatInterval) {
       mBeats();
-      mStory.Wait(kBeatEvery);
+      mFixture.Wait(kHeartbeatInterval);
     }
   }
 
  private:
-  static constexpr Millis kBeatEvery = 500;
+  static constexpr Millis kHeartbeatInterval = 500;
 
-  RelayFixture& mStory;
+  RelayFixture& mFixture;
   std::function<void()> mBeats;
 };
 
-void CheckLimit(RelayFixture& aStory, ScriptedUpstream& aLimited,
+void CheckLimit(RelayFixture& aFixture, ScriptedUpstream& aLimited,
                 const std::string& aTarget, std::function<void()> aBeats) {
   aLimited.NameLimit(kPerSecond);
-  const Callers callers(aStory, aTarget);
-  Passing passing(aStory, std::move(aBeats));
+  const Callers callers(aFixture, aTarget);
+  Passing passing(aFixture, std::move(aBeats));
   passing.Wait(kTold);
   const Millis from = SteadyNow();
   passing.Wait(kWindow + kTold);
@@ -108,35 +108,35 @@
 }  // namespace
 
 Test(upstream_limit, of_a_plain_service_holds_over_all_routers) {
-  RelayFixture story;
-  story.Begin();
-  CheckLimit(story, story.mA, "/look/1", [&story] {
-    story.Beat(story.mA, UpstreamState::kReady);
-    story.Beat(story.mB, UpstreamState::kReady);
+  RelayFixture fixture;
+  fixture.Begin();
+  CheckLimit(fixture, fixture.mA, "/look/1", [&fixture] {
+    fixture.SendHeartbeat(fixture.mA, UpstreamState::kReady);
+    fixture.SendHeartbeat(fixture.mB, UpstreamState::kReady);
   });
 }
 
 Test(upstream_limit, of_an_engine_that_begins_paths_holds_over_all_routers) {
-  RelayFixture story;
-  ScriptedUpstream limited(story.mLoop, "limited");
-  ScriptedUpstream other(story.mLoop, "other");
-  story.Begin();
-  story.BeginEngine(limited);
-  CheckLimit(story, limited, "/stream/1", [&] {
-    story.SendEngineHeartbeat(limited);
-    story.SendEngineHeartbeat(other);
+  RelayFixture fixture;
+  ScriptedUpstream limited(fixture.mLoop, "limited");
+  ScriptedUpstream other(fixture.mLoop, "other");
+  fixture.Begin();
+  fixture.BeginEngine(limited);
+  CheckLimit(fixture, limited, "/stream/1", [&] {
+    fixture.SendEngineHeartbeat(limited);
+    fixture.SendEngineHeartbeat(other);
   });
 }
 
 Test(upstream_limit, holds_for_requests_that_are_sent_once_more) {
-  RelayFixture story;
-  story.Begin();
+  RelayFixture fixture;
+  fixture.Begin();
   const std::vector<UpstreamAct> refusals(1000, UpstreamAct::kRefuse);
-  story.mB.Next(refusals);
-  story.mA.NameLimit(kPerSecond);
-  const Callers callers(story, "/look/1");
-  story.Wait(kTold);
+  fixture.mB.Next(refusals);
+  fixture.mA.NameLimit(kPerSecond);
+  const Callers callers(fixture, "/look/1");
+  fixture.Wait(kTold);
   const Millis from = SteadyNow();
-  story.Wait(kWindow + kTold);
-  CHECK(story.mA.MostArrivalsIn(kWindow, from) <= kAllowed);
+  fixture.Wait(kWindow + kTold);
+  CHECK(fixture.mA.MostArrivalsIn(kWindow, from) <= kAllowed);
 }
