--- a/tests/daemons/heartbeat_collectors_test.cpp
+++ b/tests/daemons/heartbeat_collectors_test.cpp
@@ -32,29 +32,29 @@
 
 }  // namespace
 
-Test(heartbeat_collectors, control_names_a_router_that_asks) {
+Test(heartbeat_collectors, control_refers_upstreams_to_a_router_that_polls_it) {
   RelayFixture fixture(kShortWarmUp, {}, 0);
   fixture.Begin();
-  std::string named;
-  for (int i = 0; named.empty(); i++) {
+  std::string collector;
+  for (int i = 0; collector.empty(); i++) {
     REQUIRE(i < 200);
     bool ended = false;
     fixture.mControl->ApplyHeartbeat(
         RecordOf(fixture, fixture.mA, UpstreamState::kReady),
         [&](const HeartbeatAnswer& aAnswer) {
-          named = aAnswer.mNextAddress;
+          collector = aAnswer.mNextAddress;
           ended = true;
         });
     REQUIRE(fixture.RunUntil([&ended] { return ended; }));
     fixture.Wait(10);
   }
-  CHECK(named == kCollectorAddress);
+  CHECK(collector == kCollectorAddress);
 }
 
-Test(heartbeat_collectors, what_a_router_takes_control_knows) {
+Test(heartbeat_collectors, a_router_reports_collected_heartbeats_to_control) {
   RelayFixture fixture;
   fixture.Begin();
-  SECTION("an upstream whose every heartbeat goes by the router is used") {
+  SECTION("an upstream that sends heartbeats only to the router is known") {
     UpstreamRecord fresh = RecordOf(fixture, fixture.mB, UpstreamState::kReady);
     fresh.mInstance = "fresh";
     fresh.mAddress = "127.0.0.1:9";
@@ -64,7 +64,7 @@
       return fixture.mControl->OwnCounters().Value("upstreams_known") == 3;
     }));
   }
-  SECTION("one that leaves gets no new work once that is acknowledged") {
+  SECTION("a leaving upstream gets no new requests after the acknowledgement") {
     CHECK(SendHeartbeatToRouter(
               fixture, RecordOf(fixture, fixture.mA, UpstreamState::kLeaving))
               .mAccepted);
@@ -76,14 +76,15 @@
   }
 }
 
-Test(heartbeat_collectors, what_no_control_knows_is_not_acknowledged) {
+Test(heartbeat_collectors,
+     a_heartbeat_that_no_control_received_is_not_acknowledged) {
   RelayFixture fixture;
   fixture.Begin();
   fixture.mControl.reset();
   CHECK(!SendHeartbeatToRouter(
              fixture, RecordOf(fixture, fixture.mA, UpstreamState::kLeaving))
              .mAccepted);
-  SECTION("nor does a router that stops take any") {
+  SECTION("a stopping router accepts none") {
     fixture.mRouter->Stop();
     CHECK(!SendHeartbeatToRouter(
                fixture, RecordOf(fixture, fixture.mB, UpstreamState::kReady))
--- a/tests/daemons/relay_fixture.cpp
+++ b/tests/daemons/relay_fixture.cpp
@@ -18,14 +18,13 @@
 
 namespace {
 
-/// Longer than a busy machine lets a process stand still: without a lease
-/// routers refuse, and rightly.
+/// Longer than a process stalls on a busy machine: routers without a valid
+/// lease refuse requests.
 constexpr Millis kLease = 2500;
 
-/// A loopback address that no other process of the tests uses: 127.64.0.0/10 by
-/// the process's number. On 127.0.0.1 any connection of another process may
-/// take a port between its choice and its use, and while who listens there is
-/// down.
+/// A loopback address that no other test process uses: in 127.64.0.0/10, by
+/// process id. On 127.0.0.1 a connection of another process may take a port
+/// between its choice and its use, and while its listener is down.
 in_addr OwnLoopback() {
   constexpr std::uint32_t kNet = 0x7f400000;
   constexpr std::uint32_t kNumbers = 0x003fffff;
@@ -136,7 +135,7 @@
 OperatorAnswer RelayFixture::Publish(const std::string& aDocument) {
   OperatorAnswer answer;
   bool done = false;
-  // Until a leader is there the answer is "not now".
+  // Without a leader the answer is kNoQuorum.
   for (int i = 0; i < 200 && !done; i++) {
     bool ended = false;
     mControl->Publish(aDocument, [&](const OperatorAnswer& aAnswer) {
@@ -168,11 +167,11 @@
   RpcChannel rpc(client, "secret");
   int answered = 0;
   for (int i = 0; i < aCount; i++) {
-    SyncRequest question;
-    question.mProcess = "other" + std::to_string(i) + "/1";
-    question.mZone = "z";
-    question.mReportsLoads = 1;
-    rpc.Call(mSeed, rpc_method::kSync, ToJson(question), 20000,
+    SyncRequest request;
+    request.mProcess = "other" + std::to_string(i) + "/1";
+    request.mZone = "z";
+    request.mReportsLoads = 1;
+    rpc.Call(mSeed, rpc_method::kSync, ToJson(request), 20000,
              [&answered](const RpcResult& aResult) {
                answered += aResult.mOk ? 1 : 0;
              });
--- a/tests/daemons/relay_fixture.h
+++ b/tests/daemons/relay_fixture.h
@@ -1,5 +1,5 @@
-/// A router and a control that found each other by seeds, between scripted
-/// upstreams and callers, in one loop.
+/// Test fixture: a router and a control that find each other by seeds, with
+/// scripted upstreams and callers, in one event loop.
 #pragma once
 
 #include <functional>
@@ -14,15 +14,15 @@
 
 namespace spindleweir {
 
-/// How long a request is kept at a start: long enough for any machine, and
-/// short where nothing is to come.
+/// How long a starting router holds requests that it can't serve yet. Long: the
+/// missing data arrives on any machine; short: for tests in which none arrives.
 inline constexpr Millis kLongWarmUp = 30000;
 inline constexpr Millis kShortWarmUp = 50;
 
-/// Where the router says that it takes heartbeats.
+/// Address at which the router claims to collect heartbeats.
 inline constexpr const char* kCollectorAddress = "127.0.0.1:7";
 
-/// What a caller got.
+/// The answer that a caller received.
 struct Answer {
   StreamEnd mEnd = StreamEnd::kNotSent;
   int mStatus = 0;
@@ -30,96 +30,98 @@
   std::string mBody;
 };
 
-/// A request that is under way, with what has come of its answer.
+/// A request in progress, with the part of its answer received so far.
 struct OpenCall {
   std::unique_ptr<StreamCall> mCall;
   Answer mAnswer;
   bool mEnded = false;
 };
 
-/// What a caller's request says of itself.
+/// Parameters of a caller's request.
 struct CallInput {
   std::string mTarget;
   std::string mId;
   std::string mKey = "key";
-  Millis mDeadline =
-      0;  ///< Milliseconds that its caller has left; 0: not said.
+  Millis mDeadline = 0;  ///< Time that the caller waits; 0: not given.
 };
 
-/// A port that is free, at an address of loopback that is this process's own.
+/// Returns a free port at a loopback address that only this process uses.
 Endpoint FreeEndpoint();
 /// Routes /pay/, /look/ and /stream/ to the service "counter".
 TrafficConfiguration Traffic(std::int64_t aVersion);
 std::string Document(const TrafficConfiguration& aTraffic);
 
-/// How many routers one takes to be there.
+/// The number of routers that aRouter counts.
 std::int64_t KnownRouters(RelayRouter& aRouter);
 
-/// The system under test.
+/// The processes under test and what they are connected to.
 struct RelayFixture {
   explicit RelayFixture(Millis aWarmUp = kShortWarmUp,
                         RetryAllowanceOptions aRetries = {},
                         int aMaxLocalHeartbeats = 50);
 
-  /// A control on the disk that is there, empty at first.
+  /// Starts a control on the fixture's data folder, which is empty at first.
   void StartControl();
-  /// A router that knows nothing yet.
+  /// Starts a router without any data.
   void StartRouter();
-  /// One more beside it.
+  /// Starts one more router.
   std::unique_ptr<RelayRouter> MakeRouter(const std::string& aId);
 
-  /// False where it does not come true within the loop's bound.
+  /// Runs the loop until aCondition holds; false if the loop's time limit
+  /// passes first.
   bool RunUntil(const std::function<bool()>& aCondition);
 
-  /// Sends a configuration until there is a leader to take it.
+  /// Sends a configuration until a leader accepts or refuses it.
   OperatorAnswer Publish(const std::string& aDocument);
 
-  /// The newest document that control holds.
+  /// Reads the newest document that control holds.
   OperatorAnswer Read();
 
   void Wait(Millis aTime);
 
-  /// Routers that tell control of themselves once; they do nothing else.
+  /// Simulates aCount routers that report to control once and do nothing else.
   void ReportRouters(int aCount);
 
-  /// A heartbeat, until it is acknowledged.
+  /// Sends a heartbeat to control and waits until it is acknowledged.
   void SendHeartbeat(const ScriptedUpstream& aUpstream, UpstreamState aState);
   void SendHeartbeat(UpstreamRecord aRecord);
 
-  /// A configuration with a service "model" of eight layers, for /stream/.
+  /// Publishes a configuration with a service "model" of eight layers, for
+  /// /stream/.
   void PublishModel();
-  /// The same with an engine that holds all layers and gets calls.
+  /// The same, then adds an engine that holds all layers and waits until it
+  /// gets calls.
   void BeginEngine(const ScriptedUpstream& aEngine);
-  /// Calls until this engine got one.
+  /// Sends calls until this engine has received one.
   void AwaitCall(const ScriptedUpstream& aEngine);
-  /// One more engine.
+  /// Sends an engine's heartbeat to control.
   void SendEngineHeartbeat(const ScriptedUpstream& aEngine,
                            LayerRange aLayers = {0, 8},
                            UpstreamState aState = UpstreamState::kReady);
 
-  /// A request with the next id, until its answer ends. aDeadline: what its
-  /// caller says that it has left, in milliseconds; 0: nothing.
+  /// Sends a request with the next id and waits until its answer ends.
+  /// aDeadline: time that the caller waits, in milliseconds; 0: not given.
   Answer Call(const std::string& aTarget, const std::string& aKey = "key",
               Millis aDeadline = 0);
-  /// The same at another router than the first.
+  /// The same at any router.
   Answer CallAt(const RelayRouter& aRouter, const std::string& aTarget,
                 const std::string& aKey = "key", Millis aDeadline = 0);
 
-  /// Begins a request at a router, which ends on its own.
+  /// Starts a request at a router without waiting for its end.
   std::unique_ptr<OpenCall> OpenAt(const RelayRouter& aRouter,
                                    const CallInput& aFacts);
   /// The same at the first router.
   std::unique_ptr<OpenCall> Open(const std::string& aTarget,
                                  const std::string& aId);
-  /// Whichever upstream runs the next request first cuts it, the other one
-  /// serves it, for as long as the timer is there.
+  /// The upstream that runs the next request first cuts it, the other one
+  /// serves it, as long as the returned timer exists.
   std::unique_ptr<Timer> CutNextOnce();
 
   /// The id of the last request.
   std::string Last() const { return "r" + std::to_string(mRequest); }
   int RunsOfLast() const { return mA.Runs(Last()) + mB.Runs(Last()); }
 
-  /// A configuration in force, both upstreams known.
+  /// Publishes a configuration and waits until both upstreams get calls.
   void Begin();
 
   TemporaryFolder mFolder;
@@ -133,11 +135,11 @@
   int mRequest = 0;
   Millis mStartWait;
   RetryAllowanceOptions mRetries;
-  int mSlots = 6;                ///< Of each upstream.
-  std::size_t mMemoryBytes = 0;  ///< Of routers that are started from now on.
+  int mSlots = 6;                ///< Of each upstream's heartbeats.
+  std::size_t mMemoryBytes = 0;  ///< Of routers started from now on.
   Millis mStopGrace = 2000;      ///< The same.
-  int mMaxLocalHeartbeats;  ///< Heartbeats a second that control takes itself.
-  int mDocumentsRead = 0;   ///< By control.
+  int mMaxLocalHeartbeats;       ///< Per second, of control.
+  int mDocumentsRead = 0;        ///< Documents that control has parsed.
 };
 
 }  // namespace spindleweir
--- a/tests/daemons/relay_test.cpp
+++ b/tests/daemons/relay_test.cpp
@@ -64,8 +64,8 @@
   CHECK(fixture.mDocumentsRead <= 2);
 }
 
-Test(relay, a_router_that_has_just_started_keeps_requests_for_a_while) {
-  SECTION("one that is told what it lacks serves them") {
+Test(relay, a_starting_router_holds_requests_until_it_can_serve_them) {
+  SECTION("it serves them after it receives configuration and upstreams") {
     RelayFixture fixture(kLongWarmUp);
     const std::string document = Document(Traffic(7));
     const auto publisher = fixture.mLoop.Every(20, [&] {
@@ -83,14 +83,14 @@
     CHECK(fixture.Call("/pay/x").mStatus == 200);
     CHECK(fixture.RunsOfLast() == 1);
   }
-  SECTION("one that is told nothing refuses them") {
+  SECTION("it refuses them if it receives nothing") {
     RelayFixture fixture(kShortWarmUp);
     CHECK(fixture.Call("/pay/x").mStatus == 503);
     CHECK(fixture.RunsOfLast() == 0);
   }
 }
 
-Test(relay, requests_go_where_the_routes_say) {
+Test(relay, requests_are_routed_by_prefix_and_key) {
   RelayFixture fixture;
   fixture.Begin();
   const Answer good = fixture.Call("/pay/1");
@@ -102,21 +102,21 @@
   CHECK(fixture.RunsOfLast() == 0);
 }
 
-Test(relay, what_may_not_be_repeated_runs_at_most_once) {
+Test(relay, an_unsafe_request_runs_at_most_once) {
   RelayFixture fixture;
   fixture.Begin();
   const auto next = [&fixture](UpstreamAct aAct) {
     fixture.mA.Next({aAct});
     fixture.mB.Next({aAct});
   };
-  SECTION("cut after it ran: no promise, and no second run") {
+  SECTION("cut after it ran: 502 and no second run") {
     next(UpstreamAct::kCut);
     const Answer answer = fixture.Call("/pay/1");
     CHECK(answer.mStatus == 502);
     CHECK(fixture.RunsOfLast() == 1);
   }
-  SECTION("refused by both: a promise, and when to come back") {
-    // A refusal is no run: it is tried again a few times, then given up.
+  SECTION("refused by both: 503 with Retry-After, and no run") {
+    // A refused request has not run: the router retries it a few times.
     const std::vector<UpstreamAct> refusals(4, UpstreamAct::kRefuse);
     fixture.mA.Next(refusals);
     fixture.mB.Next(refusals);
@@ -125,7 +125,7 @@
     CHECK(FindHeader(answer.mHeaders, "Retry-After") != nullptr);
     CHECK(fixture.RunsOfLast() == 0);
   }
-  SECTION("a failure that ran is handed on as it is") {
+  SECTION("a failure of the upstream is forwarded unchanged") {
     fixture.mA.Next({});
     fixture.mB.Next({});
     next(UpstreamAct::kFail);
@@ -134,11 +134,11 @@
   }
 }
 
-Test(relay, what_may_be_repeated_is_sent_once_more) {
+Test(relay, a_safe_request_is_retried) {
   RelayFixture fixture;
   fixture.Begin();
   for (UpstreamAct act : {UpstreamAct::kCut, UpstreamAct::kFail}) {
-    // Whichever is chosen first fails; the other one answers.
+    // If the first upstream is chosen it fails, and the other one answers.
     fixture.mA.Next({act});
     const Answer answer = fixture.Call("/look/1");
     CHECK(answer.mStatus == 200);
@@ -146,7 +146,7 @@
   }
 }
 
-Test(relay, a_stream_goes_on_after_its_last_event) {
+Test(relay, a_cut_stream_resumes_after_its_last_event) {
   RelayFixture fixture;
   fixture.Begin();
   fixture.mA.Next({UpstreamAct::kCut});
@@ -155,7 +155,7 @@
   CHECK(answer.mEnd == StreamEnd::kLost || answer.mStatus == 200);
   fixture.mA.Next({});
   fixture.mB.Next({});
-  SECTION("whole events only, each once and in order") {
+  SECTION("the caller gets full events, each once and in order") {
     for (int i = 0; i < 10; i++) {
       fixture.mA.Next({UpstreamAct::kCut});
       const Answer next = fixture.Call("/stream/1");
@@ -170,19 +170,20 @@
   }
 }
 
-Test(relay, a_stream_that_has_begun_waits_until_its_retry_is_paid) {
-  // One retry in 400 ms, and it is spent.
+Test(relay, a_started_stream_waits_for_retry_credit) {
+  // The limit is one retry per 400 ms, and that one is used up.
   RelayFixture fixture(
       kShortWarmUp,
       {.mRatio = 0, .mWindow = 400, .mSlack = 1, .mUsableShare = 1});
   fixture.Begin();
-  // Before, it keeps back what a process before it may have spent.
+  // In the first window a router withholds the retries that its predecessor may
+  // have used.
   fixture.Wait(400);
   fixture.mA.Next({UpstreamAct::kCut});
   fixture.mB.Next({UpstreamAct::kCut});
   CHECK(fixture.Call("/look/1").mStatus == 502);
   CHECK(fixture.RunsOfLast() == 2);
-  SECTION("whichever upstream cuts it, it ends at the other") {
+  SECTION("cut by either upstream, it ends at the other") {
     const auto watch = fixture.CutNextOnce();
     const Answer answer = fixture.Call("/stream/1");
     CHECK(answer.mStatus == 200);
@@ -191,12 +192,12 @@
   }
 }
 
-Test(relay, who_leaves_gets_no_new_work) {
+Test(relay, a_leaving_upstream_gets_no_new_requests) {
   RelayFixture fixture;
   fixture.Begin();
   fixture.SendHeartbeat(fixture.mA, UpstreamState::kLeaving);
-  const Millis toldAt = SteadyNow();
-  REQUIRE(fixture.RunUntil([&] { return SteadyNow() - toldAt > 1000; }));
+  const Millis sentAt = SteadyNow();
+  REQUIRE(fixture.RunUntil([&] { return SteadyNow() - sentAt > 1000; }));
   const int before = fixture.mA.AllRuns();
   for (int i = 0; i < 20; i++) {
     CHECK(fixture.Call("/look/1").mStatus == 200);
@@ -204,7 +205,7 @@
   CHECK(fixture.mA.AllRuns() == before);
 }
 
-Test(relay, without_control_keys_are_soon_of_no_use) {
+Test(relay, keys_are_refused_when_the_lease_from_control_runs_out) {
   RelayFixture fixture;
   fixture.Begin();
   fixture.mControl.reset();
@@ -212,13 +213,13 @@
   const Answer answer = fixture.Call("/pay/1");
   CHECK(answer.mStatus == 503);
   CHECK(fixture.RunsOfLast() == 0);
-  SECTION("and of use again when it is back") {
+  SECTION("and accepted again once control is back") {
     fixture.StartControl();
     REQUIRE(fixture.RunUntil([&] { return fixture.mRouter->Ready(); }));
   }
 }
 
-Test(relay, a_caller_that_leaves_frees_its_upstream) {
+Test(relay, a_caller_that_disconnects_frees_its_upstream) {
   RelayFixture fixture;
   fixture.Begin();
   fixture.mA.Next({UpstreamAct::kSilent});
@@ -238,12 +239,12 @@
       [&] { return fixture.mA.Closed() + fixture.mB.Closed() >= 1; }));
 }
 
-Test(relay, a_planned_stop_ends_what_is_in_flight) {
+Test(relay, a_stopping_router_still_serves_requests) {
   RelayFixture fixture;
   fixture.Begin();
   fixture.mRouter->Stop();
   CHECK(!fixture.mRouter->Ready());
-  SECTION("who still comes is served, on a connection that closes") {
+  SECTION("a new request is served, and its connection closed") {
     const Answer answer = fixture.Call("/look/1");
     CHECK(answer.mStatus == 200);
     const std::string* header = FindHeader(answer.mHeaders, "Connection");
@@ -251,9 +252,9 @@
   }
 }
 
-Test(relay, a_router_may_end_with_requests_in_flight) {
-  // Found on the users' platform, grown: at the end of the grace the requests
-  // that were left outlived the parts that they use.
+Test(relay, a_router_is_destroyed_safely_with_requests_in_flight) {
+  // Guards against use after free: at the end of the stop's grace period the
+  // remaining requests outlived the objects that they use.
   RelayFixture fixture;
   ScriptedUpstream engine(fixture.mLoop, "engine");
   fixture.Begin();
--- a/tests/daemons/upstream_leave_test.cpp
+++ b/tests/daemons/upstream_leave_test.cpp
@@ -1,5 +1,5 @@
-/// Upstreams that say in their answers that they leave get no new requests,
-/// whatever control knows of them.
+/// Upstreams whose answers carry a leave notice get no new requests, whatever
+/// state control reports for them.
 #include "tests/daemons/relay_fixture.h"
 
 using namespace spindleweir;
@@ -10,7 +10,7 @@
 constexpr int kOk = 200;
 constexpr int kCalls = 50;
 
-/// Calls until an answer of this upstream came.
+/// Sends calls until this upstream has received one.
 void AwaitAnswer(RelayFixture& aFixture, const ScriptedUpstream& aUpstream,
                  const std::string& aTarget) {
   const Millis from = SteadyNow();
@@ -21,7 +21,7 @@
   }
 }
 
-/// Calls that must all be answered well.
+/// Checks that kCalls calls are all answered with 200.
 void CheckServed(RelayFixture& aFixture, const std::string& aTarget) {
   for (int i = 0; i < kCalls; i++) {
     const Answer answer = aFixture.Call(aTarget);
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-Test(upstream_leave, told_in_an_answer_of_a_plain_service_holds) {
+Test(upstream_leave, a_leave_notice_of_a_plain_service_is_honored) {
   RelayFixture fixture;
   fixture.Begin();
   fixture.mA.SayLeaving();
@@ -46,14 +46,14 @@
     CheckServed(fixture, "/look/1");
     CHECK(fixture.mA.ArrivalsSince(from) == 0);
   }
-  SECTION("neither does it that the other one fails") {
+  SECTION("nor does a failure of the other upstream") {
     fixture.mB.Next({UpstreamAct::kCut, UpstreamAct::kCut});
     fixture.Call("/look/1");
     CHECK(fixture.mA.ArrivalsSince(from) == 0);
   }
 }
 
-Test(upstream_leave, told_in_a_refusal_holds) {
+Test(upstream_leave, a_leave_notice_in_a_refusal_is_honored) {
   RelayFixture fixture;
   fixture.Begin();
   fixture.mA.SayLeaving();
@@ -61,13 +61,13 @@
   AwaitAnswer(fixture, fixture.mA, "/look/1");
   const Millis from = SteadyNow();
   fixture.mA.TakeAgain();
-  // Refusals alone are soon forgotten.
+  // Longer than the effect of a refusal without a leave notice.
   fixture.Wait(500);
   CheckServed(fixture, "/look/1");
   CHECK(fixture.mA.ArrivalsSince(from) == 0);
 }
 
-Test(upstream_leave, told_in_an_answer_of_an_engine_holds) {
+Test(upstream_leave, a_leave_notice_of_an_engine_is_honored) {
   RelayFixture fixture;
   ScriptedUpstream leaving(fixture.mLoop, "e1");
   ScriptedUpstream other(fixture.mLoop, "e2");
@@ -80,7 +80,7 @@
   const Millis from = SteadyNow();
   CheckServed(fixture, "/stream/1");
   CHECK(leaving.ArrivalsSince(from) == 0);
-  SECTION("streams that go on elsewhere do not go there either") {
+  SECTION("a stream that is cut does not resume there") {
     other.Next({UpstreamAct::kCut});
     CHECK(fixture.Call("/stream/1").mEnd == StreamEnd::kComplete);
     CHECK(leaving.ArrivalsSince(from) == 0);
--- a/tests/daemons/upstream_limit_test.cpp
+++ b/tests/daemons/upstream_limit_test.cpp
@@ -1,5 +1,5 @@
-/// Upstreams that name a limit in their answers get no more than it from all
-/// routers together.
+/// Upstreams that advertise a limit in their answers get no more requests than
+/// that from all routers together.
 #include <algorithm>
 #include <functional>
 #include <vector>
@@ -13,15 +13,15 @@
 constexpr int kRouters = 4;
 constexpr double kPerSecond = 2;
 constexpr Millis kWindow = 4000;
-/// One and a half times the limit, and five besides.
+/// 1.5 times the limit in a window, plus 5.
 constexpr int kAllowed = 17;
-/// By then each router has had an answer that names it.
-constexpr Millis kTold = 1500;
+/// After this time each router has received an answer with the limit.
+constexpr Millis kLimitSpread = 1500;
 constexpr Millis kCallInterval = 20;
-/// Requests of an upstream whose limit does not hold any more, in a window.
+/// An upstream without a limit gets more requests than this in a window.
 constexpr int kUnlimited = 2 * kAllowed;
 
-/// Callers that ask several routers in turn, for as long as they are there.
+/// Callers that call several routers in turn during the object's lifetime.
 class Callers {
  public:
   Callers(RelayFixture& aFixture, std::string aTarget)
@@ -36,7 +36,7 @@
           mRouters.begin(), mRouters.end(),
           [](const RelayRouter* aRouter) { return aRouter->Ready(); });
     }));
-    mTimer = mFixture.mLoop.Every(kCallInterval, [this] { Ask(); });
+    mTimer = mFixture.mLoop.Every(kCallInterval, [this] { SendCall(); });
   }
 
   int Served() const {
@@ -48,7 +48,7 @@
   }
 
  private:
-  void Ask() {
+  void SendCall() {
     const std::size_t n = mCalls.size();
     mCalls.push_back(
         mFixture.OpenAt(*mRouters[n % mRouters.size()],
@@ -63,15 +63,15 @@
   std::unique_ptr<Timer> mTimer;
 };
 
-/// Lets time pass, while upstreams go on to be heard of.
-class Passing {
+/// Waits while upstreams go on sending heartbeats.
+class HeartbeatWait {
  public:
-  Passing(RelayFixture& aFixture, std::function<void()> aBeats)
-      : mFixture(aFixture), mBeats(std::move(aBeats)) {}
+  HeartbeatWait(RelayFixture& aFixture, std::function<void()> aSendHeartbeats)
+      : mFixture(aFixture), mSendHeartbeats(std::move(aSendHeartbeats)) {}
 
   void Wait(Millis aTime) {
     for (Millis passed = 0; passed < aTime; passed += kHeartbeatInterval) {
-      mBeats();
+      mSendHeartbeats();
       mFixture.Wait(kHeartbeatInterval);
     }
   }
@@ -80,27 +80,30 @@
   static constexpr Millis kHeartbeatInterval = 500;
 
   RelayFixture& mFixture;
-  std::function<void()> mBeats;
+  std::function<void()> mSendHeartbeats;
 };
 
 void CheckLimit(RelayFixture& aFixture, ScriptedUpstream& aLimited,
-                const std::string& aTarget, std::function<void()> aBeats) {
+                const std::string& aTarget,
+                std::function<void()> aSendHeartbeats) {
   aLimited.NameLimit(kPerSecond);
   const Callers callers(aFixture, aTarget);
-  Passing passing(aFixture, std::move(aBeats));
-  passing.Wait(kTold);
+  HeartbeatWait wait(aFixture, std::move(aSendHeartbeats));
+  wait.Wait(kLimitSpread);
   const Millis from = SteadyNow();
-  passing.Wait(kWindow + kTold);
+  wait.Wait(kWindow + kLimitSpread);
   CHECK(aLimited.MostArrivalsIn(kWindow, from) <= kAllowed);
-  SECTION("it gets some of what it takes, and another one serves the rest") {
+  SECTION(
+      "it gets requests up to its limit, and another upstream serves the "
+      "rest") {
     CHECK(aLimited.MostArrivalsIn(kWindow, from) >= kPerSecond);
     CHECK(callers.Served() > kUnlimited);
   }
-  SECTION("it gets more again once its answers name none") {
+  SECTION("it gets more again once its answers carry no limit") {
     aLimited.NameLimit(std::nullopt);
-    passing.Wait(kWindow);
+    wait.Wait(kWindow);
     const Millis lifted = SteadyNow();
-    passing.Wait(kWindow);
+    wait.Wait(kWindow);
     CHECK(aLimited.MostArrivalsIn(kWindow, lifted) > kUnlimited);
   }
 }
@@ -116,7 +119,7 @@
   });
 }
 
-Test(upstream_limit, of_an_engine_that_begins_paths_holds_over_all_routers) {
+Test(upstream_limit, of_a_first_stage_engine_holds_over_all_routers) {
   RelayFixture fixture;
   ScriptedUpstream limited(fixture.mLoop, "limited");
   ScriptedUpstream other(fixture.mLoop, "other");
@@ -128,15 +131,15 @@
   });
 }
 
-Test(upstream_limit, holds_for_requests_that_are_sent_once_more) {
+Test(upstream_limit, holds_for_retries) {
   RelayFixture fixture;
   fixture.Begin();
   const std::vector<UpstreamAct> refusals(1000, UpstreamAct::kRefuse);
   fixture.mB.Next(refusals);
   fixture.mA.NameLimit(kPerSecond);
   const Callers callers(fixture, "/look/1");
-  fixture.Wait(kTold);
+  fixture.Wait(kLimitSpread);
   const Millis from = SteadyNow();
-  fixture.Wait(kWindow + kTold);
+  fixture.Wait(kWindow + kLimitSpread);
   CHECK(fixture.mA.MostArrivalsIn(kWindow, from) <= kAllowed);
 }
