--- a/tests/daemons/crashing_request_test.cpp
+++ b/tests/daemons/crashing_request_test.cpp
@@ -1,13 +1,7 @@
-/// What users saw: engines ended one after the other, each with all the
-/// streams on it, 19 under one request. The order of events: a caller sends a
-/// request that crashes whatever begins to run it; the router sends it to a
-/// second engine, which crashes too; the caller comes back under another id,
-/// at another router, which has never heard of it. The cause: what is known
-/// of a request's crashes ended with its try at one router.
-///
-/// The evidence: log lines of lost attempts that had brought no event, in
-/// pairs, each pair under another id and mostly at another router, 0.1 to 0.4 s
-/// apart, with no other fault near them.
+/// A request that crashes each upstream that runs it must stop being sent after
+/// a few crashes, also if the caller repeats it under other ids at other
+/// routers. If each router forgot a request's crashes after its own attempts,
+/// such a request would end one engine after another, with all streams on them.
 #include "daemons/control/crash_store.h"
 #include "spindleweir/drivers/file_tools.h"
 #include "tests/daemons/relay_fixture.h"
@@ -18,11 +12,11 @@
 
 constexpr const char* kCrashing = "/look/crashing";
 constexpr int kUpstreams = 24;
-/// Crashes that it takes to know, and what may be under way meanwhile.
+/// Crashes until the request is barred, plus those of attempts in progress.
 constexpr int kMaxCrashes = 6;
 constexpr int kCalls = 10;
 
-/// Two routers before upstreams of which each crashes at most once.
+/// Two routers and upstreams, each of which crashes at most once.
 struct CrashFixture {
   CrashFixture() {
     REQUIRE(mFixture.Publish(Document(Traffic(7))).mCode == ResultCode::kOk);
@@ -49,9 +43,9 @@
     return n;
   }
 
-  /// The request comes again and again, by turns at each router, with time
-  /// for word between them.
-  void ComeAgain() {
+  /// Repeats the request at both routers alternately, with time for crash
+  /// reports between the calls.
+  void RepeatRequest() {
     for (int i = 0; i < kCalls; i++) {
       mFixture.CallAt(i % 2 == 0 ? *mOther : *mFixture.mRouter, kCrashing);
       mFixture.Wait(300);
@@ -65,13 +59,14 @@
 
 }  // namespace
 
-Test(crashing_request, comes_again_at_any_router_and_is_run_no_more) {
+Test(crashing_request, is_barred_at_all_routers) {
   CrashFixture fixture;
-  fixture.ComeAgain();
-  SECTION("only so many upstreams crash under it, over all routers and tries") {
+  fixture.RepeatRequest();
+  SECTION(
+      "at most kMaxCrashes upstreams crash, over all routers and attempts") {
     CHECK(fixture.Crashed() <= kMaxCrashes);
   }
-  SECTION("whoever sends it is told at once, and that it did not run") {
+  SECTION("a caller gets 503 immediately, and no upstream runs it") {
     const int before = fixture.Crashed();
     CHECK(fixture.mFixture.Call(kCrashing).mStatus == 503);
     CHECK(fixture.mFixture.CallAt(*fixture.mOther, kCrashing).mStatus == 503);
@@ -83,9 +78,9 @@
   }
 }
 
-Test(crashing_request, stays_barred_when_all_processes_start_again) {
+Test(crashing_request, stays_barred_after_all_processes_restart) {
   CrashFixture fixture;
-  fixture.ComeAgain();
+  fixture.RepeatRequest();
   RelayFixture& all = fixture.mFixture;
   REQUIRE(ReadFile(all.mFolder.Path("data/barred")).has_value());
   all.mRouter.reset();
@@ -100,20 +95,20 @@
   }
   REQUIRE(all.RunUntil([&all] { return all.mRouter->Ready(); }));
   const int before = fixture.Crashed();
-  SECTION("the first try after the start is refused already") {
+  SECTION("the first attempt after the restart is refused") {
     CHECK(all.Call(kCrashing).mStatus == 503);
     CHECK(fixture.Crashed() == before);
   }
-  SECTION("others are served") {
+  SECTION("other requests are served") {
     CHECK(all.Call("/look/x").mStatus == 200);
   }
 }
 
-Test(crashing_request, costs_what_was_lost_with_it_no_place) {
-  // A request that is under way at an upstream that ends, and is served by the
-  // next one, has crashed nothing.
+Test(crashing_request, does_not_bar_requests_that_complete_elsewhere) {
+  // A request that was in progress at an upstream that crashes, but is served
+  // by the next one, did not cause the crash.
   CrashFixture fixture;
-  SECTION("however often upstreams end under it, since it completes between") {
+  SECTION("however many upstreams crash, as it completes in between") {
     for (int i = 0; i < 5; i++) {
       ScriptedUpstream ends(fixture.mFixture.mLoop, "ends" + std::to_string(i));
       ends.CrashOn("innocent");
@@ -127,7 +122,7 @@
   }
 }
 
-Test(crashing_request, is_none_that_passed_engines_which_end_at_once) {
+Test(crashing_request, counts_one_crash_if_engines_of_its_path_crash_together) {
   RelayFixture fixture;
   ScriptedUpstream first(fixture.mLoop, "first");
   ScriptedUpstream second(fixture.mLoop, "second");
@@ -159,15 +154,15 @@
   first.Crash();
   REQUIRE(fixture.RunUntil([&] { return ended; }));
   fixture.Wait(600);
-  SECTION("it is a suspect for the one that began it") {
+  SECTION("only the engine of the first stage counts") {
     CHECK(fixture.mRouter->OwnCounters().Value("crashes_seen") == 1);
   }
 }
 
-Test(crash_store, keeps_what_is_barred_and_nothing_else) {
+Test(crash_store, stores_barred_requests_only) {
   const TemporaryFolder folder;
-  const InvalidRowHook noBad = [](const std::string&, const Error&) {
-    cr_assert_fail("a row cannot be used");
+  const InvalidRowHook noInvalidRow = [](const std::string&, const Error&) {
+    cr_assert_fail("a row is invalid");
   };
   CrashLedger before;
   for (const char* incarnation : {"a@1", "b@1", "c@1"}) {
@@ -175,19 +170,19 @@
   }
   before.RecordCrash("suspect", "a@1", 0);
   CrashStore(folder.Path("barred")).Save(before, 10);
-  SECTION("a process that starts again bars the same") {
+  SECTION("a restarted process bars the same requests") {
     CrashLedger after;
-    CrashStore(folder.Path("barred")).Load(after, 0, noBad);
+    CrashStore(folder.Path("barred")).Load(after, 0, noInvalidRow);
     CHECK(after.IsBarred("barred") && after.UnexcusedCrashes("suspect") == 0);
   }
-  SECTION("a torn file bars nothing, and is no error") {
-    const std::string kept = ReadFile(folder.Path("barred")).value();
-    ReplaceFile(folder.Path("torn"), kept.substr(0, kept.size() / 2));
+  SECTION("a truncated file bars nothing and is no error") {
+    const std::string stored = ReadFile(folder.Path("barred")).value();
+    ReplaceFile(folder.Path("torn"), stored.substr(0, stored.size() / 2));
     CrashLedger after;
-    CrashStore(folder.Path("torn")).Load(after, 0, noBad);
+    CrashStore(folder.Path("torn")).Load(after, 0, noInvalidRow);
     CHECK(!after.HasBarredRequests());
   }
-  SECTION("a disk that refuses is tried again") {
+  SECTION("a failed write is retried") {
     CrashStore store(folder.Path("later/barred"));
     store.Save(before, 0);
     PrepareFolder(folder.Path("later"));
--- a/tests/daemons/large_fleet_test.cpp
+++ b/tests/daemons/large_fleet_test.cpp
@@ -1,19 +1,14 @@
-// A service of a large fleet that all routers refused for a whole day.
+// A service of a large fleet whose upstreams got no requests because all
+// routers refused every call as "full" within a millisecond, for a whole day,
+// also on routes that a later configuration added.
 //
-// Callers saw each of their calls refused as "full" within a millisecond, at
-// any router, from the first second to the last, while the service's upstreams
-// got nothing; routes that a later configuration added to it were refused
-// alike. No upstream, VM or link was at fault.
-//
-// Cause: a router takes the others for asked as much as itself, and counted the
-// very request that asks as what it was asked before. One call in four seconds
-// is then one in two, times all routers, times the age of the news: 13 to 171
-// requests at an upstream that holds 12 and had none. How long they last was
-// learnt from answers only, so that who refused its first call refused all.
-//
-// Evidence: of 894 such refusals all had told work of 0, a rate of at least one
-// call in two seconds and no known time; with the rate alone mended 6 were left
-// on the same day, and the upstreams got 1,106 calls in place of none.
+// A router assumes that its peers send an upstream as many requests as itself,
+// and counted the request at hand as earlier load. One call in four seconds
+// became one in two, times all routers, times the age of the peer reports: 13
+// to 171 requests at an upstream with 12 slots and none in use. Response times
+// were learned from answers only, so that a service whose first call was
+// refused refused all. With the rate alone corrected, 6 of 894 refusals
+// remained; so the unknown response time must not cause refusals either.
 #include "spindleweir/core/json_codec.h"
 #include "tests/daemons/relay_fixture.h"
 
@@ -21,7 +16,7 @@
 
 namespace {
 
-std::int64_t AttemptsTold(RelayRouter& aRouter) {
+std::int64_t ReportedAttempts(RelayRouter& aRouter) {
   aRouter.RefreshGauges();
   return aRouter.OwnCounters().Value("attempts_told");
 }
@@ -36,11 +31,12 @@
   fixture.ReportRouters(300);
   REQUIRE(fixture.RunUntil(
       [&fixture] { return KnownRouters(*fixture.mRouter) > 290; }));
-  SECTION("though hundreds of routers share it, and none knows its time") {
+  SECTION(
+      "though hundreds of routers share it, and none knows its response time") {
     CHECK(fixture.Call("/look/x").mStatus == 200);
     CHECK(fixture.Call("/pay/x").mStatus == 200);
   }
-  SECTION("nor is one that comes by a route of a later configuration") {
+  SECTION("also by a route of a later configuration") {
     TrafficConfiguration traffic = Traffic(8);
     traffic.mRoutes.push_back(traffic.mRoutes.front());
     traffic.mRoutes.back().mName = "added";
@@ -54,16 +50,15 @@
     }
     CHECK(status == 200);
   }
-  SECTION("what ended is not told as work that goes on") {
-    CHECK(AttemptsTold(*fixture.mRouter) == 0);
+  SECTION("finished requests are not reported as work in progress") {
+    CHECK(ReportedAttempts(*fixture.mRouter) == 0);
   }
 }
 
-// Each router held the greatest number of routers that any control had ever
-// told it. After a start routers tell two controls within moments and count
-// twice: 342 for 195, until the processes ended. Evidence: the routers' figure
-// at all 195 routers from the first reading to the last.
-Test(large_fleet, routers_that_ended_are_not_counted_for_ever) {
+// Each router kept the greatest number of routers that any control had ever
+// reported. After a start, routers report to two controls within moments and
+// count twice: 342 were counted for 195 until the processes ended.
+Test(large_fleet, routers_that_ended_are_not_counted_indefinitely) {
   RelayFixture fixture(kShortWarmUp, {.mWindow = 500});
   fixture.Begin();
   std::unique_ptr<RelayRouter> second = fixture.MakeRouter("second");
--- a/tests/daemons/memory_test.cpp
+++ b/tests/daemons/memory_test.cpp
@@ -1,4 +1,4 @@
-/// Callers that read or send next to nothing beside callers that read well.
+/// Callers that read or send almost nothing, beside normal callers.
 #include <arpa/inet.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -15,10 +15,10 @@
 constexpr std::size_t kAnswer = 100 * 1000;
 constexpr int kSmallWindow = 2048;
 
-/// What a slow caller does each time that it is poked.
+/// What a slow caller does at each step.
 enum class Slow { kReadsNothing, kReadsAByte, kSendsAByte };
 
-/// One caller on a socket of its own.
+/// One caller with its own socket.
 class SlowCaller {
  public:
   SlowCaller(const Endpoint& aServer, const std::string& aTarget,
@@ -41,7 +41,7 @@
   SlowCaller(const SlowCaller&) = delete;
   SlowCaller& operator=(const SlowCaller&) = delete;
 
-  void Poke() {
+  void Step() {
     const std::size_t n = mHow == Slow::kSendsAByte && mSent >= mBody ? 1
                           : mHow == Slow::kSendsAByte ? mBody - mSent
                                                       : mUnsent.size() - mSent;
@@ -59,11 +59,11 @@
   int mFd;
   Slow mHow;
   std::string mUnsent;
-  std::size_t mBody = 0;  ///< Where it begins.
+  std::size_t mBody = 0;  ///< Offset of the body in mUnsent.
   std::size_t mSent = 0;
 };
 
-/// A crowd of them, poked by a timer, and the most that is held meanwhile.
+/// A crowd of them, stepd by a timer, and the most that is held meanwhile.
 struct Crowd {
   explicit Crowd(RelayFixture& aFixture) : mFixture(aFixture) {
     mTimer = aFixture.mLoop.Every(20, [this] { Step(); });
@@ -84,7 +84,7 @@
 
   void Step() {
     for (const auto& caller : mCallers) {
-      caller->Poke();
+      caller->Step();
     }
     mFixture.mRouter->RefreshGauges();
     mMaxHeld = std::max(mMaxHeld, Gauge("memory_held_bytes"));
@@ -97,7 +97,7 @@
   std::unique_ptr<Timer> mTimer;
 };
 
-/// A call that comes back when it is refused, as callers do.
+/// Repeats a call while it is refused, as callers do.
 Answer CallUntilServed(RelayFixture& aFixture, const std::string& aTarget) {
   Answer answer;
   for (int i = 0; i < 400; i++) {
@@ -105,7 +105,7 @@
     if (answer.mStatus == 200) {
       break;
     }
-    // It was refused, and that is a promise.
+    // A refusal promises that the request has not run.
     REQUIRE(answer.mStatus == 503);
     CHECK(FindHeader(answer.mHeaders, "Retry-After") != nullptr);
     CHECK(aFixture.RunsOfLast() == 0);
@@ -116,11 +116,11 @@
 
 }  // namespace
 
-Test(memory, callers_that_read_well_are_served_beside_those_that_do_not) {
+Test(memory, normal_callers_are_served_beside_slow_ones) {
   RelayFixture fixture;
   fixture.mMemoryBytes = kMemory;
-  // Memory is what runs short: with few slots, full upstreams turn most slow
-  // callers away before, and nobody has to be cut.
+  // Many slots, so that memory is the limit: with few, full upstreams would
+  // refuse most slow callers, and none would have to be cut.
   fixture.mSlots = 1000;
   fixture.StartRouter();
   fixture.Begin();
@@ -143,8 +143,8 @@
       CHECK(fixture.RunsOfLast() == 1);
     }
   }
-  // Slow callers end by the route's time-out of 5 s, and upstreams that are
-  // full turn further ones away: they come on until there is no room.
+  // Slow callers end by the route's timeout of 5 s, and full upstreams refuse
+  // others: new ones are added until the memory is used up.
   auto more = fixture.mLoop.Every(
       100, [&crowd] { crowd.Add(5, "/look/slow", Slow::kReadsNothing); });
   REQUIRE(fixture.RunUntil([&] { return crowd.Gauge("memory_cut") > 0; }));
@@ -156,7 +156,7 @@
       CHECK(fixture.mA.Runs(id) + fixture.mB.Runs(id) <= 1);
     }
   }
-  SECTION("all is given back once they are gone") {
+  SECTION("all memory is released after they disconnect") {
     crowd.mCallers.clear();
     CHECK(fixture.RunUntil([&] {
       return crowd.Gauge("memory_held_bytes") == 0 &&
@@ -165,7 +165,7 @@
   }
 }
 
-Test(memory, a_slow_caller_gets_its_whole_answer_where_there_is_room) {
+Test(memory, the_answer_of_a_slow_caller_is_stored_while_memory_suffices) {
   RelayFixture fixture;
   fixture.mMemoryBytes = kMemory;
   fixture.StartRouter();
@@ -174,9 +174,10 @@
   fixture.mB.SetBytes(kAnswer);
   SlowCaller caller(fixture.mRouter->Address(), "/pay/slow", "slow",
                     Slow::kReadsNothing);
-  caller.Poke();
-  const auto poke = fixture.mLoop.Every(20, [&caller] { caller.Poke(); });
-  // Nothing is left at the upstream, which would cut it.
+  caller.Step();
+  const auto step = fixture.mLoop.Every(20, [&caller] { caller.Step(); });
+  // The router has read the answer in full, so that the upstream, which would
+  // cut a slow reader, is free.
   REQUIRE(fixture.RunUntil([&] {
     fixture.mRouter->RefreshGauges();
     return fixture.mRouter->OwnCounters().Value("memory_unread_bytes") >
--- a/tests/daemons/outcome_test.cpp
+++ b/tests/daemons/outcome_test.cpp
@@ -1,5 +1,5 @@
-/// What a refusal promises: what it was given for has not run and never will,
-/// however the outcome becomes known.
+/// A refusal promises that its request has not run and never will. Checks that
+/// the router refuses no request that may have run.
 #include <arpa/inet.h>
 #include <fcntl.h>
 #include <netinet/in.h>
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Answers by which the users' rules say that a request did not run.
+/// Statuses that by the users' rules mean that a request did not run.
 constexpr int kPromises[] = {408, 421, 429, 503};
 
 bool Promises(int aStatus) {
@@ -22,7 +22,7 @@
          std::end(kPromises);
 }
 
-/// An upstream that is no more than a socket: what it does is the test's.
+/// An upstream that is only a socket, controlled by the test.
 class SocketUpstream {
  public:
   explicit SocketUpstream(int aBacklog = 8)
@@ -51,7 +51,7 @@
     return "127.0.0.1:" + std::to_string(ntohs(mAddress.sin_port));
   }
 
-  /// Fills the queue of connections, so that no other one is answered.
+  /// Fills the listen backlog, so that further connections are not accepted.
   void Fill() {
     for (int i = 0; i < 4; i++) {
       mFillers.push_back(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0));
@@ -60,7 +60,7 @@
     }
   }
 
-  /// True once a connection is there.
+  /// Accepts a connection if none is open; true if one is open.
   bool Accept() {
     if (mFd < 0) {
       mFd = accept4(mListener, nullptr, nullptr, SOCK_NONBLOCK);
@@ -68,24 +68,24 @@
     return mFd >= 0;
   }
 
-  /// Takes what has come; true once a connection is there. One that ends and
-  /// brought nothing was a look whether the upstream is there, and no request.
-  bool Take() {
-    if (mEnded && mGot.empty()) {
+  /// Reads the available bytes; true if a connection is open. A connection that
+  /// ends without a byte was a reachability check, not a request.
+  bool Receive() {
+    if (mEnded && mReceived.empty()) {
       Next();
     }
     Accept();
     char buf[65536];
     ssize_t n = 0;
     while (mFd >= 0 && (n = read(mFd, buf, sizeof(buf))) > 0) {
-      mGot.append(buf, static_cast<std::size_t>(n));
-      mAllGot.append(buf, static_cast<std::size_t>(n));
+      mReceived.append(buf, static_cast<std::size_t>(n));
+      mAllReceived.append(buf, static_cast<std::size_t>(n));
     }
     mEnded = mEnded || (mFd >= 0 && n == 0);
     return mFd >= 0;
   }
 
-  void Say(const std::string& aText) const {
+  void Send(const std::string& aText) const {
     (void)!write(mFd, aText.data(), aText.size());
   }
 
@@ -99,13 +99,13 @@
   /// Goes on to the next connection.
   void Next() {
     Close();
-    mGot.clear();
+    mReceived.clear();
     mEnded = false;
   }
 
-  const std::string& Got() const { return mGot; }
+  const std::string& Received() const { return mReceived; }
   /// Of all connections.
-  const std::string& AllGot() const { return mAllGot; }
+  const std::string& AllReceived() const { return mAllReceived; }
   bool Ended() const { return mEnded; }
 
  private:
@@ -120,12 +120,12 @@
   int mFd = -1;
   bool mEnded = false;
   sockaddr_in mAddress{};
-  std::string mGot;
-  std::string mAllGot;
+  std::string mReceived;
+  std::string mAllReceived;
   std::vector<int> mFillers;
 };
 
-/// A request under way.
+/// A request in progress.
 struct OpenCall {
   bool mDone = false;
   int mStatus = 0;
@@ -157,7 +157,7 @@
   return open;
 }
 
-/// A configuration in force, and one upstream known.
+/// Publishes a configuration and waits until the upstream is known.
 void BeginWith(RelayFixture& aFixture, const SocketUpstream& aUpstream,
                const TrafficConfiguration& aTraffic = Traffic(7)) {
   REQUIRE(aFixture.Publish(Document(aTraffic)).mCode == ResultCode::kOk);
@@ -167,17 +167,17 @@
                           .mZone = "z",
                           .mSlots = 6});
   REQUIRE(aFixture.RunUntil([&] { return aFixture.mRouter->Ready(); }));
-  // Until the router has heard of it as well.
+  // Until the router knows the upstream as well.
   aFixture.Wait(600);
 }
 
 }  // namespace
 
-Test(outcomes, a_failure_of_the_upstream_is_no_promise) {
+Test(outcomes, a_failure_of_the_upstream_is_no_refusal) {
   RelayFixture fixture;
   fixture.Begin();
   for (int status : kPromises) {
-    // It says nothing of not running, so that it may have run.
+    // The answer doesn't state that the request did not run, so it may have.
     fixture.mA.FailWith(status);
     fixture.mB.FailWith(status);
     fixture.mA.Next({UpstreamAct::kFail});
@@ -188,14 +188,14 @@
     fixture.mA.Next({});
     fixture.mB.Next({});
   }
-  SECTION("of what may be repeated it is handed on") {
+  SECTION("for a safe request it is forwarded") {
     fixture.mA.Next({UpstreamAct::kFail, UpstreamAct::kFail});
     fixture.mB.Next({UpstreamAct::kFail, UpstreamAct::kFail});
     CHECK(fixture.Call("/look/1").mStatus == 503);
   }
 }
 
-Test(outcomes, a_deadline_that_passes_is_a_promise_only_if_nothing_left) {
+Test(outcomes, an_expired_deadline_is_a_refusal_only_if_nothing_was_sent) {
   SECTION("sent and unanswered") {
     RelayFixture fixture;
     SocketUpstream upstream;
@@ -203,8 +203,8 @@
     const auto call = Start(fixture, "/pay/1", 400);
     REQUIRE(fixture.RunUntil([&] { return call->mDone; }));
     CHECK(call->mStatus == 504);
-    REQUIRE(fixture.RunUntil([&] { return upstream.Take(); }));
-    CHECK(upstream.Got().starts_with("POST /pay/1"));
+    REQUIRE(fixture.RunUntil([&] { return upstream.Receive(); }));
+    CHECK(upstream.Received().starts_with("POST /pay/1"));
   }
   SECTION("sent in part") {
     RelayFixture fixture;
@@ -215,7 +215,7 @@
     REQUIRE(fixture.RunUntil([&] { return call->mDone; }));
     CHECK(call->mStatus == 504);
   }
-  SECTION("still connecting, all bytes held here") {
+  SECTION("still connecting, nothing sent") {
     RelayFixture fixture;
     SocketUpstream upstream(0);
     BeginWith(fixture, upstream);
@@ -223,28 +223,28 @@
     const auto call = Start(fixture, "/pay/1", 300);
     REQUIRE(fixture.RunUntil([&] { return call->mDone; }));
     CHECK(Promises(call->mStatus));
-    // The promise is kept once the upstream takes connections again.
+    // Nothing is sent after the upstream accepts connections again either.
     const Millis until = SteadyNow() + 2500;
     fixture.RunUntil([&] {
-      if (upstream.Take()) {
+      if (upstream.Receive()) {
         upstream.Next();
       }
       return SteadyNow() > until;
     });
-    CHECK(upstream.AllGot().empty());
+    CHECK(upstream.AllReceived().empty());
   }
 }
 
-Test(outcomes, a_connection_that_breaks_after_the_bytes_left_is_no_promise) {
+Test(outcomes, a_connection_that_breaks_after_sending_is_no_refusal) {
   RelayFixture fixture;
   SocketUpstream upstream;
   BeginWith(fixture, upstream);
   const auto ends = [&](bool aReset) {
     const auto call = Start(fixture, "/pay/1", 5000);
     REQUIRE(fixture.RunUntil(
-        [&] { return upstream.Take() && !upstream.Got().empty(); }));
+        [&] { return upstream.Receive() && !upstream.Received().empty(); }));
     if (!aReset) {
-      upstream.Say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart");
+      upstream.Send("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart");
     }
     upstream.Reset();
     REQUIRE(fixture.RunUntil([&] { return call->mDone; }));
@@ -258,33 +258,33 @@
   }
 }
 
-Test(outcomes, an_upstream_that_says_not_run_gets_no_more_of_it) {
+Test(outcomes, an_upstream_that_refuses_early_gets_no_more_of_the_body) {
   RelayFixture fixture;
   SocketUpstream upstream;
   BeginWith(fixture, upstream);
   constexpr std::size_t kBody = 4 * 1024 * 1024;
   const auto call = Start(fixture, "/pay/1", 3000, std::string(kBody, 'x'));
-  // It refuses each attempt before the body is in, and would run one that
-  // becomes whole.
-  std::size_t most = 0;
-  bool said = false;
+  // The upstream refuses each attempt before it has received the body, and
+  // would run a request that it receives in full.
+  std::size_t maxReceived = 0;
+  bool refused = false;
   REQUIRE(fixture.RunUntil([&] {
-    if (!said && upstream.Accept()) {
-      upstream.Say(
+    if (!refused && upstream.Accept()) {
+      upstream.Send(
           "HTTP/1.1 503 Full\r\nX-Ran: no\r\nContent-Length: 0\r\n\r\n");
-      said = true;
-    } else if (said && upstream.Take() && upstream.Ended()) {
-      most = std::max(most, upstream.Got().size());
+      refused = true;
+    } else if (refused && upstream.Receive() && upstream.Ended()) {
+      maxReceived = std::max(maxReceived, upstream.Received().size());
       upstream.Next();
-      said = false;
+      refused = false;
     }
     return call->mDone;
   }));
   CHECK(Promises(call->mStatus));
-  CHECK(most < kBody);
+  CHECK(maxReceived < kBody);
 }
 
-Test(outcomes, a_caller_that_leaves_causes_no_second_run) {
+Test(outcomes, a_caller_that_disconnects_causes_no_second_run) {
   RelayFixture fixture;
   fixture.Begin();
   fixture.mA.Next({UpstreamAct::kSilent});
@@ -298,7 +298,7 @@
   CHECK(fixture.RunsOfLast() == 1);
 }
 
-Test(outcomes, nothing_that_may_not_be_repeated_is_switched) {
+Test(outcomes, requests_that_may_not_be_repeated_are_not_moved) {
   RelayFixture fixture;
   fixture.Begin();
   TrafficConfiguration traffic = Traffic(8);
@@ -307,7 +307,7 @@
   REQUIRE(fixture.RunUntil([&fixture] {
     return fixture.mRouter->OwnCounters().Value("traffic_version") == 8;
   }));
-  // Longer than an upstream of a stream may be silent.
+  // Longer than the stall timeout of a stream's upstream.
   constexpr Millis kDeadline = 3500;
   for (const char* target : {"/pay/1", "/stream/1"}) {
     fixture.mA.Next({UpstreamAct::kSilent});
--- a/tests/daemons/planned_stop_test.cpp
+++ b/tests/daemons/planned_stop_test.cpp
@@ -1,13 +1,9 @@
-/// What users saw around planned stops of routers: streams taken after the
-/// signal and cut at the end of the grace, requests that were closed without an
-/// answer, and nothing in the logs but that their callers had left. The order
-/// of events: the signal; callers still come, by the balancer or on connections
-/// that they kept; the grace ends. The causes: any request was taken for 2.8 s
-/// whatever time it needs, the process ended while it listened and while
-/// answers were unread, and what it cut was logged as left by its caller.
-///
-/// The evidence: 11 streams of one day cut 7.7 s after the signal, most of them
-/// taken after it, each logged 1 ms after "stopped".
+/// A router that stops as planned must not accept requests that it cannot
+/// complete, nor close connections without an answer. Any request was accepted
+/// for 2.8 s after the signal whatever time it needed, so that streams were cut
+/// at the end of the grace period (7.7 s after the signal); the process ended
+/// while it listened and while answers were unread; and what it cut was logged
+/// as left by its caller.
 #include <algorithm>
 
 #include "tests/daemons/relay_fixture.h"
@@ -16,7 +12,7 @@
 
 namespace {
 
-/// Of a router that is about to stop: shorter than a late answer takes.
+/// Of the stopping router: leaves less time than a late answer takes.
 constexpr Millis kShortGrace = 2300;
 static_assert(kShortGrace - ScriptedUpstream::kLateBy < 300);
 
@@ -28,7 +24,7 @@
                       "\"");
 }
 
-/// A fixture whose router has a short grace.
+/// A fixture whose router has a short grace period.
 struct StopFixture : RelayFixture {
   StopFixture() {
     mStopGrace = kShortGrace;
@@ -40,7 +36,7 @@
 
 }  // namespace
 
-Test(planned_stop, what_cannot_end_in_time_is_sent_elsewhere_at_once) {
+Test(planned_stop, a_request_that_takes_too_long_is_refused_immediately) {
   StopFixture fixture;
   constexpr int kLateCalls = 8;
   fixture.mA.Next(std::vector<UpstreamAct>(kLateCalls, UpstreamAct::kLate));
@@ -56,19 +52,19 @@
   fixture.mA.Next({});
   fixture.mB.Next({});
   fixture.mRouter->Stop();
-  SECTION("a call of a service that takes longer than is left") {
+  SECTION("a call of a service that takes longer than the remaining time") {
     const Answer answer = fixture.Call("/pay/1");
     CHECK(answer.mStatus == 503);
     CHECK(fixture.RunsOfLast() == 0);
     const std::string* after = FindHeader(answer.mHeaders, "Retry-After");
     CHECK(after != nullptr && std::stod(*after) == 0);
   }
-  SECTION("one whose caller waits for less than what is left is served") {
+  SECTION("a call whose deadline is before the end is served") {
     CHECK(fixture.Call("/look/1", "key", 1000).mStatus == 200);
   }
 }
 
-Test(planned_stop, what_is_left_at_the_end_gets_an_answer) {
+Test(planned_stop, a_request_in_flight_at_the_end_gets_an_answer) {
   StopFixture fixture;
   fixture.mA.Next({UpstreamAct::kSilent});
   fixture.mB.Next({UpstreamAct::kSilent});
@@ -78,13 +74,13 @@
   }));
   fixture.mRouter->Stop();
   CHECK(fixture.RunUntil([&open] { return open->mEnded; }));
-  SECTION("it may have run: no promise that it did not") {
+  SECTION("it may have run: 502 and no refusal") {
     CHECK(open->mAnswer.mStatus == 502);
     CHECK(open->mAnswer.mEnd == StreamEnd::kComplete);
   }
 }
 
-Test(planned_stop, it_ends_after_its_slowest_caller_has_the_answer) {
+Test(planned_stop, the_router_ends_after_its_slowest_caller_has_the_answer) {
   constexpr std::size_t kBytes = 4 * 1000 * 1000;
   StopFixture fixture;
   fixture.mA.SetBytes(kBytes);
@@ -97,14 +93,14 @@
   fixture.mRouter->Stop();
   const auto resume =
       fixture.mLoop.After(1200, [&open] { open->mCall->Pause(false); });
-  SECTION("it would have nothing more to do before its caller reads") {
+  SECTION("the router has no other work before the caller reads") {
     fixture.RunUntil([&open] { return open->mEnded; });
     CHECK(open->mAnswer.mEnd == StreamEnd::kComplete);
     CHECK(open->mAnswer.mBody == ScriptedUpstream::BodyOf("slow", kBytes));
   }
 }
 
-Test(planned_stop, a_stream_that_is_cut_is_known_to_be_cut_by_the_router) {
+Test(planned_stop, a_stream_cut_by_the_stop_is_counted_as_router_ended) {
   StopFixture fixture;
   ScriptedUpstream engine(fixture.mLoop, "engine");
   fixture.BeginEngine(engine);
--- a/tests/daemons/refused_move_test.cpp
+++ b/tests/daemons/refused_move_test.cpp
@@ -1,10 +1,7 @@
-/// What was seen: four streams on one engine fell silent for two seconds, until
-/// their callers left, each with most of its time left. The order of events: an
-/// engine on their paths leaves; their router orders them to others; one of
-/// these has no room, and the order is refused. The cause: the router took the
-/// order for done. It told loads of engines that held nothing, did not look for
-/// another path, and let the silence count anew. Evidence: "repath_answered"
-/// with 409 at 941 ms, and nothing of these streams until their callers left.
+/// An engine that refuses to move a stream to another path must get an order
+/// for a further path. If the router took the refused order (409, no capacity)
+/// as done, it would report loads of engines that hold nothing and restart the
+/// stall timeout, and the stream would be silent until its caller leaves.
 #include "tests/daemons/relay_fixture.h"
 
 using namespace spindleweir;
@@ -16,7 +13,7 @@
 
 }  // namespace
 
-Test(refused_move, another_path_is_looked_for) {
+Test(refused_move, another_path_is_chosen) {
   RelayFixture fixture;
   ScriptedUpstream front(fixture.mLoop, "front");
   ScriptedUpstream leaving(fixture.mLoop, "leaving");
--- a/tests/daemons/upstream_backoff_test.cpp
+++ b/tests/daemons/upstream_backoff_test.cpp
@@ -1,5 +1,5 @@
-/// Upstreams that turn requests away and ask for rest are left alone for that
-/// time, whoever else is there.
+/// Upstreams that refuse a request and ask for a back-off get no requests for
+/// that time, also if no other upstream is available.
 #include "tests/daemons/relay_fixture.h"
 
 using namespace spindleweir;
@@ -7,28 +7,28 @@
 namespace {
 
 constexpr Millis kBackoff = 3000;
-/// After this time of a rest at most kMaxDuringBackoff requests may come.
-constexpr Millis kTold = 500;
+/// From this time after a refusal at most kMaxDuringBackoff requests may come.
+constexpr Millis kSettleTime = 500;
 constexpr int kMaxDuringBackoff = 2;
 constexpr Millis kPause = 20;
 constexpr int kOk = 200;
 constexpr int kUnavailable = 503;
 
-/// Calls again and again until the rest that was asked for is nearly over.
-/// Returns how many were answered so.
-int CallDuringBackoff(RelayFixture& aFixture, const ScriptedUpstream& aResting,
+/// Repeats calls until kSettleTime before the end of the back-off. Returns how
+/// many were answered with aStatus.
+int CallDuringBackoff(RelayFixture& aFixture, const ScriptedUpstream& aUpstream,
                       const std::string& aTarget, int aStatus) {
-  const Millis told = SteadyNow();
+  const Millis from = SteadyNow();
   int answered = 0;
-  for (int calls = 0; SteadyNow() < told + kBackoff - kTold; calls++) {
+  for (int calls = 0; SteadyNow() < from + kBackoff - kSettleTime; calls++) {
     answered += aFixture.Call(aTarget).mStatus == aStatus ? 1 : 0;
     aFixture.Wait(kPause);
   }
-  CHECK(aResting.ArrivalsSince(told + kTold) <= kMaxDuringBackoff);
+  CHECK(aUpstream.ArrivalsSince(from + kSettleTime) <= kMaxDuringBackoff);
   return answered;
 }
 
-/// Calls until this upstream has turned one away.
+/// Sends calls until this upstream has refused one.
 void AwaitRefusal(RelayFixture& aFixture, const ScriptedUpstream& aUpstream,
                   const std::string& aTarget) {
   const Millis from = SteadyNow();
@@ -39,8 +39,7 @@
   }
 }
 
-/// Two engines that hold all layers; of two that have no work the first is
-/// asked.
+/// Two engines that hold all layers; of two idle ones the first is chosen.
 struct TwoEngines {
   explicit TwoEngines(RelayFixture& aFixture)
       : mFirst(aFixture.mLoop, "e1"), mSecond(aFixture.mLoop, "e2") {
@@ -59,13 +58,13 @@
 
 }  // namespace
 
-Test(upstream_backoff, of_a_plain_service_is_kept) {
+Test(upstream_backoff, of_a_plain_service_is_honored) {
   RelayFixture fixture;
   fixture.Begin();
   fixture.mA.TurnAway(kBackoff);
   AwaitRefusal(fixture, fixture.mA, "/look/1");
   CHECK(CallDuringBackoff(fixture, fixture.mA, "/look/1", kOk) > 0);
-  SECTION("it gets requests again after it") {
+  SECTION("it gets requests again afterwards") {
     fixture.mA.TakeAgain();
     const int before = fixture.mA.AllRuns();
     for (int i = 0; fixture.mA.AllRuns() == before; i++) {
@@ -76,7 +75,7 @@
   }
 }
 
-Test(upstream_backoff, of_an_engine_that_begins_paths_is_kept) {
+Test(upstream_backoff, of_a_first_stage_engine_is_honored) {
   RelayFixture fixture;
   TwoEngines engines(fixture);
   engines.mFirst.TurnAway(kBackoff);
@@ -84,27 +83,27 @@
   CHECK(CallDuringBackoff(fixture, engines.mFirst, "/stream/1", kOk) > 0);
 }
 
-Test(upstream_backoff, is_kept_though_nobody_else_is_there) {
+Test(upstream_backoff, is_honored_without_another_upstream) {
   RelayFixture fixture;
   fixture.Begin();
   fixture.mA.TurnAway(kBackoff);
   fixture.mB.TurnAway(kBackoff);
   AwaitRefusal(fixture, fixture.mA, "/look/1");
   AwaitRefusal(fixture, fixture.mB, "/look/1");
-  SECTION("who calls is told at once that it did not run") {
+  SECTION("callers are refused immediately") {
     CHECK(CallDuringBackoff(fixture, fixture.mA, "/look/1", kUnavailable) > 0);
   }
 }
 
-Test(upstream_backoff, is_kept_by_streams_that_go_on_elsewhere) {
+Test(upstream_backoff, is_honored_by_resumed_streams) {
   RelayFixture fixture;
   TwoEngines engines(fixture);
   engines.mSecond.TurnAway(kBackoff);
-  // Cut by the first, it is sent to the second.
+  // Cut by the first engine, the stream is sent to the second.
   engines.mFirst.Next({UpstreamAct::kCut});
   CHECK(fixture.Call("/stream/1").mEnd == StreamEnd::kComplete);
   CHECK(engines.mSecond.ArrivalsSince(0) > 0);
-  fixture.Wait(kTold);
+  fixture.Wait(kSettleTime);
   const Millis from = SteadyNow();
   for (int i = 0; i < 4; i++) {
     engines.mFirst.Next({UpstreamAct::kCut});
@@ -113,8 +112,7 @@
   CHECK(engines.mSecond.ArrivalsSince(from) <= kMaxDuringBackoff);
 }
 
-Test(upstream_backoff,
-     is_not_needed_for_a_request_to_go_elsewhere_after_a_refusal) {
+Test(upstream_backoff, is_not_required_to_try_another_engine_after_a_refusal) {
   RelayFixture fixture;
   TwoEngines engines(fixture);
   engines.mFirst.TurnAway(0);
@@ -126,7 +124,7 @@
   CHECK(engines.mFirst.ArrivalsSince(from) <= kCalls / 2);
 }
 
-Test(upstream_backoff, of_the_only_engine_is_waited_for_by_a_begun_stream) {
+Test(upstream_backoff, of_the_only_engine_makes_a_started_stream_wait) {
   RelayFixture fixture;
   TwoEngines engines(fixture);
   engines.mFirst.Next({UpstreamAct::kStall});
@@ -137,10 +135,10 @@
     fixture.mRouter->RefreshGauges();
     return fixture.mRouter->OwnCounters().Value("upstreams_ready") == 3;
   }));
-  SECTION("which refuses for a moment, without asking for any") {
+  SECTION("the engine refuses for a moment without asking for a back-off") {
     engines.mSecond.TurnAway(0);
     engines.mFirst.Crash();
-    fixture.Wait(kTold);
+    fixture.Wait(kSettleTime);
     engines.mSecond.TakeAgain();
     CHECK(fixture.RunUntil([&open] { return open->mEnded; }));
     CHECK(open->mAnswer.mEnd == StreamEnd::kComplete);
