--- a/tests/daemons/memory_test.cpp
+++ b/tests/daemons/memory_test.cpp
@@ -63,7 +63,7 @@
   std::size_t mSent = 0;
 };
 
-/// A crowd of them, stepd by a timer, and the most that is held meanwhile.
+/// Slow callers, stepped by a timer; records the max. memory held meanwhile.
 struct Crowd {
   explicit Crowd(RelayFixture& aFixture) : mFixture(aFixture) {
     mTimer = aFixture.mLoop.Every(20, [this] { Step(); });
