--- a/bench/history_load.cpp
+++ b/bench/history_load.cpp
@@ -137,7 +137,7 @@
         ",\"messages\":[{\"role\":\"user\",\"content\":\"" + prompt + "\"}]}";
     options.mHeaders = {{"Authorization", std::string("Bearer ") + kCallerKey}};
     options.mTimeout = kLastWait;
-    options.mFresh = !mOptions.mKeeps;
+    options.mNewConnection = !mOptions.mKeeps;
     options.mOnData = [stream](std::string_view aBytes) { *stream += aBytes; };
     options.mOnDone = [this, stream, prompt, tokens, name = router->mName,
                        begin = WallMicros()](const HttpResult& aResult) {
@@ -212,7 +212,7 @@
                         {"Idempotency-Key", aKey},
                         {"X-Deadline-Ms", "8000"}};
     options.mTimeout = kLastWait;
-    options.mFresh = !mOptions.mKeeps;
+    options.mNewConnection = !mOptions.mKeeps;
     options.mOnDone = [this, aKey, aResends, name = router->mName,
                        begin = WallMicros()](const HttpResult& aResult) {
       Json::Value record(Json::objectValue);
--- a/core/json_codec.cpp
+++ b/core/json_codec.cpp
@@ -29,10 +29,10 @@
   return builder;
 }
 
-[[noreturn]] void ThrowType(const JsonReader::Place& aPlace,
+[[noreturn]] void ThrowType(const JsonReader::FieldPath& aPath,
                             const char* aType) {
   throw Error(ResultCode::kBadField,
-              aPlace.Text() + " must be " + std::string(aType));
+              aPath.Text() + " must be " + std::string(aType));
 }
 
 }  // namespace
@@ -62,76 +62,78 @@
   return std::move(out).str();
 }
 
-std::string JsonReader::Place::Text() const {
+std::string JsonReader::FieldPath::Text() const {
   if (mName == nullptr) {
     return mParent->Text() + "[" + std::to_string(mIndex) + "]";
   }
   return mParent == nullptr ? mName : mParent->Text() + "." + mName;
 }
 
-JsonReader::JsonReader(const Json::Value& aObject, const Place* aPlace,
+JsonReader::JsonReader(const Json::Value& aObject, const FieldPath* aPath,
                        bool aStrict)
-    : mObject(aObject), mPlace(aPlace), mStrict(aStrict) {
+    : mObject(aObject), mPath(aPath), mStrict(aStrict) {
   if (!mObject.isObject()) {
-    ThrowType(mPlace == nullptr ? Place{nullptr, "the body"} : *mPlace,
+    ThrowType(mPath == nullptr ? FieldPath{nullptr, "the body"} : *mPath,
               "an object");
   }
 }
 
-void JsonReader::RefuseUnknown() const {
+void JsonReader::RejectUnknownFields() const {
   if (!mStrict) {
     return;
   }
   for (const std::string& name : mObject.getMemberNames()) {
     if (!mKnown.contains(name)) {
-      throw Error(ResultCode::kBadField,
-                  Place{mPlace, name.c_str()}.Text() + " is not a known field");
+      throw Error(ResultCode::kBadField, FieldPath{mPath, name.c_str()}.Text() +
+                                             " is not a known field");
     }
   }
 }
 
-void JsonReader::Read(const Json::Value& aIn, const Place& aPlace,
+void JsonReader::Read(const Json::Value& aIn, const FieldPath& aPath,
                       std::string& aOut) {
   if (!aIn.isString()) {
-    ThrowType(aPlace, "a string");
+    ThrowType(aPath, "a string");
   }
   aOut = aIn.asString();
 }
 
-void JsonReader::Read(const Json::Value& aIn, const Place& aPlace, bool& aOut) {
+void JsonReader::Read(const Json::Value& aIn, const FieldPath& aPath,
+                      bool& aOut) {
   if (!aIn.isBool()) {
-    ThrowType(aPlace, "true or false");
+    ThrowType(aPath, "true or false");
   }
   aOut = aIn.asBool();
 }
 
-void JsonReader::Read(const Json::Value& aIn, const Place& aPlace, int& aOut) {
+void JsonReader::Read(const Json::Value& aIn, const FieldPath& aPath,
+                      int& aOut) {
   if (!aIn.isInt()) {
-    ThrowType(aPlace, "a whole number of 32 bits");
+    ThrowType(aPath, "a whole number of 32 bits");
   }
   aOut = aIn.asInt();
 }
 
-void JsonReader::Read(const Json::Value& aIn, const Place& aPlace,
+void JsonReader::Read(const Json::Value& aIn, const FieldPath& aPath,
                       std::int64_t& aOut) {
   if (!aIn.isInt64()) {
-    ThrowType(aPlace, "a whole number");
+    ThrowType(aPath, "a whole number");
   }
   aOut = aIn.asInt64();
 }
 
-void JsonReader::Read(const Json::Value& aIn, const Place& aPlace,
+void JsonReader::Read(const Json::Value& aIn, const FieldPath& aPath,
                       std::uint64_t& aOut) {
   if (!aIn.isUInt64()) {
-    ThrowType(aPlace, "a whole number that is not negative");
+    ThrowType(aPath, "a whole number that is not negative");
   }
   aOut = aIn.asUInt64();
 }
 
-void JsonReader::Read(const Json::Value& aIn, const Place& aPlace,
+void JsonReader::Read(const Json::Value& aIn, const FieldPath& aPath,
                       double& aOut) {
   if (!aIn.isNumeric()) {
-    ThrowType(aPlace, "a number");
+    ThrowType(aPath, "a number");
   }
   aOut = aIn.asDouble();
 }
--- a/core/log.cpp
+++ b/core/log.cpp
@@ -115,8 +115,8 @@
   BOOST_LOG(State().mLogger) << DumpJson(mObject);
 }
 
-std::int64_t LogLinesLeftOut() {
-  return State().mOutput.LeftOut();
+std::int64_t DroppedLogLines() {
+  return State().mOutput.DroppedLines();
 }
 
 LogLine& LogLine::Add(const char* aName, const Json::Value& aValue) {
--- a/core/log_output.cpp
+++ b/core/log_output.cpp
@@ -33,13 +33,13 @@
     Flush();
   }
   if (mBytes + aLine.size() + 1 > room) {
-    mLeftOut++;
+    mDroppedLines++;
     return;
   }
-  if (mLeftOut > mToldLeftOut) {
+  if (mDroppedLines > mReportedDroppedLines) {
     Push("{\"event\":\"log_left_out\",\"level\":\"warning\",\"lines\":" +
-         std::to_string(mLeftOut - mToldLeftOut) + "}\n");
-    mToldLeftOut = mLeftOut;
+         std::to_string(mDroppedLines - mReportedDroppedLines) + "}\n");
+    mReportedDroppedLines = mDroppedLines;
   }
   Push(std::string(aLine) + "\n");
   Flush();
--- a/core/log_output.h
+++ b/core/log_output.h
@@ -21,7 +21,7 @@
   /// Writes what can be written without waiting.
   void Flush();
   /// Lines that were left out so far.
-  std::int64_t LeftOut() const { return mLeftOut; }
+  std::int64_t DroppedLines() const { return mDroppedLines; }
   std::size_t WaitingBytes() const { return mBytes; }
 
  private:
@@ -33,8 +33,8 @@
   std::deque<std::string> mLines;
   std::size_t mBytes = 0;
   std::size_t mWritten = 0;  ///< Of the first line.
-  std::int64_t mLeftOut = 0;
-  std::int64_t mToldLeftOut = 0;
+  std::int64_t mDroppedLines = 0;
+  std::int64_t mReportedDroppedLines = 0;
 };
 
 }  // namespace spindleweir
--- a/daemons/control/joined_control.cpp
+++ b/daemons/control/joined_control.cpp
@@ -247,7 +247,7 @@
       aDone(Refusal(ResultCode::kNotReady,
                     "no configuration has been accepted yet"));
     } else {
-      aDone({.mDocument = Unpack(published.mDocument, kMostUnpacked)});
+      aDone({.mDocument = Unpack(published.mDocument, kMaxUnpackedBytes)});
     }
   });
 }
--- a/daemons/control/sync_service.cpp
+++ b/daemons/control/sync_service.cpp
@@ -95,7 +95,7 @@
     return mTraffic.Current();
   }
   mTraffic.Add(mContext.mOptions.mDocuments.mRead(
-      Unpack(newest.mDocument, kMostUnpacked)));
+      Unpack(newest.mDocument, kMaxUnpackedBytes)));
   const TrafficConfiguration& traffic = mTraffic.Current();
   mContext.mCounters.Set("traffic_version", traffic.mVersion);
   LogLine(LogLevel::kInfo, "configuration_accepted")
--- a/daemons/metrics_server.cpp
+++ b/daemons/metrics_server.cpp
@@ -32,7 +32,7 @@
   if (mOptions.mRefresh) {
     mOptions.mRefresh();
   }
-  mOptions.mCounters->Set("log_lines_left_out", LogLinesLeftOut());
+  mOptions.mCounters->Set("log_lines_left_out", DroppedLogLines());
   aExchange.Reply(kOk, {{"Content-Type", "text/plain; version=0.0.4"}},
                   mOptions.mCounters->Text());
 }
--- a/daemons/relay/relay_answer.cpp
+++ b/daemons/relay/relay_answer.cpp
@@ -131,9 +131,10 @@
   if (memory == nullptr) {
     return true;
   }
-  memory->Set(BufferKind::kPartial,
-              mAttempt->mBody.size() + mAttempt->mEvents.Incomplete().size() +
-                  (mFallback ? mFallback->mBody.size() : 0));
+  memory->SetHeld(BufferKind::kPartial,
+                  mAttempt->mBody.size() +
+                      mAttempt->mEvents.Incomplete().size() +
+                      (mFallback ? mFallback->mBody.size() : 0));
   return memory->MayCollect();
 }
 
@@ -165,7 +166,7 @@
 }
 
 void RelayRequest::ApplyBackpressure() {
-  if (mExchange->MayBringMore()) {
+  if (mExchange->MayWriteMore()) {
     return;
   }
   mAttempt->mCall->Pause(true);
@@ -176,8 +177,9 @@
 void RelayRequest::ClaimMemory() {
   const std::shared_ptr<MemoryHold>& memory = mExchange->Memory();
   if (memory != nullptr) {
-    memory->SetClaim(mRoute->Repeatable() ? EvictionClass::kRetryable
-                                          : EvictionClass::kNotRetryable);
+    memory->SetEvictionClass(mRoute->Repeatable()
+                                 ? EvictionClass::kRetryable
+                                 : EvictionClass::kNotRetryable);
   }
 }
 
@@ -225,7 +227,7 @@
     case StreamEnd::kLost:
       AttemptFailed(Ran::kUnknown, ResultCode::kOutcomeUnknown, true);
       return;
-    case StreamEnd::kGarbled:
+    case StreamEnd::kMalformed:
       AttemptFailed(Ran::kUnknown, ResultCode::kUpstreamGarbled, true);
       return;
     case StreamEnd::kComplete:
--- a/daemons/relay/relay_request.cpp
+++ b/daemons/relay/relay_request.cpp
@@ -243,7 +243,7 @@
 void RelayRequest::GiveUp(ResultCode aCode) {
   if (mExchange->Started()) {
     mExchange->OnClosed(nullptr);
-    mExchange->BreakOff();
+    mExchange->EndTruncated();
     End("broken_off", 0);
     return;
   }
@@ -332,7 +332,7 @@
     return;
   }
   mExchange->OnClosed(nullptr);
-  mExchange->BreakOff();
+  mExchange->EndTruncated();
   End("router_ended", 0);
 }
 
--- a/daemons/relay/relay_router.cpp
+++ b/daemons/relay/relay_router.cpp
@@ -48,7 +48,7 @@
              .mRefuse = [this](StreamExchange& aExchange,
                                ResultCode aCode) { Refuse(aExchange, aCode); },
              .mMemory = mContext.mMemory,
-             .mOnCut =
+             .mOnEvict =
                  [this](std::size_t aCallers, std::size_t aBytes) {
                    LogEviction(aCallers, aBytes);
                  }}),
--- a/daemons/router/service_call.cpp
+++ b/daemons/router/service_call.cpp
@@ -157,7 +157,7 @@
     options.mHeaders.push_back({"Idempotency-Key", mRequest.mIdempotencyKey});
   }
   options.mTimeout = 0;
-  options.mFresh = !IsRepeatable();
+  options.mNewConnection = !IsRepeatable();
   options.mOnDone = [this](const HttpResult& aResult) {
     HandleResult(aResult);
   };
--- a/drivers/event_loop.cpp
+++ b/drivers/event_loop.cpp
@@ -24,10 +24,10 @@
 }
 
 /// So often a loop notes that it runs.
-constexpr Millis kBeatPeriod = 50;
+constexpr Millis kTickInterval = 50;
 /// A gap between two notes up to this is ordinary work: on a tenth of a core
 /// a container gets the processor in slices that are 90 ms apart.
-constexpr Millis kOrdinaryGap = 150;
+constexpr Millis kMaxNormalGap = 150;
 
 /// Milliseconds by the clock of libevent's timers.
 Millis TimerNow() {
@@ -38,7 +38,7 @@
 }
 
 /// Time in which this VM was suspended since it was booted.
-Millis SuspendedInAll() {
+Millis TotalSuspendedTime() {
   return SteadyNow() - TimerNow();
 }
 
@@ -69,8 +69,8 @@
   }
 
   /// Waits for a time. aPeriod: between calls; 0: there is one only.
-  void AddTime(event_base* aBase, std::list<EventTimer*>& aTimers,
-               Millis aDelay, Millis aPeriod) {
+  void AddTimeout(event_base* aBase, std::list<EventTimer*>& aTimers,
+                  Millis aDelay, Millis aPeriod) {
     const int what = EV_TIMEOUT | (aPeriod > 0 ? EV_PERSIST : 0);
     event* item =
         event_new(aBase, -1, static_cast<short>(what), &EventTimer::Fire, this);
@@ -87,7 +87,7 @@
 
   /// Waits for what is left until it is due. What is done again and again is
   /// done at once: libevent takes no other time for its next call alone.
-  void SetAnew(Millis aNow) {
+  void Rearm(Millis aNow) {
     event* item = mEvents.front();
     if (event_pending(item, EV_TIMEOUT, nullptr) == 0) {
       return;
@@ -153,23 +153,23 @@
 
 EventLoop::EventLoop()
     : mBase(event_base_new()),
-      mBeatAt(SteadyNow()),
-      mSuspended(SuspendedInAll()) {
+      mLastTickAt(SteadyNow()),
+      mSuspended(TotalSuspendedTime()) {
   if (mBase == nullptr) {
     throw Error(ResultCode::kInternal, "no event loop to be had");
   }
   mPostEvent = event_new(mBase, -1, 0, &EventLoop::RunPosted, this);
-  mBeatEvent =
-      event_new(mBase, -1, EV_TIMEOUT | EV_PERSIST, &EventLoop::Beat, this);
-  const timeval period = ToTimeval(kBeatPeriod);
-  event_add(mBeatEvent, &period);
+  mTickEvent = event_new(mBase, -1, EV_TIMEOUT | EV_PERSIST,
+                         &EventLoop::HandleTick, this);
+  const timeval period = ToTimeval(kTickInterval);
+  event_add(mTickEvent, &period);
   signal(SIGPIPE, SIG_IGN);
 }
 
 EventLoop::~EventLoop() {
   // What was posted may own timers of this loop.
   mPosted.clear();
-  event_free(mBeatEvent);
+  event_free(mTickEvent);
   event_free(mPostEvent);
   event_base_free(mBase);
 }
@@ -185,7 +185,7 @@
 std::unique_ptr<Timer> EventLoop::After(Millis aDelay,
                                         std::function<void()> aCall) {
   auto timer = std::make_unique<EventTimer>(std::move(aCall));
-  timer->AddTime(mBase, mTimers, aDelay, 0);
+  timer->AddTimeout(mBase, mTimers, aDelay, 0);
   return timer;
 }
 
@@ -197,7 +197,7 @@
 std::unique_ptr<Timer> EventLoop::Every(Millis aPeriod,
                                         std::function<void()> aCall) {
   auto timer = std::make_unique<EventTimer>(std::move(aCall));
-  timer->AddTime(mBase, mTimers, aPeriod, aPeriod);
+  timer->AddTimeout(mBase, mTimers, aPeriod, aPeriod);
   return timer;
 }
 
@@ -215,15 +215,15 @@
   }
 }
 
-void EventLoop::Beat(int, short, void* aSelf) {
+void EventLoop::HandleTick(int, short, void* aSelf) {
   auto* self = static_cast<EventLoop*>(aSelf);
-  self->mStoodStill = self->StoodStill();
-  self->mBeatAt = SteadyNow();
-  self->MakeUpForSuspension();
+  self->mStalledTime = self->StalledTime();
+  self->mLastTickAt = SteadyNow();
+  self->RearmTimers();
 }
 
-void EventLoop::MakeUpForSuspension() {
-  const Millis suspended = SuspendedInAll();
+void EventLoop::RearmTimers() {
+  const Millis suspended = TotalSuspendedTime();
   if (suspended - mSuspended <= kClockSlack) {
     return;
   }
@@ -235,13 +235,13 @@
                    });
   const Millis now = SteadyNow();
   for (EventTimer* timer : timers) {
-    timer->SetAnew(now);
+    timer->Rearm(now);
   }
 }
 
-Millis EventLoop::StoodStill() const {
-  const Millis gap = SteadyNow() - mBeatAt;
-  return mStoodStill + (gap > kOrdinaryGap ? gap - kBeatPeriod : 0);
+Millis EventLoop::StalledTime() const {
+  const Millis gap = SteadyNow() - mLastTickAt;
+  return mStalledTime + (gap > kMaxNormalGap ? gap - kTickInterval : 0);
 }
 
 std::unique_ptr<Timer> EventLoop::OnStopSignal(std::function<void()> aCall) {
--- a/drivers/http_client.cpp
+++ b/drivers/http_client.cpp
@@ -155,7 +155,7 @@
   EvhttpCall& operator=(const EvhttpCall&) = delete;
 
   void Begin() {
-    if (!mOptions.mFresh) {
+    if (!mOptions.mNewConnection) {
       mConnection = mPool->Take(mServer);
     }
     if (mConnection == nullptr) {
@@ -275,7 +275,7 @@
     mLink->mCall = nullptr;
     if (mConnection != nullptr) {
       Unwatch();
-      if (aComplete && !mOptions.mFresh) {
+      if (aComplete && !mOptions.mNewConnection) {
         mPool->Keep(mServer, mConnection);
       } else {
         mPool->Doom(mConnection, mLink);
@@ -338,8 +338,8 @@
     }
     // The call is still on the stack; it goes in the next turn of the loop.
     mEnded.push_back(id);
-    if (mSweep == nullptr) {
-      mSweep = mLoop.After(0, [this] { SweepDetached(); });
+    if (mDestroyTimer == nullptr) {
+      mDestroyTimer = mLoop.After(0, [this] { DestroyEndedCalls(); });
     }
   };
   auto call = std::make_unique<EvhttpCall>(mLoop, mPool, std::move(aOptions));
@@ -348,8 +348,8 @@
   begun->Begin();
 }
 
-void HttpClient::SweepDetached() {
-  mSweep.reset();
+void HttpClient::DestroyEndedCalls() {
+  mDestroyTimer.reset();
   for (std::int64_t id : mEnded) {
     mDetached.erase(id);
   }
--- a/drivers/http_connection.cpp
+++ b/drivers/http_connection.cpp
@@ -73,13 +73,13 @@
   return ioctl(fd, FIONREAD, &n) != 0 || n == 0;
 }
 
-void HttpConnection::CloseInOrder() {
+void HttpConnection::CloseGracefully() {
   mClosingSince = SteadyNow();
   shutdown(bufferevent_getfd(evhttp_connection_get_bufferevent(mHandle)),
            SHUT_WR);
 }
 
-bool HttpConnection::Lingered() const {
+bool HttpConnection::LingerExpired() const {
   return Closing() && SteadyNow() - mClosingSince >= kLinger;
 }
 
--- a/drivers/http_connection.h
+++ b/drivers/http_connection.h
@@ -31,10 +31,10 @@
   bool Idle() const;
   /// Tells the caller that nothing more comes. A request that crosses this is
   /// not taken.
-  void CloseInOrder();
+  void CloseGracefully();
   bool Closing() const { return mClosingSince > 0; }
   /// Whether its caller had time enough to close its side.
-  bool Lingered() const;
+  bool LingerExpired() const;
 
  private:
   static void HandleClose(evhttp_connection* aHandle, void* aSelf);
--- a/drivers/http_server.cpp
+++ b/drivers/http_server.cpp
@@ -235,9 +235,9 @@
   std::vector<evhttp_connection*> lingered;
   for (const auto& [handle, connection] : mConnections) {
     if (connection->Idle()) {
-      connection->CloseInOrder();
+      connection->CloseGracefully();
     }
-    if (connection->Lingered()) {
+    if (connection->LingerExpired()) {
       lingered.push_back(handle);
     }
   }
--- a/drivers/memory_hold.cpp
+++ b/drivers/memory_hold.cpp
@@ -4,31 +4,31 @@
 
 namespace spindleweir {
 
-MemoryHold::MemoryHold(std::shared_ptr<MemoryBudget> aAccount)
-    : mAccount(std::move(aAccount)), mNumber(mAccount->Open(SteadyNow())) {}
+MemoryHold::MemoryHold(std::shared_ptr<MemoryBudget> aBudget)
+    : mBudget(std::move(aBudget)), mNumber(mBudget->Open(SteadyNow())) {}
 
 MemoryHold::~MemoryHold() {
-  mAccount->Close(mNumber);
+  mBudget->Close(mNumber);
 }
 
-void MemoryHold::Set(BufferKind aKind, std::size_t aBytes) {
-  mAccount->SetHeld(mNumber, aKind, aBytes);
+void MemoryHold::SetHeld(BufferKind aKind, std::size_t aBytes) {
+  mBudget->SetHeld(mNumber, aKind, aBytes);
 }
 
-void MemoryHold::SetClaim(EvictionClass aClaim) {
-  mAccount->SetEvictionClass(mNumber, aClaim, SteadyNow());
+void MemoryHold::SetEvictionClass(EvictionClass aClaim) {
+  mBudget->SetEvictionClass(mNumber, aClaim, SteadyNow());
 }
 
-void MemoryHold::Moved(std::size_t aBytes) {
-  mAccount->RecordProgress(mNumber, aBytes, SteadyNow());
+void MemoryHold::RecordProgress(std::size_t aBytes) {
+  mBudget->RecordProgress(mNumber, aBytes, SteadyNow());
 }
 
-bool MemoryHold::MayReadOn() {
-  return mAccount->MayReadMore(mNumber, SteadyNow());
+bool MemoryHold::MayReadMore() {
+  return mBudget->MayReadMore(mNumber, SteadyNow());
 }
 
 bool MemoryHold::MayCollect() const {
-  return mAccount->MayCollect(mNumber);
+  return mBudget->MayCollect(mNumber);
 }
 
 }  // namespace spindleweir
--- a/drivers/socket_options.cpp
+++ b/drivers/socket_options.cpp
@@ -29,7 +29,7 @@
   SetInt(aFd, IPPROTO_TCP, TCP_USER_TIMEOUT, aUserTimeout);
 }
 
-void SetWindow(int aFd, std::size_t aBytes) {
+void SetSocketBuffers(int aFd, std::size_t aBytes) {
   // The kernel takes twice the value, for its own needs.
   const auto size = static_cast<int>(aBytes / 2);
   SetInt(aFd, SOL_SOCKET, SO_RCVBUF, size);
--- a/drivers/socket_options.h
+++ b/drivers/socket_options.h
@@ -11,6 +11,6 @@
 
 /// Bounds what the kernel holds each way, unread and not taken yet; to be set
 /// before a connection is made, since a window that was told is not taken back.
-void SetWindow(int aFd, std::size_t aBytes);
+void SetSocketBuffers(int aFd, std::size_t aBytes);
 
 }  // namespace spindleweir
--- a/drivers/stream_client.cpp
+++ b/drivers/stream_client.cpp
@@ -48,13 +48,13 @@
     bufferevent_setcb(mBuffer, &BufferCall::HandleRead, nullptr,
                       &BufferCall::HandleEvent, this);
     const bool bounded =
-        mOptions.mMemory != nullptr && mOptions.mMemory->Account().Bounded();
+        mOptions.mMemory != nullptr && mOptions.mMemory->Budget().Bounded();
     if (!BoundWindow(address)) {
       EndLater(StreamEnd::kNotSent);
       return;
     }
     if (bounded) {
-      Account(BufferKind::kUnsent, mOptions.mBody.size());
+      SetHeld(BufferKind::kUnsent, mOptions.mBody.size());
       evbuffer_add_cb(bufferevent_get_output(mBuffer), &BufferCall::HandleTaken,
                       this);
     }
@@ -96,7 +96,7 @@
  private:
   static void HandleTaken(evbuffer* aBuffer, const evbuffer_cb_info*,
                           void* aSelf) {
-    static_cast<BufferCall*>(aSelf)->Account(BufferKind::kUnsent,
+    static_cast<BufferCall*>(aSelf)->SetHeld(BufferKind::kUnsent,
                                              evbuffer_get_length(aBuffer));
   }
 
@@ -105,7 +105,7 @@
     const std::size_t window =
         mOptions.mMemory == nullptr
             ? 0
-            : mOptions.mMemory->Account().Options().mSocketBuffer;
+            : mOptions.mMemory->Budget().Options().mSocketBuffer;
     if (window == 0) {
       return true;
     }
@@ -114,30 +114,30 @@
     if (fd < 0) {
       return false;
     }
-    SetWindow(fd, window);
+    SetSocketBuffers(fd, window);
     return bufferevent_setfd(mBuffer, fd) == 0;
   }
 
-  void Account(BufferKind aKind, std::size_t aBytes) {
+  void SetHeld(BufferKind aKind, std::size_t aBytes) {
     if (mOptions.mMemory != nullptr) {
-      mOptions.mMemory->Set(aKind, aBytes);
+      mOptions.mMemory->SetHeld(aKind, aBytes);
     }
   }
 
   void CountCall(int aSign) {
     if (mOptions.mMemory != nullptr) {
-      mOptions.mMemory->Account().AddCall(mOptions.mMemory->Number(), aSign);
+      mOptions.mMemory->Budget().AddCall(mOptions.mMemory->Number(), aSign);
     }
   }
 
   void AccountArrived() {
-    if (mOptions.mMemory == nullptr || !mOptions.mMemory->Account().Bounded()) {
+    if (mOptions.mMemory == nullptr || !mOptions.mMemory->Budget().Bounded()) {
       return;
     }
     // Beside what was read, the window fills while nothing is.
     const std::size_t window =
-        mPaused ? mOptions.mMemory->Account().Options().mSocketBuffer : 0;
-    Account(BufferKind::kArrived,
+        mPaused ? mOptions.mMemory->Budget().Options().mSocketBuffer : 0;
+    SetHeld(BufferKind::kArrived,
             evbuffer_get_length(bufferevent_get_input(mBuffer)) + window);
   }
 
@@ -232,7 +232,7 @@
       return;
     }
     if (state == ReadState::kBad) {
-      Finish(StreamEnd::kGarbled);
+      Finish(StreamEnd::kMalformed);
     } else if (state == ReadState::kComplete) {
       Finish(StreamEnd::kComplete);
     }
@@ -248,8 +248,8 @@
     if (mBuffer != nullptr) {
       bufferevent_free(mBuffer);
       mBuffer = nullptr;
-      Account(BufferKind::kUnsent, 0);
-      Account(BufferKind::kArrived, 0);
+      SetHeld(BufferKind::kUnsent, 0);
+      SetHeld(BufferKind::kArrived, 0);
       CountCall(-1);
     }
   }
--- a/drivers/stream_connection.cpp
+++ b/drivers/stream_connection.cpp
@@ -46,18 +46,18 @@
                     &StreamConnection::HandleWrite,
                     &StreamConnection::HandleEvent, this);
   bufferevent_setwatermark(mBuffer, EV_READ, 0, kReadAheadBytes);
-  BeginAccount();
+  OpenMemoryHold();
   bufferevent_enable(mBuffer, EV_READ | EV_WRITE);
   ArmTimer();
 }
 
-void StreamConnection::BeginAccount() {
+void StreamConnection::OpenMemoryHold() {
   const std::shared_ptr<MemoryBudget>& account = mServer.mOptions.mMemory;
   if (account == nullptr) {
     return;
   }
   mMemory = std::make_shared<MemoryHold>(account);
-  mServer.mHolders[mMemory->Number()] = this;
+  mServer.mConnectionsByNumber[mMemory->Number()] = this;
   // Only with these callbacks is what a caller takes bit by bit seen.
   evbuffer_add_cb(bufferevent_get_output(mBuffer),
                   &StreamConnection::HandleTaken, this);
@@ -74,37 +74,37 @@
 void StreamConnection::HandleTaken(evbuffer* aBuffer,
                                    const evbuffer_cb_info* aInfo, void* aSelf) {
   auto* self = static_cast<StreamConnection*>(aSelf);
-  self->mMemory->Set(BufferKind::kUnread, evbuffer_get_length(aBuffer));
+  self->mMemory->SetHeld(BufferKind::kUnread, evbuffer_get_length(aBuffer));
   if (aInfo->n_deleted > 0) {
-    self->mMemory->Moved(aInfo->n_deleted);
+    self->mMemory->RecordProgress(aInfo->n_deleted);
   }
 }
 
 void StreamConnection::HandleArrived(evbuffer*, const evbuffer_cb_info* aInfo,
                                      void* aSelf) {
   auto* self = static_cast<StreamConnection*>(aSelf);
-  self->AccountReading();
+  self->UpdateReadingBytes();
   if (aInfo->n_added > 0 && self->mExchange == nullptr) {
-    self->mMemory->Moved(aInfo->n_added);
+    self->mMemory->RecordProgress(aInfo->n_added);
   }
 }
 
-void StreamConnection::AccountReading() {
+void StreamConnection::UpdateReadingBytes() {
   if (mMemory == nullptr) {
     return;
   }
   const std::size_t head = mReader == nullptr ? 0 : mReader->HeadBytes();
-  mMemory->Set(BufferKind::kReading,
-               evbuffer_get_length(bufferevent_get_input(mBuffer)) + head +
-                   mBody.size());
+  mMemory->SetHeld(BufferKind::kReading,
+                   evbuffer_get_length(bufferevent_get_input(mBuffer)) + head +
+                       mBody.size());
 }
 
-bool StreamConnection::MayBringMore() {
+bool StreamConnection::MayWriteMore() {
   if (mMemory == nullptr) {
     return PendingBytes() <= MemoryBudgetOptions().mMaxUnread;
   }
-  const bool may = mMemory->MayReadOn();
-  if (!may && mMemory->Account().Bounded()) {
+  const bool may = mMemory->MayReadMore();
+  if (!may && mMemory->Budget().Bounded()) {
     mServer.WatchMemory();
   }
   return may;
@@ -112,7 +112,7 @@
 
 void StreamConnection::PauseIfFull() {
   const bool full = mMemory != nullptr && mExchange == nullptr && !mPaused &&
-                    mMemory->Account().Bounded() && !mMemory->MayReadOn();
+                    mMemory->Budget().Bounded() && !mMemory->MayReadMore();
   if (!full) {
     return;
   }
@@ -125,7 +125,7 @@
   if (mPaused) {
     mPaused = false;
     bufferevent_enable(mBuffer, EV_READ);
-    ReadOn();
+    ReadInput();
     return;
   }
   const std::shared_ptr<StreamExchange> exchange = mExchange;
@@ -136,9 +136,9 @@
   }
 }
 
-void StreamConnection::Cut() {
+void StreamConnection::Evict() {
   const std::shared_ptr<StreamConnection> keep = shared_from_this();
-  const bool unanswered = mExchange == nullptr && mBegun && !mCloseAfter;
+  const bool unanswered = mExchange == nullptr && mRequestBegun && !mCloseAfter;
   if (!unanswered) {
     Reset();
     return;
@@ -149,22 +149,22 @@
   }
   mBody = std::string();
   Refuse(ResultCode::kMemoryFull);
-  ReadOn();
+  ReadInput();
 }
 
 bool StreamConnection::BeginRequest() {
-  mBegun = true;
-  mAsked = true;
+  mRequestBegun = true;
+  mRequestSeen = true;
   mBodyChecked = false;
   ArmTimer();
   if (mMemory == nullptr) {
     return true;
   }
-  if (!mMemory->Account().CanAdmit(mMemory->Number(), 0)) {
+  if (!mMemory->Budget().CanAdmit(mMemory->Number(), 0)) {
     Refuse(ResultCode::kMemoryFull);
     return false;
   }
-  mMemory->SetClaim(EvictionClass::kReading);
+  mMemory->SetEvictionClass(EvictionClass::kReading);
   return true;
 }
 
@@ -179,16 +179,16 @@
   const std::size_t length =
       std::min(LengthOf(mReader->Request().mHeaders),
                mServer.mOptions.mLimits.mMaximumBodyBytes);
-  return mMemory->Account().Reserve(mMemory->Number(), kTimes * length);
+  return mMemory->Budget().Reserve(mMemory->Number(), kTimes * length);
 }
 
 StreamConnection::~StreamConnection() {
-  Gone();
+  DetachExchange();
   bufferevent_free(mBuffer);
 }
 
 void StreamConnection::HandleRead(bufferevent*, void* aSelf) {
-  static_cast<StreamConnection*>(aSelf)->ReadOn();
+  static_cast<StreamConnection*>(aSelf)->ReadInput();
 }
 
 void StreamConnection::HandleWrite(bufferevent*, void* aSelf) {
@@ -197,8 +197,9 @@
     // A callback from before the newest write.
     return;
   }
-  if (self->mMemory != nullptr && self->mExchange == nullptr && !self->mBegun) {
-    self->mMemory->SetClaim(EvictionClass::kIdle);
+  if (self->mMemory != nullptr && self->mExchange == nullptr &&
+      !self->mRequestBegun) {
+    self->mMemory->SetEvictionClass(EvictionClass::kIdle);
   }
   if (self->mCloseAfter) {
     self->Linger();
@@ -217,9 +218,9 @@
 }
 
 bool StreamConnection::Idle() const {
-  const bool waits = mExchange == nullptr && !mBegun && !mCloseAfter;
+  const bool waits = mExchange == nullptr && !mRequestBegun && !mCloseAfter;
   // Who has just connected is about to ask.
-  const bool fresh = !mAsked && SteadyNow() - mAcceptedAt < kFirstRequest;
+  const bool fresh = !mRequestSeen && SteadyNow() - mAcceptedAt < kFirstRequest;
   return waits && !fresh && PendingBytes() == 0 && !HasArrived();
 }
 
@@ -233,7 +234,7 @@
   return inSocket || evbuffer_get_length(bufferevent_get_input(mBuffer)) > 0;
 }
 
-void StreamConnection::CloseInOrder() {
+void StreamConnection::CloseGracefully() {
   mCloseAfter = true;
   Linger();
 }
@@ -253,7 +254,7 @@
   mCloseAfter = true;
   bufferevent_setcb(mBuffer, nullptr, nullptr, nullptr, nullptr);
   bufferevent_disable(mBuffer, EV_READ | EV_WRITE);
-  Gone();
+  DetachExchange();
   mServer.Remove(this);
 }
 
@@ -264,7 +265,7 @@
   Close();
 }
 
-void StreamConnection::Gone() {
+void StreamConnection::DetachExchange() {
   const std::shared_ptr<StreamExchange> exchange = std::move(mExchange);
   mExchange = nullptr;
   if (exchange == nullptr) {
@@ -279,7 +280,7 @@
   }
 }
 
-void StreamConnection::ReadOn() {
+void StreamConnection::ReadInput() {
   if (mReading) {
     return;
   }
@@ -296,7 +297,7 @@
     evbuffer_drain(buf, evbuffer_get_length(buf));
   }
   mReading = false;
-  AccountReading();
+  UpdateReadingBytes();
   PauseIfFull();
 }
 
@@ -305,7 +306,7 @@
     mReader = std::make_unique<HttpMessageReader>(MessageSide::kRequests);
     mBody.clear();
   }
-  if (!mBegun && !BeginRequest()) {
+  if (!mRequestBegun && !BeginRequest()) {
     return;
   }
   const std::size_t n = mReader->Read(aBytes);
@@ -340,12 +341,12 @@
   if (mMemory == nullptr) {
     return true;
   }
-  MemoryBudget& account = mMemory->Account();
+  MemoryBudget& account = mMemory->Budget();
   if (!account.HasDescriptorForCall() ||
       !account.CanAdmit(mMemory->Number(), 0)) {
     return false;
   }
-  mMemory->SetClaim(EvictionClass::kNotSent);
+  mMemory->SetEvictionClass(EvictionClass::kNotSent);
   if (account.NeedsTicks()) {
     mServer.WatchMemory();
   }
@@ -360,9 +361,9 @@
       std::make_shared<StreamExchange>(this, std::move(head), std::move(mBody));
   mBody = std::string();
   const std::shared_ptr<StreamExchange> exchange = mExchange;
-  AccountReading();
+  UpdateReadingBytes();
   if (mMemory != nullptr) {
-    mMemory->Set(BufferKind::kBody, exchange->Body().size());
+    mMemory->SetHeld(BufferKind::kBody, exchange->Body().size());
   }
   const bool plain =
       exchange->Head().mTarget.starts_with('/') &&
@@ -397,8 +398,8 @@
     mExchange->mMemory = nullptr;
     mExchange.reset();
   }
-  EndAccount();
-  mBegun = false;
+  ReleaseExchangeMemory();
+  mRequestBegun = false;
   if (!aKeep) {
     mCloseAfter = true;
     if (PendingBytes() == 0) {
@@ -415,7 +416,7 @@
     if (evbuffer_get_length(bufferevent_get_input(mBuffer)) > 0) {
       mServer.mLoop.Post([self] {
         if (const auto connection = self.lock()) {
-          connection->ReadOn();
+          connection->ReadInput();
         }
       });
     }
@@ -445,24 +446,24 @@
                                });
 }
 
-void StreamConnection::EndAccount() {
+void StreamConnection::ReleaseExchangeMemory() {
   if (mMemory == nullptr) {
     return;
   }
-  mMemory->Set(BufferKind::kBody, 0);
-  mMemory->Set(BufferKind::kPartial, 0);
-  AccountReading();
+  mMemory->SetHeld(BufferKind::kBody, 0);
+  mMemory->SetHeld(BufferKind::kPartial, 0);
+  UpdateReadingBytes();
   // What is not read yet keeps the claim of its call.
   if (PendingBytes() == 0) {
-    mMemory->SetClaim(EvictionClass::kIdle);
+    mMemory->SetEvictionClass(EvictionClass::kIdle);
   }
 }
 
 void StreamConnection::ArmTimer() {
   const StreamServerLimits& limits = mServer.mOptions.mLimits;
-  mTimer =
-      mServer.mLoop.After(mBegun ? limits.mHeaderTimeout : limits.mIdleTimeout,
-                          [this] { Expire(); });
+  mTimer = mServer.mLoop.After(
+      mRequestBegun ? limits.mHeaderTimeout : limits.mIdleTimeout,
+      [this] { Expire(); });
 }
 
 void StreamConnection::Expire() {
@@ -474,7 +475,7 @@
                                  [this] { Refuse(ResultCode::kReadTimeout); });
     return;
   }
-  if (mBegun) {
+  if (mRequestBegun) {
     Refuse(ResultCode::kReadTimeout);
     return;
   }
--- a/drivers/stream_connection.h
+++ b/drivers/stream_connection.h
@@ -30,15 +30,15 @@
   void Close();
   /// Ends an idle connection: a request that crosses the end is not taken, and
   /// what its caller still reads is not reset.
-  void CloseInOrder();
+  void CloseGracefully();
   std::size_t PendingBytes() const;
   bool ServerClosing() const { return mServer.mClosing; }
   const std::shared_ptr<MemoryHold>& Memory() const { return mMemory; }
-  bool MayBringMore();
+  bool MayWriteMore();
   /// The account of memory has room for it again.
   void ContinueReading();
   /// The account of memory ends it: with a refusal where nothing ran.
-  void Cut();
+  void Evict();
 
  private:
   static void HandleRead(bufferevent*, void* aSelf);
@@ -50,16 +50,16 @@
                             void* aSelf);
   /// Whether bytes of a request have come that were not parsed.
   bool HasArrived() const;
-  void BeginAccount();
+  void OpenMemoryHold();
   /// What is held of the request that is being read.
-  void AccountReading();
+  void UpdateReadingBytes();
   bool BeginRequest();
   bool HasRoomForBody();
   bool HasRoomForAnswer();
   void PauseIfFull();
   /// The answer has ended.
-  void EndAccount();
-  void ReadOn();
+  void ReleaseExchangeMemory();
+  void ReadInput();
   void Take(std::string_view aBytes);
   void Dispatch();
   void Refuse(ResultCode aCode);
@@ -69,7 +69,7 @@
   /// long as a connection may rest.
   void WaitForReader();
   void Expire();
-  void Gone();
+  void DetachExchange();
 
   StreamServer& mServer;
   bufferevent* mBuffer;
@@ -78,9 +78,9 @@
   std::shared_ptr<StreamExchange> mExchange;
   std::unique_ptr<Timer> mTimer;
   Millis mAcceptedAt = SteadyNow();
-  bool mAsked = false;       ///< A request has come, or begun to.
-  bool mBegun = false;       ///< A byte of the request being read has come.
-  bool mCloseAfter = false;  ///< Close once all is written.
+  bool mRequestSeen = false;   ///< A request has come, or begun to.
+  bool mRequestBegun = false;  ///< A byte of the request being read has come.
+  bool mCloseAfter = false;    ///< Close once all is written.
   bool mReading = false;
   bool mBodyChecked = false;
   bool mPaused = false;  ///< Its caller is pushed back for lack of memory.
--- a/drivers/stream_server.cpp
+++ b/drivers/stream_server.cpp
@@ -136,7 +136,7 @@
   }
 }
 
-void StreamExchange::BreakOff() {
+void StreamExchange::EndTruncated() {
   const bool framed = mStarted && mHead.mMinor > 0;
   if (!framed) {
     Abort();
@@ -151,8 +151,8 @@
   return mConnection == nullptr ? 0 : mConnection->PendingBytes();
 }
 
-bool StreamExchange::MayBringMore() const {
-  return mConnection == nullptr || mConnection->MayBringMore();
+bool StreamExchange::MayWriteMore() const {
+  return mConnection == nullptr || mConnection->MayWriteMore();
 }
 
 StreamServer::StreamServer(EventLoop& aLoop, StreamServerOptions aOptions)
@@ -176,8 +176,8 @@
   if (mOptions.mMemory != nullptr &&
       mOptions.mMemory->Options().mSocketBuffer > 0) {
     // Accepted connections have it from their start.
-    SetWindow(evconnlistener_get_fd(mListener),
-              mOptions.mMemory->Options().mSocketBuffer);
+    SetSocketBuffers(evconnlistener_get_fd(mListener),
+                     mOptions.mMemory->Options().mSocketBuffer);
   }
   socklen_t n = sizeof(address);
   if (getsockname(evconnlistener_get_fd(mListener),
@@ -217,9 +217,9 @@
   }
 }
 
-StreamConnection* StreamServer::HolderOf(std::uint64_t aHolder) const {
-  const auto it = mHolders.find(aHolder);
-  return it == mHolders.end() ? nullptr : it->second;
+StreamConnection* StreamServer::ConnectionOf(std::uint64_t aNumber) const {
+  const auto it = mConnectionsByNumber.find(aNumber);
+  return it == mConnectionsByNumber.end() ? nullptr : it->second;
 }
 
 void StreamServer::CheckMemory() {
@@ -228,18 +228,18 @@
   std::size_t callers = 0;
   std::size_t bytes = 0;
   for (std::uint64_t holder : orders.mEvict) {
-    StreamConnection* connection = HolderOf(holder);
+    StreamConnection* connection = ConnectionOf(holder);
     if (connection != nullptr) {
       callers++;
       bytes += account.BytesHeldFor(holder);
-      connection->Cut();
+      connection->Evict();
     }
   }
-  if (callers > 0 && mOptions.mOnCut) {
-    mOptions.mOnCut(callers, bytes);
+  if (callers > 0 && mOptions.mOnEvict) {
+    mOptions.mOnEvict(callers, bytes);
   }
   for (std::uint64_t holder : orders.mResume) {
-    StreamConnection* connection = HolderOf(holder);
+    StreamConnection* connection = ConnectionOf(holder);
     if (connection != nullptr) {
       connection->ContinueReading();
     }
@@ -273,7 +273,7 @@
     }
   }
   for (const std::shared_ptr<StreamConnection>& connection : idle) {
-    connection->CloseInOrder();
+    connection->CloseGracefully();
   }
 }
 
@@ -283,7 +283,7 @@
     return;
   }
   if (aConnection->Memory() != nullptr) {
-    mHolders.erase(aConnection->Memory()->Number());
+    mConnectionsByNumber.erase(aConnection->Memory()->Number());
   }
   // It may be on the stack: it goes in the next turn of the loop.
   mLoop.Post([gone = std::move(it->second)] {});
--- a/include/spindleweir/core/json_codec.h
+++ b/include/spindleweir/core/json_codec.h
@@ -106,15 +106,15 @@
 class JsonReader {
  public:
   /// Where a value stands; put into words only for an error.
-  struct Place {
-    const Place* mParent = nullptr;
+  struct FieldPath {
+    const FieldPath* mParent = nullptr;
     const char* mName = nullptr;  ///< nullptr: an element of the parent.
     std::size_t mIndex = 0;
 
     std::string Text() const;
   };
 
-  JsonReader(const Json::Value& aObject, const Place* aPlace, bool aStrict);
+  JsonReader(const Json::Value& aObject, const FieldPath* aPath, bool aStrict);
 
   template <class T>
   void Field(const char* aName, T& aValue) {
@@ -124,14 +124,14 @@
     const Json::Value* value =
         mObject.find(aName, aName + std::char_traits<char>::length(aName));
     if (value != nullptr && !value->isNull()) {
-      Read(*value, Place{mPlace, aName}, aValue);
+      Read(*value, FieldPath{mPath, aName}, aValue);
     }
   }
   template <class T>
   void Required(const char* aName, T& aValue) {
     if (!mObject.isMember(aName)) {
       throw Error(ResultCode::kBadField,
-                  Place{mPlace, aName}.Text() + " is missing");
+                  FieldPath{mPath, aName}.Text() + " is missing");
     }
     Field(aName, aValue);
   }
@@ -142,42 +142,44 @@
   }
 
   /// Where the reader is strict, throws for the first field not asked for.
-  void RefuseUnknown() const;
+  void RejectUnknownFields() const;
 
  private:
-  static void Read(const Json::Value& aIn, const Place& aPlace,
+  static void Read(const Json::Value& aIn, const FieldPath& aPath,
                    std::string& aOut);
-  static void Read(const Json::Value& aIn, const Place& aPlace, bool& aOut);
-  static void Read(const Json::Value& aIn, const Place& aPlace, int& aOut);
-  static void Read(const Json::Value& aIn, const Place& aPlace,
+  static void Read(const Json::Value& aIn, const FieldPath& aPath, bool& aOut);
+  static void Read(const Json::Value& aIn, const FieldPath& aPath, int& aOut);
+  static void Read(const Json::Value& aIn, const FieldPath& aPath,
                    std::int64_t& aOut);
-  static void Read(const Json::Value& aIn, const Place& aPlace,
+  static void Read(const Json::Value& aIn, const FieldPath& aPath,
                    std::uint64_t& aOut);
-  static void Read(const Json::Value& aIn, const Place& aPlace, double& aOut);
-  static void Read(const Json::Value& aIn, const Place&, Json::Value& aOut) {
+  static void Read(const Json::Value& aIn, const FieldPath& aPath,
+                   double& aOut);
+  static void Read(const Json::Value& aIn, const FieldPath&,
+                   Json::Value& aOut) {
     aOut = aIn;
   }
   template <class T>
-  void Read(const Json::Value& aIn, const Place& aPlace,
+  void Read(const Json::Value& aIn, const FieldPath& aPath,
             std::vector<T>& aOut) const {
     if (!aIn.isArray()) {
-      throw Error(ResultCode::kBadField, aPlace.Text() + " must be an array");
+      throw Error(ResultCode::kBadField, aPath.Text() + " must be an array");
     }
     aOut.clear();
     for (Json::ArrayIndex i = 0; i < aIn.size(); i++) {
       aOut.emplace_back();
-      Read(aIn[i], Place{&aPlace, nullptr, i}, aOut.back());
+      Read(aIn[i], FieldPath{&aPath, nullptr, i}, aOut.back());
     }
   }
   template <class T>
-  void Read(const Json::Value& aIn, const Place& aPlace, T& aOut) const {
-    JsonReader reader(aIn, &aPlace, mStrict);
+  void Read(const Json::Value& aIn, const FieldPath& aPath, T& aOut) const {
+    JsonReader reader(aIn, &aPath, mStrict);
     aOut.Fields(reader);
-    reader.RefuseUnknown();
+    reader.RejectUnknownFields();
   }
 
   const Json::Value& mObject;
-  const Place* mPlace;  ///< nullptr: the whole body.
+  const FieldPath* mPath;  ///< nullptr: the whole body.
   bool mStrict;
   std::set<std::string> mKnown;
 };
@@ -199,7 +201,7 @@
   T message;
   JsonReader reader(aObject, nullptr, aStrict);
   message.Fields(reader);
-  reader.RefuseUnknown();
+  reader.RejectUnknownFields();
   return message;
 }
 
--- a/include/spindleweir/core/log.h
+++ b/include/spindleweir/core/log.h
@@ -19,7 +19,7 @@
 void StartLog(std::string_view aLevel, std::string_view aProcess);
 
 /// Lines that were left out so far.
-std::int64_t LogLinesLeftOut();
+std::int64_t DroppedLogLines();
 
 /// A line under construction; it is written when it goes out of scope.
 ///
--- a/include/spindleweir/core/loose_columns.h
+++ b/include/spindleweir/core/loose_columns.h
@@ -16,14 +16,14 @@
 
 /// What stands for a value that cannot be read, by type. Rows are checked
 /// anyway: no number of theirs may be negative, no name hold such a sign.
-inline constexpr int kNoNumber = -1;
-inline constexpr const char* kNoName = "\x01";
+inline constexpr int kInvalidNumber = -1;
+inline constexpr const char* kInvalidName = "\x01";
 
 /// A codec for a member template `Fields`, as JsonReader is.
-class LooseColumns {
+class LenientColumns {
  public:
   /// Throws kBadField where aObject is no object.
-  explicit LooseColumns(const Json::Value& aObject) : mObject(aObject) {
+  explicit LenientColumns(const Json::Value& aObject) : mObject(aObject) {
     if (!aObject.isObject()) {
       throw Error(ResultCode::kBadField, "the table must be an object");
     }
@@ -62,13 +62,13 @@
   template <class T>
   static T ValueOf(const Json::Value& aValue) {
     if constexpr (std::is_same_v<T, std::string>) {
-      return aValue.isString() ? aValue.asString() : kNoName;
+      return aValue.isString() ? aValue.asString() : kInvalidName;
     } else if constexpr (std::is_same_v<T, int>) {
-      return aValue.isInt() ? aValue.asInt() : kNoNumber;
+      return aValue.isInt() ? aValue.asInt() : kInvalidNumber;
     } else if constexpr (std::is_same_v<T, std::int64_t>) {
-      return aValue.isInt64() ? aValue.asInt64() : kNoNumber;
+      return aValue.isInt64() ? aValue.asInt64() : kInvalidNumber;
     } else {
-      return aValue.isNumeric() ? aValue.asDouble() : kNoNumber;
+      return aValue.isNumeric() ? aValue.asDouble() : kInvalidNumber;
     }
   }
 
--- a/include/spindleweir/core/packing.h
+++ b/include/spindleweir/core/packing.h
@@ -9,7 +9,7 @@
 namespace spindleweir {
 
 /// The longest text that our processes take from one another.
-inline constexpr std::size_t kMostUnpacked = 64 * 1024 * 1024;
+inline constexpr std::size_t kMaxUnpackedBytes = 64 * 1024 * 1024;
 
 /// Packs a text; one that would not become shorter stays as it is.
 std::string Pack(std::string_view aText);
--- a/include/spindleweir/drivers/event_loop.h
+++ b/include/spindleweir/drivers/event_loop.h
@@ -57,24 +57,24 @@
   /// made: the process was stopped, got no processor, or a call took so long.
   /// What others said meanwhile is still unread after it: a wait that ends
   /// then is no silence of theirs.
-  Millis StoodStill() const;
+  Millis StalledTime() const;
   /// SteadyNow() without the time in which the loop stood still: by this clock
   /// nothing grows old that could not have been renewed.
-  Millis RunningNow() const { return SteadyNow() - StoodStill(); }
+  Millis RunningNow() const { return SteadyNow() - StalledTime(); }
 
  private:
   static void RunPosted(int aFd, short aWhat, void* aSelf);
 
-  static void Beat(int aFd, short aWhat, void* aSelf);
+  static void HandleTick(int aFd, short aWhat, void* aSelf);
   /// Sets all timers anew where the VM was suspended: libevent's clock does not
   /// count that time, and each would be as much too late.
-  void MakeUpForSuspension();
+  void RearmTimers();
 
   event_base* mBase;
   event* mPostEvent;
-  event* mBeatEvent;
-  Millis mBeatAt;  ///< Steady; when the loop was last seen to run.
-  Millis mStoodStill = 0;
+  event* mTickEvent;
+  Millis mLastTickAt;  ///< Steady; when the loop was last seen to run.
+  Millis mStalledTime = 0;
   Millis mSuspended = 0;           ///< In all, as the timers are set.
   std::list<EventTimer*> mTimers;  ///< Those that wait for a time.
   std::vector<std::function<void()>> mPosted;
--- a/include/spindleweir/drivers/http_client.h
+++ b/include/spindleweir/drivers/http_client.h
@@ -34,8 +34,8 @@
   std::string mPath = "/";
   std::string mBody;
   std::vector<HttpHeader> mHeaders;
-  Millis mTimeout = 2000;  ///< From start to end; 0: none.
-  bool mFresh = false;     ///< Uses a new connection, never a pooled one.
+  Millis mTimeout = 2000;       ///< From start to end; 0: none.
+  bool mNewConnection = false;  ///< Uses a new connection, never a pooled one.
   std::size_t mMaximumAnswerBytes = 8 * 1024 * 1024;
   /// Where set, takes the body of a 200 answer as it comes.
   std::function<void(std::string_view)> mOnData;
@@ -68,14 +68,14 @@
   friend class EvhttpCall;
   struct Pool;
 
-  void SweepDetached();
+  void DestroyEndedCalls();
 
   EventLoop& mLoop;
   std::shared_ptr<Pool> mPool;
   std::map<std::int64_t, std::unique_ptr<HttpCall>> mDetached;
   std::vector<std::int64_t> mEnded;  ///< Detached calls to be destroyed.
   std::int64_t mNextDetached = 1;
-  std::unique_ptr<Timer> mSweep;
+  std::unique_ptr<Timer> mDestroyTimer;
 };
 
 }  // namespace spindleweir
--- a/include/spindleweir/drivers/memory_hold.h
+++ b/include/spindleweir/drivers/memory_hold.h
@@ -12,22 +12,22 @@
 /// One holder of a MemoryBudget.
 class MemoryHold {
  public:
-  explicit MemoryHold(std::shared_ptr<MemoryBudget> aAccount);
+  explicit MemoryHold(std::shared_ptr<MemoryBudget> aBudget);
   ~MemoryHold();
   MemoryHold(const MemoryHold&) = delete;
   MemoryHold& operator=(const MemoryHold&) = delete;
 
   std::uint64_t Number() const { return mNumber; }
-  MemoryBudget& Account() { return *mAccount; }
+  MemoryBudget& Budget() { return *mBudget; }
 
-  void Set(BufferKind aKind, std::size_t aBytes);
-  void SetClaim(EvictionClass aClaim);
-  void Moved(std::size_t aBytes);
-  bool MayReadOn();
+  void SetHeld(BufferKind aKind, std::size_t aBytes);
+  void SetEvictionClass(EvictionClass aClaim);
+  void RecordProgress(std::size_t aBytes);
+  bool MayReadMore();
   bool MayCollect() const;
 
  private:
-  std::shared_ptr<MemoryBudget> mAccount;
+  std::shared_ptr<MemoryBudget> mBudget;
   std::uint64_t mNumber;
 };
 
--- a/include/spindleweir/drivers/stream_client.h
+++ b/include/spindleweir/drivers/stream_client.h
@@ -17,10 +17,10 @@
 
 /// How a call ended.
 enum class StreamEnd {
-  kComplete,  ///< The whole answer came.
-  kNotSent,   ///< No byte of the request left: it did not run.
-  kLost,      ///< Sent; the connection was lost before the answer's end.
-  kGarbled,   ///< Sent; what came back is not an answer.
+  kComplete,   ///< The whole answer came.
+  kNotSent,    ///< No byte of the request left: it did not run.
+  kLost,       ///< Sent; the connection was lost before the answer's end.
+  kMalformed,  ///< Sent; what came back is not an answer.
 };
 
 /// One call.
--- a/include/spindleweir/drivers/stream_server.h
+++ b/include/spindleweir/drivers/stream_server.h
@@ -50,7 +50,7 @@
   void Abort();
   /// The same, but its caller reads all that was written, where chunks or a
   /// length tell that more was due.
-  void BreakOff();
+  void EndTruncated();
 
   bool Started() const { return mStarted; }
   /// Whether the answer ended or the caller's connection is gone.
@@ -58,7 +58,7 @@
   /// Bytes written that the caller has not taken.
   std::size_t PendingBytes() const;
   /// Whether more of the answer may be brought; if not, OnDrained tells when.
-  bool MayBringMore() const;
+  bool MayWriteMore() const;
   /// What the process holds for this caller; nullptr: the caller is gone, or
   /// nothing is accounted.
   const std::shared_ptr<MemoryHold>& Memory() const { return mMemory; }
@@ -101,7 +101,7 @@
   /// Of what is held for callers; nullptr: none.
   std::shared_ptr<MemoryBudget> mMemory;
   /// Callers that were ended for their memory in one look, and their bytes.
-  std::function<void(std::size_t aCallers, std::size_t aBytes)> mOnCut;
+  std::function<void(std::size_t aCallers, std::size_t aBytes)> mOnEvict;
 };
 
 /// Listens on one address.
@@ -131,7 +131,7 @@
   /// Looks at the account until nobody waits any more.
   void WatchMemory();
   void CheckMemory();
-  StreamConnection* HolderOf(std::uint64_t aHolder) const;
+  StreamConnection* ConnectionOf(std::uint64_t aNumber) const;
 
   EventLoop& mLoop;
   StreamServerOptions mOptions;
@@ -140,7 +140,7 @@
   evconnlistener* mListener = nullptr;
   std::unordered_map<StreamConnection*, std::shared_ptr<StreamConnection>>
       mConnections;
-  std::unordered_map<std::uint64_t, StreamConnection*> mHolders;
+  std::unordered_map<std::uint64_t, StreamConnection*> mConnectionsByNumber;
   std::unique_ptr<Timer> mMemoryTimer;
 };
 
--- a/servers/membership/upstream_table.cpp
+++ b/servers/membership/upstream_table.cpp
@@ -102,7 +102,7 @@
     return FromJson<Table>(aJson);
   } catch (const Error&) {
     Table table;
-    LooseColumns columns(aJson);
+    LenientColumns columns(aJson);
     table.Fields(columns);
     return table;
   }
@@ -221,7 +221,7 @@
 
 std::vector<UpstreamRecord> UnpackUpstreams(std::string_view aPacked,
                                             const InvalidRowHook& aOnInvalid) {
-  const std::string text = Unpack(aPacked, kMostUnpacked);
+  const std::string text = Unpack(aPacked, kMaxUnpackedBytes);
   return ReadTable<UpstreamTable>(ParseJson(text)).Records(aOnInvalid);
 }
 
--- a/servers/routes/traffic_change.cpp
+++ b/servers/routes/traffic_change.cpp
@@ -67,7 +67,7 @@
 /// Appends the routes of a packed chunk.
 void AppendRoutes(const std::string& aPacked,
                   std::vector<TrafficRoute>& aRoutes) {
-  const std::string text = Unpack(aPacked, kMostUnpacked);
+  const std::string text = Unpack(aPacked, kMaxUnpackedBytes);
   auto chunk = FromJson<RouteChunk>(ParseJson(text));
   for (TrafficRoute& route : chunk.mRoutes) {
     aRoutes.push_back(std::move(route));
@@ -77,7 +77,8 @@
 /// The configuration or change of an update, with its routes.
 template <class T>
 T ReadContent(const TrafficUpdate& aUpdate) {
-  T content = FromJson<T>(ParseJson(Unpack(aUpdate.mPacked, kMostUnpacked)));
+  T content =
+      FromJson<T>(ParseJson(Unpack(aUpdate.mPacked, kMaxUnpackedBytes)));
   for (const std::string& chunk : aUpdate.mRouteChunks) {
     AppendRoutes(chunk, content.mRoutes);
   }
--- a/servers/routing/load_aggregator.cpp
+++ b/servers/routing/load_aggregator.cpp
@@ -139,7 +139,7 @@
   if (aPacked.empty()) {
     return {};
   }
-  const std::string text = Unpack(aPacked, kMostUnpacked);
+  const std::string text = Unpack(aPacked, kMaxUnpackedBytes);
   if (aOnBad) {
     return ReadLoadTable(ParseJson(text), aOnBad).ToShares();
   }
--- a/servers/routing/load_check.cpp
+++ b/servers/routing/load_check.cpp
@@ -100,7 +100,7 @@
 LoadTable ReadLoadTable(const Json::Value& aTable,
                         const InvalidRowHook& aOnBad) {
   LoadTable table;
-  LooseColumns columns(aTable);
+  LenientColumns columns(aTable);
   table.Fields(columns);
   return UsableRows(table, aOnBad);
 }
--- a/tests/core/log_output_test.cpp
+++ b/tests/core/log_output_test.cpp
@@ -37,12 +37,12 @@
   for (int i = 0; i < 5000; i++) {
     output.Add(line, false);
   }
-  CHECK(output.LeftOut() > 0);
+  CHECK(output.DroppedLines() > 0);
   CHECK(output.WaitingBytes() <= 5000);
   SECTION("important lines still find room") {
-    const std::int64_t before = output.LeftOut();
+    const std::int64_t before = output.DroppedLines();
     output.Add("important", true);
-    CHECK(output.LeftOut() == before);
+    CHECK(output.DroppedLines() == before);
     CHECK(output.WaitingBytes() <= 10000);
   }
   SECTION("once it is read all goes on, and what was left out is told") {
--- a/tests/daemons/deployment.cpp
+++ b/tests/daemons/deployment.cpp
@@ -334,7 +334,7 @@
   options.mBody = aBody;
   options.mHeaders = std::move(aHeaders);
   options.mTimeout = kRunTimeout;
-  options.mFresh = true;
+  options.mNewConnection = true;
   options.mOnDone = [result](const HttpResult& aResult) {
     result->mHttp = aResult;
     result->mDone = true;
--- a/tests/drivers/stream_test.cpp
+++ b/tests/drivers/stream_test.cpp
@@ -106,7 +106,7 @@
 };
 
 /// An account of so many bytes, of which each request has a least of 16 KB.
-std::shared_ptr<MemoryBudget> Account(std::size_t aBound) {
+std::shared_ptr<MemoryBudget> MakeBudget(std::size_t aBound) {
   return std::make_shared<MemoryBudget>(
       MemoryBudgetOptions{.mMaxBytes = aBound, .mSocketBuffer = 8 * 1024});
 }
@@ -190,7 +190,7 @@
 Test(stream, a_caller_that_reads_slowly_gets_its_whole_answer) {
   // An answer that closed its connection was cut a second after its end.
   constexpr std::size_t kBytes = 4 * 1000 * 1000;
-  Server server(Account(8 * kBytes));
+  Server server(MakeBudget(8 * kBytes));
   server.mHandle = [](StreamExchange& aExchange) {
     aExchange.Reply(200, {}, std::string(kBytes, 'x'));
   };
@@ -281,7 +281,7 @@
 
 Test(stream, closing_what_is_idle_waits_for_slow_callers) {
   constexpr std::size_t kBytes = 4 * 1000 * 1000;
-  Server server(Account(8 * kBytes));
+  Server server(MakeBudget(8 * kBytes));
   server.mHandle = [](StreamExchange& aExchange) {
     aExchange.Reply(200, {}, std::string(kBytes, 'x'));
   };
@@ -309,11 +309,11 @@
 Test(stream, what_was_written_before_a_stream_is_broken_off_is_read) {
   constexpr std::size_t kBytes = 1000 * 1000;
   for (const char* version : {"1.1", "1.0"}) {
-    Server server(Account(8 * kBytes));
+    Server server(MakeBudget(8 * kBytes));
     server.mHandle = [](StreamExchange& aExchange) {
       aExchange.Start(200, {}, std::nullopt);
       aExchange.Write(std::string(kBytes, 'x'));
-      aExchange.BreakOff();
+      aExchange.EndTruncated();
     };
     PlainCaller caller(server.mServer.Address());
     caller.Send(server.mLoop,
@@ -362,7 +362,7 @@
 }
 
 Test(stream, a_full_process_refuses_at_once) {
-  Server server(Account(60 * 1024));
+  Server server(MakeBudget(60 * 1024));
   server.mHandle = [](StreamExchange& aExchange) {
     aExchange.Reply(200, {}, "yes");
   };
@@ -378,7 +378,7 @@
   CHECK(server.Call() == StreamEnd::kComplete && server.mStatus == 503);
   CHECK(server.mHandled == 3);
   SECTION("and a body that it can never hold, by its length") {
-    Server other(Account(400 * 1024));
+    Server other(MakeBudget(400 * 1024));
     other.mServer.SetLimits({});
     const std::string answer = other.Raw(
         "POST / HTTP/1.1\r\nHost: h\r\n"
@@ -390,9 +390,9 @@
 
 Test(stream, who_takes_nothing_is_cut_when_memory_is_short) {
   constexpr std::size_t kBytes = 300 * 1000;
-  Server server(Account(4 * kBytes));
+  Server server(MakeBudget(4 * kBytes));
   server.mHandle = [](StreamExchange& aExchange) {
-    aExchange.Memory()->SetClaim(EvictionClass::kRetryable);
+    aExchange.Memory()->SetEvictionClass(EvictionClass::kRetryable);
     aExchange.Reply(200, {}, std::string(kBytes, 'x'));
   };
   std::vector<std::unique_ptr<PlainCaller>> callers;
