--- a/servers/membership/upstream_table.cpp
+++ b/servers/membership/upstream_table.cpp
@@ -5,7 +5,7 @@
 
 #include "spindleweir/core/error.h"
 #include "spindleweir/core/json_codec.h"
-#include "spindleweir/core/loose_columns.h"
+#include "spindleweir/core/lenient_columns.h"
 #include "spindleweir/core/packing.h"
 
 namespace spindleweir {
--- a/servers/routing/load_check.cpp
+++ b/servers/routing/load_check.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "spindleweir/core/loose_columns.h"
+#include "spindleweir/core/lenient_columns.h"
 
 namespace spindleweir {
 
--- a/tests/drivers/http_closing_test.cpp
+++ b/tests/drivers/http_closing_test.cpp
@@ -2,7 +2,7 @@
 /// ended, on a connection that it had kept, and got no answer: the router had
 /// closed its port, and ended with its kept connections open.
 #include "spindleweir/drivers/http_server.h"
-#include "tests/drivers/plain_caller.h"
+#include "tests/drivers/raw_socket_caller.h"
 #include "tests/test_tools.h"
 
 using namespace spindleweir;
@@ -25,7 +25,7 @@
                  }}) {}
 
   /// Waits for an answer, or the end of the connection.
-  void Await(PlainCaller& aCaller) {
+  void Await(RawSocketCaller& aCaller) {
     CHECK(RunLoopUntil(mLoop, [&] {
       aCaller.Read();
       return aCaller.mEnded || aCaller.mReceived.ends_with("yes");
@@ -51,7 +51,7 @@
 
 Test(http_closing, kept_connections_end_in_order) {
   Server server;
-  PlainCaller caller(server.mServer.Address());
+  RawSocketCaller caller(server.mServer.Address());
   caller.Send(server.mLoop, kRequest);
   server.Await(caller);
   REQUIRE(caller.mReceived.ends_with("yes"));
@@ -103,7 +103,7 @@
 
 Test(http_closing, a_caller_that_does_not_close_its_side_is_closed) {
   Server server;
-  PlainCaller caller(server.mServer.Address());
+  RawSocketCaller caller(server.mServer.Address());
   caller.Send(server.mLoop, kRequest);
   server.Await(caller);
   server.mServer.CloseIdle();
@@ -113,7 +113,7 @@
 
 Test(http_closing, who_has_connected_is_taken_before_the_port_closes) {
   Server server;
-  PlainCaller caller(server.mServer.Address());
+  RawSocketCaller caller(server.mServer.Address());
   CHECK(!server.mServer.StopListening());
   caller.Send(server.mLoop, kRequest);
   server.Await(caller);
--- a/tests/drivers/plain_caller.h
+++ b/tests/drivers/raw_socket_caller.h
@@ -14,9 +14,9 @@
 namespace spindleweir {
 
 /// A caller with a small window that reads when it is told to.
-class PlainCaller {
+class RawSocketCaller {
  public:
-  explicit PlainCaller(const Endpoint& aServer)
+  explicit RawSocketCaller(const Endpoint& aServer)
       : mFd(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0)) {
     constexpr int kWindow = 2048;
     (void)setsockopt(mFd, SOL_SOCKET, SO_RCVBUF, &kWindow, sizeof(kWindow));
@@ -26,9 +26,9 @@
     inet_pton(AF_INET, "127.0.0.1", &address.sin_addr);
     (void)connect(mFd, reinterpret_cast<sockaddr*>(&address), sizeof(address));
   }
-  ~PlainCaller() { close(mFd); }
-  PlainCaller(const PlainCaller&) = delete;
-  PlainCaller& operator=(const PlainCaller&) = delete;
+  ~RawSocketCaller() { close(mFd); }
+  RawSocketCaller(const RawSocketCaller&) = delete;
+  RawSocketCaller& operator=(const RawSocketCaller&) = delete;
 
   /// Sends once, as soon as it is connected.
   void Send(EventLoop& aLoop, std::string_view aBytes) const {
--- a/tests/drivers/stream_test.cpp
+++ b/tests/drivers/stream_test.cpp
@@ -7,7 +7,7 @@
 
 #include "spindleweir/drivers/stream_client.h"
 #include "spindleweir/drivers/stream_server.h"
-#include "tests/drivers/plain_caller.h"
+#include "tests/drivers/raw_socket_caller.h"
 #include "tests/test_tools.h"
 
 using namespace spindleweir;
@@ -194,7 +194,7 @@
   server.mHandle = [](StreamExchange& aExchange) {
     aExchange.Reply(200, {}, std::string(kBytes, 'x'));
   };
-  PlainCaller caller(server.mServer.Address());
+  RawSocketCaller caller(server.mServer.Address());
   caller.Send(server.mLoop,
               "GET /x HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
   bool late = false;
@@ -223,7 +223,7 @@
   server.mHandle = [](StreamExchange& aExchange) {
     aExchange.Reply(200, {}, "yes");
   };
-  PlainCaller caller(server.mServer.Address());
+  RawSocketCaller caller(server.mServer.Address());
   const std::string request = "GET /x HTTP/1.1\r\nHost: h\r\n\r\n";
   caller.Send(server.mLoop, request);
   REQUIRE(server.RunUntil([&] {
@@ -260,8 +260,8 @@
   server.mHandle = [](StreamExchange& aExchange) {
     aExchange.Reply(200, {}, "yes");
   };
-  PlainCaller caller(server.mServer.Address());
-  PlainCaller silent(server.mServer.Address());
+  RawSocketCaller caller(server.mServer.Address());
+  RawSocketCaller silent(server.mServer.Address());
   REQUIRE(server.RunUntil([&] { return server.mServer.Connections() == 2; }));
   server.mServer.CloseIdle();
   caller.SendNow("GET /x HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -286,7 +286,7 @@
     aExchange.Reply(200, {}, std::string(kBytes, 'x'));
   };
   for (const char* keep : {"", "Connection: close\r\n"}) {
-    PlainCaller caller(server.mServer.Address());
+    RawSocketCaller caller(server.mServer.Address());
     const int before = server.mHandled;
     caller.Send(server.mLoop,
                 "GET /x HTTP/1.1\r\nHost: h\r\n" + std::string(keep) + "\r\n");
@@ -315,7 +315,7 @@
       aExchange.Write(std::string(kBytes, 'x'));
       aExchange.EndTruncated();
     };
-    PlainCaller caller(server.mServer.Address());
+    RawSocketCaller caller(server.mServer.Address());
     caller.Send(server.mLoop,
                 std::string("GET /x HTTP/") + version + "\r\nHost: h\r\n\r\n");
     REQUIRE(server.RunUntil([&] {
@@ -343,7 +343,7 @@
   server.mHandle = [](StreamExchange& aExchange) {
     aExchange.Reply(200, {}, "yes");
   };
-  PlainCaller caller(server.mServer.Address());
+  RawSocketCaller caller(server.mServer.Address());
   caller.SendNow("GET /x HTTP/1.1\r\nHost: h\r\n\r\n");
   server.mServer.StopListening();
   CHECK(server.RunUntil([&] {
@@ -370,8 +370,8 @@
   REQUIRE(server.RunUntil([&] { return server.mMemory->Committed() == 0; }));
   // Two requests whose answers are not made yet hold all of it.
   server.mHandle = nullptr;
-  PlainCaller first(server.mServer.Address());
-  PlainCaller second(server.mServer.Address());
+  RawSocketCaller first(server.mServer.Address());
+  RawSocketCaller second(server.mServer.Address());
   first.Send(server.mLoop, "GET /x HTTP/1.1\r\nHost: h\r\n\r\n");
   second.Send(server.mLoop, "GET /x HTTP/1.1\r\nHost: h\r\n\r\n");
   REQUIRE(server.RunUntil([&] { return server.mHandled == 3; }));
@@ -395,9 +395,10 @@
     aExchange.Memory()->SetEvictionClass(EvictionClass::kRetryable);
     aExchange.Reply(200, {}, std::string(kBytes, 'x'));
   };
-  std::vector<std::unique_ptr<PlainCaller>> callers;
+  std::vector<std::unique_ptr<RawSocketCaller>> callers;
   for (int i = 0; i < 4; i++) {
-    callers.push_back(std::make_unique<PlainCaller>(server.mServer.Address()));
+    callers.push_back(
+        std::make_unique<RawSocketCaller>(server.mServer.Address()));
     callers.back()->Send(server.mLoop, "GET /x HTTP/1.1\r\nHost: h\r\n\r\n");
     REQUIRE(server.RunUntil([&] { return server.mHandled == i + 1; }));
   }
