--- a/core/counters.cpp
+++ b/core/counters.cpp
@@ -77,13 +77,13 @@
   for (const auto& [name, histogram] : mHistograms) {
     const std::string full = std::string(kPrefix) + name;
     text += "# TYPE " + full + " histogram\n";
-    std::int64_t below = 0;
+    std::int64_t cumulative = 0;
     for (std::size_t i = 0; i < histogram.mBuckets.size(); i++) {
-      const bool last = i + 1 == histogram.mBuckets.size();
-      below += histogram.mBuckets[i];
+      const bool isLast = i + 1 == histogram.mBuckets.size();
+      cumulative += histogram.mBuckets[i];
       text += full + "_bucket{le=\"" +
-              (last ? "+Inf" : std::to_string(std::int64_t{1} << i)) + "\"} " +
-              std::to_string(below) + "\n";
+              (isLast ? "+Inf" : std::to_string(std::int64_t{1} << i)) +
+              "\"} " + std::to_string(cumulative) + "\n";
     }
     text += full + "_sum " + std::to_string(histogram.mSum) + "\n";
     text += full + "_count " + std::to_string(histogram.mCount) + "\n";
--- a/core/digest.cpp
+++ b/core/digest.cpp
@@ -44,7 +44,7 @@
 std::string RandomHex(int aBytes) {
   std::vector<unsigned char> buf(static_cast<std::size_t>(aBytes));
   if (RAND_bytes(buf.data(), aBytes) != 1) {
-    throw Error(ResultCode::kInternal, "no random bytes from the system");
+    throw Error(ResultCode::kInternal, "the system's random generator failed");
   }
   return ToHex(buf);
 }
--- a/core/json_codec.cpp
+++ b/core/json_codec.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-constexpr int kMaximumDepth = 64;
+constexpr int kMaxDepth = 64;
 
 Json::CharReaderBuilder MakeReaderBuilder() {
   Json::CharReaderBuilder builder;
   Json::CharReaderBuilder::strictMode(&builder.settings_);
   builder["allowComments"] = false;
   builder["strictRoot"] = false;
-  builder["stackLimit"] = kMaximumDepth;
+  builder["stackLimit"] = kMaxDepth;
   return builder;
 }
 
@@ -38,7 +38,7 @@
 }  // namespace
 
 Json::Value ParseJson(std::string_view aText) {
-  // Making a reader costs more than reading a short text with it.
+  // Creating a reader costs more than parsing a short text with it.
   thread_local const std::unique_ptr<Json::CharReader> kReader(
       MakeReaderBuilder().newCharReader());
   Json::Value value;
@@ -109,7 +109,7 @@
 void JsonReader::Read(const Json::Value& aIn, const FieldPath& aPath,
                       int& aOut) {
   if (!aIn.isInt()) {
-    ThrowType(aPath, "a whole number of 32 bits");
+    ThrowType(aPath, "a 32-bit integer");
   }
   aOut = aIn.asInt();
 }
@@ -117,7 +117,7 @@
 void JsonReader::Read(const Json::Value& aIn, const FieldPath& aPath,
                       std::int64_t& aOut) {
   if (!aIn.isInt64()) {
-    ThrowType(aPath, "a whole number");
+    ThrowType(aPath, "an integer");
   }
   aOut = aIn.asInt64();
 }
@@ -125,7 +125,7 @@
 void JsonReader::Read(const Json::Value& aIn, const FieldPath& aPath,
                       std::uint64_t& aOut) {
   if (!aIn.isUInt64()) {
-    ThrowType(aPath, "a whole number that is not negative");
+    ThrowType(aPath, "a non-negative integer");
   }
   aOut = aIn.asUInt64();
 }
--- a/core/log.cpp
+++ b/core/log.cpp
@@ -19,25 +19,25 @@
 
 namespace {
 
-/// Bytes of lines that may wait for a slow reader.
-constexpr std::size_t kWaitingBytes = 256 * 1024;
+/// Maximum number of bytes buffered for a slow reader.
+constexpr std::size_t kMaxBufferedBytes = 256 * 1024;
 
-/// Hands the lines of Boost.Log to the bounded output.
+/// Boost.Log sink that forwards lines to the bounded output.
 class OutputBackend : public boost::log::sinks::basic_formatted_sink_backend<
                           char, boost::log::sinks::concurrent_feeding> {
  public:
-  // The library calls it by this name.
+  // The name is required by Boost.Log.
   // NOLINTNEXTLINE(readability-identifier-naming)
   void consume(const boost::log::record_view&, const string_type& aLine);
 };
 
-/// What StartLog set. Nothing is written before it is called.
+/// State set by StartLog(). Nothing is written before that call.
 struct LogState {
   bool mStarted = false;
   LogLevel mLevel = LogLevel::kInfo;
   std::string mProcess;
-  bool mImportant = false;  ///< The line that is being written.
-  LogOutput mOutput{STDOUT_FILENO, kWaitingBytes};
+  bool mImportant = false;  ///< Of the line being written.
+  LogOutput mOutput{STDOUT_FILENO, kMaxBufferedBytes};
   boost::log::sources::logger mLogger;
 };
 
--- a/core/log_output.cpp
+++ b/core/log_output.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// A pipe that is writable takes this much without blocking (PIPE_BUF).
-constexpr std::size_t kMostAtOnce = 4096;
+/// A writable pipe accepts PIPE_BUF bytes without blocking.
+constexpr std::size_t kMaxWriteBytes = 4096;
 
 }  // namespace
 
@@ -28,11 +28,11 @@
 }
 
 void LogOutput::Add(std::string_view aLine, bool aImportant) {
-  const std::size_t room = aImportant ? mCapacity : mCapacity / 2;
-  if (mBytes + aLine.size() + 1 > room) {
+  const std::size_t limit = aImportant ? mCapacity : mCapacity / 2;
+  if (mBytes + aLine.size() + 1 > limit) {
     Flush();
   }
-  if (mBytes + aLine.size() + 1 > room) {
+  if (mBytes + aLine.size() + 1 > limit) {
     mDroppedLines++;
     return;
   }
@@ -48,7 +48,7 @@
 void LogOutput::Flush() {
   while (!mLines.empty() && Writable()) {
     const std::string& line = mLines.front();
-    const std::size_t n = std::min(kMostAtOnce, line.size() - mWritten);
+    const std::size_t n = std::min(kMaxWriteBytes, line.size() - mWritten);
     const ssize_t written = write(mFd, line.data() + mWritten, n);
     if (written <= 0) {
       return;
--- a/core/log_output.h
+++ b/core/log_output.h
@@ -1,5 +1,5 @@
-/// Where log lines go: a bounded buffer before a file descriptor that may be
-/// slow or stuck. Adding a line never blocks.
+/// A bounded buffer of log lines in front of a file descriptor that may be slow
+/// or blocked. Adding a line never blocks.
 #pragma once
 
 #include <cstdint>
@@ -9,20 +9,20 @@
 
 namespace spindleweir {
 
-/// Lines for one descriptor. Not for use from several threads.
+/// Buffers lines for one descriptor. Not thread-safe.
 class LogOutput {
  public:
-  /// aCapacity: bytes that may wait.
+  /// aCapacity: maximum number of buffered bytes.
   LogOutput(int aFd, std::size_t aCapacity);
 
-  /// Takes a line without its end. Lines that are not important are left out
-  /// once half of the buffer is taken, all once it is full.
+  /// Adds a line, given without its newline. Unimportant lines are dropped if
+  /// half of the buffer is in use, all lines if it is full.
   void Add(std::string_view aLine, bool aImportant);
-  /// Writes what can be written without waiting.
+  /// Writes as much as possible without blocking.
   void Flush();
-  /// Lines that were left out so far.
+  /// Number of lines dropped so far.
   std::int64_t DroppedLines() const { return mDroppedLines; }
-  std::size_t WaitingBytes() const { return mBytes; }
+  std::size_t BufferedBytes() const { return mBytes; }
 
  private:
   bool Writable() const;
@@ -32,7 +32,7 @@
   std::size_t mCapacity;
   std::deque<std::string> mLines;
   std::size_t mBytes = 0;
-  std::size_t mWritten = 0;  ///< Of the first line.
+  std::size_t mWritten = 0;  ///< Bytes of the first line already written.
   std::int64_t mDroppedLines = 0;
   std::int64_t mReportedDroppedLines = 0;
 };
--- a/core/packing.cpp
+++ b/core/packing.cpp
@@ -11,13 +11,13 @@
 
 namespace {
 
-/// Stands before a packed text; no JSON begins so.
-constexpr std::string_view kMark = "z1:";
-/// Texts are long and much alike within: the fastest level is enough.
-constexpr int kLevel = 1;
-constexpr std::size_t kBytesIn = 3;
-constexpr std::size_t kSignsOut = 4;
-/// The length of the text stands before the deflated bytes.
+/// Prefix of a packed text; no JSON text begins with it.
+constexpr std::string_view kPrefix = "z1:";
+/// The texts are long and repetitive, so the fastest level is enough.
+constexpr int kCompressionLevel = 1;
+constexpr std::size_t kBase64InputBytes = 3;
+constexpr std::size_t kBase64OutputChars = 4;
+/// Size of the text's length, which precedes the deflated bytes.
 constexpr std::size_t kLengthBytes = 4;
 constexpr unsigned kBitsPerByte = 8;
 constexpr unsigned kByteMask = 0xff;
@@ -29,17 +29,17 @@
 }
 
 Bytes FromBase64(std::string_view aText) {
-  if (aText.size() % kSignsOut != 0 || aText.empty()) {
-    ThrowCorrupt("length of base64");
+  if (aText.size() % kBase64OutputChars != 0 || aText.empty()) {
+    ThrowCorrupt("invalid base64 length");
   }
-  Bytes bytes(aText.size() / kSignsOut * kBytesIn);
+  Bytes bytes(aText.size() / kBase64OutputChars * kBase64InputBytes);
   const int n = EVP_DecodeBlock(
       bytes.data(), reinterpret_cast<const unsigned char*>(aText.data()),
       static_cast<int>(aText.size()));
   if (n < 0) {
-    ThrowCorrupt("base64");
+    ThrowCorrupt("invalid base64");
   }
-  // The padding was decoded as zeros.
+  // EVP_DecodeBlock decodes the padding as zero bytes.
   std::size_t padding = 0;
   while (padding < 2 && aText[aText.size() - 1 - padding] == '=') {
     padding++;
@@ -59,35 +59,38 @@
   }
   if (compress2(bytes.data() + kLengthBytes, &n,
                 reinterpret_cast<const Bytef*>(aText.data()), aText.size(),
-                kLevel) != Z_OK) {
-    throw Error(ResultCode::kInternal, "a text cannot be packed");
+                kCompressionLevel) != Z_OK) {
+    throw Error(ResultCode::kInternal, "zlib cannot compress the text");
   }
   bytes.resize(kLengthBytes + n);
-  std::string signs((bytes.size() + kBytesIn - 1) / kBytesIn * kSignsOut + 1,
-                    '\0');
+  std::string encoded((bytes.size() + kBase64InputBytes - 1) /
+                              kBase64InputBytes * kBase64OutputChars +
+                          1,
+                      '\0');
   const int length =
-      EVP_EncodeBlock(reinterpret_cast<unsigned char*>(signs.data()),
+      EVP_EncodeBlock(reinterpret_cast<unsigned char*>(encoded.data()),
                       bytes.data(), static_cast<int>(bytes.size()));
-  signs.resize(static_cast<std::size_t>(length));
-  const bool shorter = kMark.size() + signs.size() < aText.size();
-  const bool marked = aText.starts_with(kMark);
-  return shorter || marked ? std::string(kMark) + signs : std::string(aText);
+  encoded.resize(static_cast<std::size_t>(length));
+  const bool shorter = kPrefix.size() + encoded.size() < aText.size();
+  const bool hasPrefix = aText.starts_with(kPrefix);
+  return shorter || hasPrefix ? std::string(kPrefix) + encoded
+                              : std::string(aText);
 }
 
-std::string Unpack(std::string_view aPacked, std::size_t aMost) {
-  if (!aPacked.starts_with(kMark)) {
+std::string Unpack(std::string_view aPacked, std::size_t aMaxBytes) {
+  if (!aPacked.starts_with(kPrefix)) {
     return std::string(aPacked);
   }
-  const Bytes bytes = FromBase64(aPacked.substr(kMark.size()));
+  const Bytes bytes = FromBase64(aPacked.substr(kPrefix.size()));
   if (bytes.size() < kLengthBytes) {
-    ThrowCorrupt("no length");
+    ThrowCorrupt("the length is missing");
   }
   std::size_t length = 0;
   for (std::size_t i = 0; i < kLengthBytes; i++) {
     length |= static_cast<std::size_t>(bytes[i]) << (kBitsPerByte * i);
   }
-  if (length > aMost) {
-    ThrowCorrupt("too long");
+  if (length > aMaxBytes) {
+    ThrowCorrupt("the length exceeds the limit");
   }
   std::string text(length, '\0');
   uLongf n = length;
@@ -95,7 +98,7 @@
       uncompress(reinterpret_cast<Bytef*>(text.data()), &n,
                  bytes.data() + kLengthBytes, bytes.size() - kLengthBytes);
   if (result != Z_OK || n != length) {
-    ThrowCorrupt("deflated bytes");
+    ThrowCorrupt("invalid deflated bytes");
   }
   return text;
 }
--- a/core/settings.cpp
+++ b/core/settings.cpp
@@ -17,24 +17,26 @@
 
 constexpr std::string_view kEnvironmentPrefix = "SPINDLEWEIR_";
 constexpr int kExitUsage = 2;
-constexpr int kMaximumPort = 65535;
+constexpr int kMaxPort = 65535;
 
-/// Whether the flag is one of the program's own, not of gflags.
-bool IsOwnFlag(const std::string& aName, gflags::CommandLineFlagInfo* aInfo) {
+/// Whether the program defines the flag, not gflags.
+bool IsProgramFlag(const std::string& aName,
+                   gflags::CommandLineFlagInfo* aInfo) {
   return gflags::GetCommandLineFlagInfo(aName.c_str(), aInfo) &&
          aInfo->filename.find("_main.cpp") != std::string::npos;
 }
 
 void SetFlag(const std::string& aName, const std::string& aValue,
-             const std::string& aShown) {
+             const std::string& aShownName) {
   gflags::CommandLineFlagInfo info;
-  if (!IsOwnFlag(aName, &info)) {
-    throw Error(ResultCode::kUnknownSetting, aShown + " is not a setting");
+  if (!IsProgramFlag(aName, &info)) {
+    throw Error(ResultCode::kUnknownSetting,
+                aShownName + " is not a known setting");
   }
   if (gflags::SetCommandLineOption(aName.c_str(), aValue.c_str()).empty()) {
-    throw Error(
-        ResultCode::kBadSetting,
-        aShown + " must be of type " + info.type + ", not \"" + aValue + "\"");
+    throw Error(ResultCode::kBadSetting, aShownName + " must be of type " +
+                                             info.type + ", not \"" + aValue +
+                                             "\"");
   }
 }
 
@@ -45,11 +47,11 @@
       continue;
     }
     const std::size_t equals = text.find('=');
-    const std::string shown(text.substr(0, equals));
-    std::string name = shown.substr(kEnvironmentPrefix.size());
+    const std::string shownName(text.substr(0, equals));
+    std::string name = shownName.substr(kEnvironmentPrefix.size());
     std::transform(name.begin(), name.end(), name.begin(),
                    [](unsigned char aChar) { return std::tolower(aChar); });
-    SetFlag(name, std::string(text.substr(equals + 1)), shown);
+    SetFlag(name, std::string(text.substr(equals + 1)), shownName);
   }
 }
 
@@ -62,16 +64,16 @@
 Endpoint ParseEndpoint(std::string_view aText, std::string_view aSetting) {
   const std::size_t colon = aText.rfind(':');
   Endpoint endpoint;
-  bool good = colon != std::string_view::npos && colon > 0;
-  if (good) {
+  bool valid = colon != std::string_view::npos && colon > 0;
+  if (valid) {
     endpoint.mHost = aText.substr(0, colon);
     const std::string_view port = aText.substr(colon + 1);
     const auto [end, ec] =
         std::from_chars(port.data(), port.data() + port.size(), endpoint.mPort);
-    good = ec == std::errc() && end == port.data() + port.size() &&
-           endpoint.mPort >= 0 && endpoint.mPort <= kMaximumPort;
+    valid = ec == std::errc() && end == port.data() + port.size() &&
+            endpoint.mPort >= 0 && endpoint.mPort <= kMaxPort;
   }
-  if (!good) {
+  if (!valid) {
     throw Error(ResultCode::kBadSetting, std::string(aSetting) +
                                              " must be IP:PORT, not \"" +
                                              std::string(aText) + "\"");
@@ -94,45 +96,45 @@
 void RequireSetting(std::string_view aValue, std::string_view aSetting) {
   if (aValue.empty()) {
     throw Error(ResultCode::kMissingSetting,
-                std::string(aSetting) + " must be given");
+                std::string(aSetting) + " is required");
   }
 }
 
-void RequireRange(double aValue, double aLeast, double aMost,
+void RequireRange(double aValue, double aMin, double aMax,
                   std::string_view aSetting) {
-  if (aValue < aLeast || aValue > aMost) {
+  if (aValue < aMin || aValue > aMax) {
     std::ostringstream text;
-    text << std::setprecision(12) << aSetting << " must be between " << aLeast
-         << " and " << aMost;
+    text << std::setprecision(12) << aSetting << " must be between " << aMin
+         << " and " << aMax;
     throw Error(ResultCode::kBadSetting, text.str());
   }
 }
 
 std::vector<std::string> LoadSettings(int aArgc, char** aArgv) {
   LoadEnvironment();
-  std::vector<std::string> rest;
+  std::vector<std::string> positional;
   for (int i = 1; i < aArgc; i++) {
     const std::string argument = aArgv[i];
     if (!argument.starts_with("--")) {
-      rest.push_back(argument);
+      positional.push_back(argument);
       continue;
     }
     const std::size_t equals = argument.find('=');
     std::string name = argument.substr(2, equals - 2);
     std::replace(name.begin(), name.end(), '-', '_');
-    const std::string shown = argument.substr(0, equals);
+    const std::string shownName = argument.substr(0, equals);
     gflags::CommandLineFlagInfo info;
     if (equals != std::string::npos) {
-      SetFlag(name, argument.substr(equals + 1), shown);
-    } else if (IsOwnFlag(name, &info) && info.type == "bool") {
-      SetFlag(name, "true", shown);
-    } else if (IsOwnFlag(name, &info) && i + 1 < aArgc) {
-      SetFlag(name, aArgv[++i], shown);
+      SetFlag(name, argument.substr(equals + 1), shownName);
+    } else if (IsProgramFlag(name, &info) && info.type == "bool") {
+      SetFlag(name, "true", shownName);
+    } else if (IsProgramFlag(name, &info) && i + 1 < aArgc) {
+      SetFlag(name, aArgv[++i], shownName);
     } else {
-      SetFlag(name, "", shown);
+      SetFlag(name, "", shownName);
     }
   }
-  return rest;
+  return positional;
 }
 
 int RunProgram(
--- a/include/spindleweir/core/clock.h
+++ b/include/spindleweir/core/clock.h
@@ -1,5 +1,5 @@
-/// Time as the decision modules see it: milliseconds from a hook, so that a
-/// test can set it.
+/// Time for the decision modules: milliseconds from a hook, so that tests can
+/// set the clock.
 #pragma once
 
 #include <time.h>
@@ -10,15 +10,15 @@
 
 namespace spindleweir {
 
-/// Milliseconds; of a monotonic clock unless a name says "Wall".
+/// Milliseconds, of a monotonic clock unless the name contains "Wall".
 using Millis = std::int64_t;
 
-/// Gives the time now.
+/// Returns the current time.
 using ClockHook = std::function<Millis()>;
 
-/// Monotonic milliseconds, those included in which the VM was suspended: the
-/// steady clock of the standard library leaves them out, and a VM that went on
-/// after 8 s took a lease of 2.5 s for valid and passed a request on with it.
+/// Monotonic milliseconds, including time in which the VM was suspended. The
+/// standard library's steady clock leaves that time out: a VM resumed after 8 s
+/// treated a lease of 2.5 s as valid and forwarded a request under it.
 inline Millis SteadyNow() {
   constexpr Millis kMillisPerSecond = 1000;
   constexpr Millis kNanosPerMilli = 1000000;
@@ -27,7 +27,7 @@
   return now.tv_sec * kMillisPerSecond + now.tv_nsec / kNanosPerMilli;
 }
 
-/// Milliseconds since 1970 by the VM's clock, for people and expiry dates.
+/// Milliseconds since 1970 by the VM's clock, for display and expiry dates.
 inline Millis WallNow() {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
              std::chrono::system_clock::now().time_since_epoch())
--- a/include/spindleweir/core/counters.h
+++ b/include/spindleweir/core/counters.h
@@ -1,4 +1,4 @@
-/// Counters of a process, written as Prometheus text.
+/// Metrics of a process, written in the Prometheus text format.
 #pragma once
 
 #include <array>
@@ -9,10 +9,10 @@
 
 namespace spindleweir {
 
-/// All counters and gauges of one process. Not for use from several threads.
+/// All counters, gauges and histograms of one process. Not thread-safe.
 class Counters {
  public:
-  /// Adds to a counter. aName without prefix or "_total"; aLabels as written
+  /// Adds to a counter. aName: without prefix and "_total"; aLabels: the text
   /// between the braces, or empty.
   void Add(std::string_view aName, std::string_view aLabels = {},
            std::int64_t aAmount = 1);
@@ -20,14 +20,14 @@
   /// Sets a gauge.
   void Set(std::string_view aName, std::int64_t aValue);
 
-  /// Adds a value to a histogram with buckets that double from 1.
+  /// Adds a value to a histogram whose bucket bounds double from 1.
   void Observe(std::string_view aName, std::int64_t aValue);
 
-  /// The value of a counter or gauge; 0 where it was never touched.
+  /// The value of a counter or gauge; 0 if it was never set.
   std::int64_t Value(std::string_view aName,
                      std::string_view aLabels = {}) const;
 
-  /// All values in the Prometheus text format.
+  /// All metrics in the Prometheus text format.
   std::string Text() const;
 
  private:
@@ -36,7 +36,7 @@
     std::map<std::string, std::int64_t, std::less<>> mValues;
   };
 
-  /// Values up to 2^i stand in bucket i, larger ones in the last.
+  /// Bucket i counts values up to 2^i, the last one also all larger values.
   struct Histogram {
     std::array<std::int64_t, 18> mBuckets{};
     std::int64_t mSum = 0;
--- a/include/spindleweir/core/error.h
+++ b/include/spindleweir/core/error.h
@@ -1,4 +1,4 @@
-/// The exception of this project: a result code with a message.
+/// The exception type of this project: a result code with a message.
 #pragma once
 
 #include <stdexcept>
@@ -8,7 +8,7 @@
 
 namespace spindleweir {
 
-/// Thrown for every error that has a number.
+/// Thrown for every error that has a result code.
 class Error : public std::runtime_error {
  public:
   Error(ResultCode aCode, const std::string& aMessage)
--- a/include/spindleweir/core/json_codec.h
+++ b/include/spindleweir/core/json_codec.h
@@ -1,5 +1,5 @@
 /// JSON for typed messages: a message lists its fields once, in a member
-/// template `Fields(codec)`, and is read and written from that list.
+/// template `Fields(codec)`, which serves both reading and writing.
 ///
 ///     struct Example {
 ///       std::string mName;
@@ -21,7 +21,7 @@
 
 namespace spindleweir {
 
-/// Parses strict JSON: no comments, no duplicate keys, bounded depth.
+/// Parses strict JSON: no comments, no duplicate keys, limited depth.
 /// Throws kMalformedJson.
 Json::Value ParseJson(std::string_view aText);
 
@@ -35,24 +35,24 @@
 
   template <class T>
   void Field(const char* aName, T& aValue) {
-    // Names are literals, so that they need no copy.
+    // Names are string literals, so they need no copy.
     mObject[Json::StaticString(aName)] = Write(aValue);
   }
   template <class T>
   void Required(const char* aName, T& aValue) {
     Field(aName, aValue);
   }
-  /// Leaves out what is 0, false or empty; the reader's default must be that.
+  /// Omits a value of 0, false or empty, which must be the reader's default.
   template <class T>
   void Sparse(const char* aName, T& aValue) {
     Json::Value value = Write(aValue);
-    if (!IsNothing(value)) {
+    if (!IsEmptyValue(value)) {
       mObject[Json::StaticString(aName)] = std::move(value);
     }
   }
 
  private:
-  static bool IsNothing(const Json::Value& aValue) {
+  static bool IsEmptyValue(const Json::Value& aValue) {
     switch (aValue.type()) {
       case Json::stringValue:
         return *aValue.asCString() == '\0';
@@ -84,7 +84,7 @@
     }
     return array;
   }
-  /// A message with fields of its own, or a value that JSON knows.
+  /// Writes a message with its own Fields(), or a value that JsonCpp supports.
   template <class T>
   static Json::Value Write(T& aValue) {
     if constexpr (requires(JsonWriter & aWriter) { aValue.Fields(aWriter); }) {
@@ -100,15 +100,15 @@
   Json::Value& mObject;
 };
 
-/// Reads the fields of a message from a JSON object. A wrong type, a missing
-/// required field, or an unknown field where the reader is strict, throws
-/// kBadField naming the field.
+/// Reads the fields of a message from a JSON object. Throws kBadField, naming
+/// the field, if it has the wrong type, is required and missing, or is unknown
+/// and the reader is strict.
 class JsonReader {
  public:
-  /// Where a value stands; put into words only for an error.
+  /// The path of a value; formatted as text only for error messages.
   struct FieldPath {
     const FieldPath* mParent = nullptr;
-    const char* mName = nullptr;  ///< nullptr: an element of the parent.
+    const char* mName = nullptr;  ///< nullptr: an array element.
     std::size_t mIndex = 0;
 
     std::string Text() const;
@@ -141,7 +141,7 @@
     Field(aName, aValue);
   }
 
-  /// Where the reader is strict, throws for the first field not asked for.
+  /// If the reader is strict, throws kBadField for the first unknown field.
   void RejectUnknownFields() const;
 
  private:
@@ -179,7 +179,7 @@
   }
 
   const Json::Value& mObject;
-  const FieldPath* mPath;  ///< nullptr: the whole body.
+  const FieldPath* mPath;  ///< nullptr: the body itself.
   bool mStrict;
   std::set<std::string> mKnown;
 };
@@ -189,13 +189,13 @@
 Json::Value ToJson(const T& aMessage) {
   Json::Value object(Json::objectValue);
   JsonWriter writer(object);
-  // The field list is shared with the reader, which needs it mutable; the
-  // writer only reads.
+  // Fields() is shared with the reader and therefore not const; the writer
+  // doesn't modify the message.
   const_cast<T&>(aMessage).Fields(writer);
   return object;
 }
 
-/// Reads a message from a JSON object; see JsonReader for errors.
+/// Reads a message from a JSON object; for errors thrown see JsonReader.
 template <class T>
 T FromJson(const Json::Value& aObject, bool aStrict = false) {
   T message;
--- a/include/spindleweir/core/lenient_columns.h
+++ b/include/spindleweir/core/lenient_columns.h
@@ -1,6 +1,6 @@
-/// Reads messages that consist of columns value by value: one that is of
-/// another type than its column stands as a mark that no usable row has, in
-/// place of an error for the whole message.
+/// Reads messages that consist of columns, value by value. A value of the wrong
+/// type is replaced by an invalid one, so that only its row is rejected and not
+/// the whole message.
 #pragma once
 
 #include <json/value.h>
@@ -14,22 +14,22 @@
 
 namespace spindleweir {
 
-/// What stands for a value that cannot be read, by type. Rows are checked
-/// anyway: no number of theirs may be negative, no name hold such a sign.
+/// Placeholders for values of the wrong type. The validation of rows rejects
+/// them: numbers must not be negative, names must not contain this character.
 inline constexpr int kInvalidNumber = -1;
 inline constexpr const char* kInvalidName = "\x01";
 
-/// A codec for a member template `Fields`, as JsonReader is.
+/// A codec for a member template `Fields`, like JsonReader.
 class LenientColumns {
  public:
-  /// Throws kBadField where aObject is no object.
+  /// Throws kBadField if aObject is not a JSON object.
   explicit LenientColumns(const Json::Value& aObject) : mObject(aObject) {
     if (!aObject.isObject()) {
       throw Error(ResultCode::kBadField, "the table must be an object");
     }
   }
 
-  /// Throws kBadField where the column is no array.
+  /// Throws kBadField if the column is not an array.
   template <class T>
   void Field(const char* aName, std::vector<T>& aColumn) {
     const Json::Value& values = mObject[aName];
--- a/include/spindleweir/core/log.h
+++ b/include/spindleweir/core/log.h
@@ -1,7 +1,7 @@
-/// The log: one JSON object a line on standard output, by Boost.Log. Writing
-/// never blocks: lines that a slow reader does not take wait in a bounded
-/// buffer, and what does not fit is counted and left out, warnings and errors
-/// last. Prompts, answers and keys are never logged.
+/// The log: one JSON object per line on standard output, by Boost.Log. Writing
+/// never blocks: if the reader is slow, lines are queued in a bounded buffer.
+/// Lines that don't fit are dropped and counted; warnings and errors are
+/// dropped last. Prompts, answers and keys are never logged.
 #pragma once
 
 #include <json/value.h>
@@ -14,14 +14,14 @@
 
 enum class LogLevel { kDebug, kInfo, kWarning, kError };
 
-/// Sets the least level that is written and the name of this process.
+/// Sets the minimum level that is written and the name of this process.
 /// Throws kBadSetting for a name other than debug, info, warning, error.
 void StartLog(std::string_view aLevel, std::string_view aProcess);
 
-/// Lines that were left out so far.
+/// Number of log lines dropped since the start.
 std::int64_t DroppedLogLines();
 
-/// A line under construction; it is written when it goes out of scope.
+/// A log line under construction; the destructor writes it.
 ///
 ///     LogLine(LogLevel::kInfo, "routed").Add("request", id);
 class LogLine {
--- a/include/spindleweir/core/packing.h
+++ b/include/spindleweir/core/packing.h
@@ -1,5 +1,5 @@
-/// Long texts made short for the log, the disk and the way between processes:
-/// zlib's deflate, as text in base64 behind a mark.
+/// Compression of long texts for the log, the disk and messages between
+/// processes: zlib's deflate, encoded in base64 after a prefix.
 #pragma once
 
 #include <cstddef>
@@ -8,14 +8,14 @@
 
 namespace spindleweir {
 
-/// The longest text that our processes take from one another.
+/// Maximum length of a text that the processes accept from each other.
 inline constexpr std::size_t kMaxUnpackedBytes = 64 * 1024 * 1024;
 
-/// Packs a text; one that would not become shorter stays as it is.
+/// Compresses a text; one that would not become shorter is returned as it is.
 std::string Pack(std::string_view aText);
 
-/// The text that was packed; a text without the mark is given back as it is.
-/// Throws kDataCorrupt where it cannot be read or is longer than aMost bytes.
-std::string Unpack(std::string_view aPacked, std::size_t aMost);
+/// Returns the original text; a text without the prefix is returned as it is.
+/// Throws kDataCorrupt if it is malformed or longer than aMaxBytes.
+std::string Unpack(std::string_view aPacked, std::size_t aMaxBytes);
 
 }  // namespace spindleweir
--- a/include/spindleweir/core/result_code.h
+++ b/include/spindleweir/core/result_code.h
@@ -1,5 +1,5 @@
-/// Numbered result codes: what every refusal, failure and start-up error is
-/// called. docs/RESULT_CODES.md lists them; a test keeps the two equal.
+/// Numbered result codes of all refusals, failures and start-up errors.
+/// docs/RESULT_CODES.md lists them; a test checks that both are equal.
 #pragma once
 
 #include <span>
@@ -7,11 +7,11 @@
 
 namespace spindleweir {
 
-/// Whether the request that an answer belongs to was run by an upstream.
+/// Whether the request of an answer was run by an upstream.
 enum class Ran {
-  kNo,       ///< It did not run and will not run.
-  kYes,      ///< It ran.
-  kUnknown,  ///< It may have run.
+  kNo,       ///< The request did not run and will not run.
+  kYes,      ///< The request ran.
+  kUnknown,  ///< The request may have run.
 };
 
 /// Every numbered result.
@@ -76,8 +76,8 @@
 struct ResultCodeInfo {
   ResultCode mCode;
   std::string_view mName;     ///< The name in answers and logs.
-  int mHttpStatus;            ///< The HTTP status it is answered with.
-  Ran mRan;                   ///< What the answer says of running.
+  int mHttpStatus;            ///< The HTTP status of the answer.
+  Ran mRan;                   ///< Whether the request ran.
   std::string_view mMeaning;  ///< One line for operators.
 };
 
--- a/include/spindleweir/core/settings.h
+++ b/include/spindleweir/core/settings.h
@@ -1,4 +1,4 @@
-/// Settings from flags and SPINDLEWEIR_ environment variables, over gflags.
+/// Settings from flags and SPINDLEWEIR_ environment variables, with gflags.
 #pragma once
 
 #include <functional>
@@ -18,26 +18,26 @@
   std::string Text() const;
 };
 
-/// Reads "host:port"; throws kBadSetting naming aSetting.
+/// Parses "host:port". Throws kBadSetting, naming aSetting, if it is invalid.
 Endpoint ParseEndpoint(std::string_view aText, std::string_view aSetting);
 
-/// Splits at commas, dropping empty parts.
+/// Splits at commas and omits empty parts.
 std::vector<std::string> SplitList(std::string_view aText);
 
-/// Throws kMissingSetting where aValue is empty.
+/// Throws kMissingSetting if aValue is empty.
 void RequireSetting(std::string_view aValue, std::string_view aSetting);
 
-/// Throws kBadSetting where aValue is outside [aLeast, aMost].
-void RequireRange(double aValue, double aLeast, double aMost,
+/// Throws kBadSetting if aValue is outside [aMin, aMax].
+void RequireRange(double aValue, double aMin, double aMax,
                   std::string_view aSetting);
 
-/// Sets the gflags of the program: SPINDLEWEIR_NAME variables first, then
-/// flags, which go before them. Returns the arguments that are no flags.
-/// Throws kUnknownSetting and kBadSetting naming the culprit.
+/// Sets the gflags of the program from SPINDLEWEIR_NAME variables and from
+/// flags, which take precedence. Returns the positional arguments. Throws
+/// kUnknownSetting or kBadSetting, naming the flag or variable.
 std::vector<std::string> LoadSettings(int aArgc, char** aArgv);
 
-/// What a program's main does: prints help for --help, runs aRun, and turns
-/// an Error into one numbered line on standard error and exit code 2.
+/// Runs a program's main function: prints usage for --help, calls aRun, and
+/// reports an Error as one line on standard error with exit code 2.
 int RunProgram(int aArgc, char** aArgv, const std::string& aUsage,
                const std::function<int(const std::vector<std::string>&)>& aRun);
 
--- a/tests/core/counters_test.cpp
+++ b/tests/core/counters_test.cpp
@@ -16,7 +16,7 @@
         "spindleweir_requests_total{code=\"Ok\"} 3\n");
 }
 
-Test(counters, histograms_count_up_to_each_bound) {
+Test(counters, histogram_buckets_are_cumulative) {
   Counters counters;
   for (std::int64_t value : {1, 2, 3, 1000000}) {
     counters.Observe("wait_ms", value);
--- a/tests/core/json_codec_test.cpp
+++ b/tests/core/json_codec_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace spindleweir;
 
-Test(json_codec, bad_text_is_malformed) {
+Test(json_codec, invalid_json_is_refused) {
   for (const char* text : {"", "{", "{\"a\":1,}", "{\"a\":1,\"a\":2}", "[1 2]",
                            "// c\n{}", "{\"a\":1} x", "\xff\xfe"}) {
     SECTION(text) {
@@ -12,7 +12,7 @@
             ResultCode::kMalformedJson);
     }
   }
-  SECTION("nesting without end") {
+  SECTION("unlimited nesting") {
     CHECK(CodeThrownBy([] { ParseJson(std::string(100000, '[')); }) ==
           ResultCode::kMalformedJson);
   }
@@ -23,7 +23,7 @@
     return CodeThrownBy(
         [&] { FromJson<ModelSpec>(ParseJson(aText), aStrict); });
   };
-  SECTION("what is good") {
+  SECTION("valid fields") {
     CHECK(read(R"({"name":"m","layers":3})", true) == ResultCode::kOk);
   }
   SECTION("a missing field") {
@@ -34,14 +34,14 @@
     CHECK(read(R"({"name":"m","layers":1e99})", false) ==
           ResultCode::kBadField);
   }
-  SECTION("an unknown field, only where the reader is strict") {
+  SECTION("an unknown field is refused by a strict reader only") {
     CHECK(read(R"({"name":"m","layers":3,"x":1})", true) ==
           ResultCode::kBadField);
     CHECK(read(R"({"name":"m","layers":3,"x":1})", false) == ResultCode::kOk);
   }
 }
 
-Test(json_codec, a_configuration_survives_the_way_there_and_back) {
+Test(json_codec, a_configuration_survives_a_round_trip) {
   Configuration first;
   first.mVersion = 7;
   first.mIntent.mModels.push_back({.mName = "m", .mLayers = 12});
--- a/tests/core/log_output_test.cpp
+++ b/tests/core/log_output_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// A pipe; nothing is read before Read.
+/// A pipe that is read only by Read().
 struct Pipe {
   Pipe() { (void)pipe(mFds); }
   ~Pipe() {
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-Test(log_output, a_pipe_that_nobody_reads_holds_up_nothing) {
+Test(log_output, a_pipe_without_reader_does_not_block) {
   Pipe pipe;
   LogOutput output(pipe.mFds[1], 10000);
   const std::string line(100, 'x');
@@ -38,14 +38,15 @@
     output.Add(line, false);
   }
   CHECK(output.DroppedLines() > 0);
-  CHECK(output.WaitingBytes() <= 5000);
-  SECTION("important lines still find room") {
+  CHECK(output.BufferedBytes() <= 5000);
+  SECTION("important lines are still buffered") {
     const std::int64_t before = output.DroppedLines();
     output.Add("important", true);
     CHECK(output.DroppedLines() == before);
-    CHECK(output.WaitingBytes() <= 10000);
+    CHECK(output.BufferedBytes() <= 10000);
   }
-  SECTION("once it is read all goes on, and what was left out is told") {
+  SECTION(
+      "once the pipe is read, writing resumes and dropped lines are reported") {
     std::string text;
     for (int i = 0; i < 40; i++) {
       text += pipe.Read();
--- a/tests/core/result_code_test.cpp
+++ b/tests/core/result_code_test.cpp
@@ -15,18 +15,19 @@
       rows.insert(line);
     }
   }
-  std::set<std::string> wanted;
+  std::set<std::string> expected;
   for (const ResultCodeInfo& info : AllResultCodes()) {
     std::ostringstream row;
     row << "| " << static_cast<int>(info.mCode) << " | " << info.mName << " | "
         << info.mHttpStatus << " | " << NameOf(info.mRan) << " | "
         << info.mMeaning << " |";
-    wanted.insert(row.str());
+    expected.insert(row.str());
   }
-  for (const std::string& row : wanted) {
-    cr_expect(rows.contains(row), "the page lacks: %s", row.c_str());
+  for (const std::string& row : expected) {
+    cr_expect(rows.contains(row), "docs/RESULT_CODES.md lacks the row: %s",
+              row.c_str());
   }
-  CHECK(rows.size() == wanted.size());
+  CHECK(rows.size() == expected.size());
 }
 
 Test(result_code, codes_ascend_and_refusals_before_dispatch_say_not_run) {
--- a/tests/core/settings_test.cpp
+++ b/tests/core/settings_test.cpp
@@ -6,7 +6,7 @@
 
 using namespace spindleweir;
 
-Test(settings, endpoints_are_checked) {
+Test(settings, invalid_endpoints_are_refused) {
   CHECK(ParseEndpoint("10.0.0.1:80", "--x").Text() == "10.0.0.1:80");
   for (const char* text : {"", "80", ":80", "h:", "h:x", "h:70000", "h:-1"}) {
     SECTION(text) {
@@ -16,7 +16,7 @@
   }
 }
 
-Test(settings, unknown_ones_are_refused_by_name) {
+Test(settings, unknown_settings_are_refused) {
   SECTION("a flag") {
     const std::string flag = "--no_such_flag=1";
     std::string program = "program";
@@ -25,7 +25,7 @@
     CHECK(CodeThrownBy([&] { LoadSettings(2, arguments); }) ==
           ResultCode::kUnknownSetting);
   }
-  SECTION("a variable of the environment") {
+  SECTION("an environment variable") {
     setenv("SPINDLEWEIR_NO_SUCH", "1", 1);
     std::string program = "program";
     char* arguments[] = {program.data()};
@@ -34,7 +34,7 @@
   }
 }
 
-Test(settings, required_and_ranges) {
+Test(settings, missing_and_out_of_range_values_are_refused) {
   CHECK(CodeThrownBy([] { RequireSetting("", "--id"); }) ==
         ResultCode::kMissingSetting);
   CHECK(CodeThrownBy([] { RequireRange(5, 1, 4, "--n"); }) ==
