--- a/core/packing.cpp
+++ b/core/packing.cpp
@@ -37,7 +37,7 @@
       bytes.data(), reinterpret_cast<const unsigned char*>(aText.data()),
       static_cast<int>(aText.size()));
   if (n < 0) {
-    ThrowCorrupt("invalid base64");
+    ThrowCorrupt("base64");
   }
   // EVP_DecodeBlock decodes the padding as zero bytes.
   std::size_t padding = 0;
--- a/drivers/disk_log.cpp
+++ b/drivers/disk_log.cpp
@@ -19,7 +19,7 @@
 
 constexpr std::size_t kLengthBytes = 4;
 constexpr std::size_t kHeaderBytes = 16;
-constexpr std::size_t kMaximumPayload = 256 * 1024 * 1024;
+constexpr std::size_t kMaxPayloadBytes = 256 * 1024 * 1024;
 constexpr int kFileMode = 0600;
 
 template <class T>
@@ -51,30 +51,30 @@
   aOut += aPayload;
 }
 
-/// What stands at the front of the rest of a file.
-enum class RecordKind { kWhole, kTorn, kDamaged };
+/// State of the next record of a file.
+enum class RecordState { kComplete, kTorn, kDamaged };
 
-RecordKind Inspect(std::string_view aRest, std::string_view& aPayload) {
+RecordState InspectRecord(std::string_view aRest, std::string_view& aPayload) {
   const bool zeros = std::all_of(aRest.begin(), aRest.end(),
                                  [](char aByte) { return aByte == 0; });
   if (aRest.size() < kHeaderBytes || zeros) {
-    return RecordKind::kTorn;
+    return RecordState::kTorn;
   }
   const auto checksum =
       GetNumber<std::uint32_t>(aRest.substr(kLengthBytes, kLengthBytes));
   if (checksum != LengthChecksum(aRest.substr(0, kLengthBytes))) {
-    return RecordKind::kDamaged;
+    return RecordState::kDamaged;
   }
   const auto n = GetNumber<std::uint32_t>(aRest);
   if (n > aRest.size() - kHeaderBytes) {
-    return RecordKind::kTorn;
+    return RecordState::kTorn;
   }
   aPayload = aRest.substr(kHeaderBytes, n);
   if (FastHash(aPayload) == GetNumber<std::uint64_t>(aRest.substr(8))) {
-    return RecordKind::kWhole;
+    return RecordState::kComplete;
   }
   const bool last = n == aRest.size() - kHeaderBytes;
-  return last ? RecordKind::kTorn : RecordKind::kDamaged;
+  return last ? RecordState::kTorn : RecordState::kDamaged;
 }
 
 }  // namespace
@@ -97,13 +97,13 @@
   std::string_view rest = bytes;
   while (!rest.empty()) {
     std::string_view payload;
-    const RecordKind kind = Inspect(rest, payload);
-    if (kind == RecordKind::kDamaged) {
+    const RecordState state = InspectRecord(rest, payload);
+    if (state == RecordState::kDamaged) {
       throw Error(ResultCode::kDataCorrupt,
                   mPath + " is damaged at byte " +
                       std::to_string(bytes.size() - rest.size()));
     }
-    if (kind == RecordKind::kTorn) {
+    if (state == RecordState::kTorn) {
       break;
     }
     aRecord(payload);
@@ -114,10 +114,10 @@
 
 void DiskLog::OpenForAppend() {
   mFd = open(mPath.c_str(), O_WRONLY | O_CREAT, kFileMode);
-  const bool good = mFd >= 0 &&
-                    ftruncate(mFd, static_cast<off_t>(mBytes)) == 0 &&
-                    lseek(mFd, 0, SEEK_END) >= 0 && fsync(mFd) == 0;
-  if (!good) {
+  const bool succeeded = mFd >= 0 &&
+                         ftruncate(mFd, static_cast<off_t>(mBytes)) == 0 &&
+                         lseek(mFd, 0, SEEK_END) >= 0 && fsync(mFd) == 0;
+  if (!succeeded) {
     mFailed = true;
     const std::error_code ec(errno, std::generic_category());
     throw Error(ResultCode::kStorageFailed, mPath + ": " + ec.message());
@@ -127,14 +127,15 @@
 void DiskLog::CheckUsable() const {
   if (mFailed) {
     throw Error(ResultCode::kStorageFailed,
-                mPath + " failed earlier and is not used any more");
+                mPath + " cannot be used after an earlier failure");
   }
 }
 
 void DiskLog::Append(std::string_view aPayload) {
   CheckUsable();
-  if (aPayload.size() > kMaximumPayload) {
-    throw Error(ResultCode::kStorageFailed, mPath + ": record too large");
+  if (aPayload.size() > kMaxPayloadBytes) {
+    throw Error(ResultCode::kStorageFailed,
+                mPath + ": the record exceeds 256 MiB");
   }
   PutRecord(mPending, aPayload);
 }
--- a/drivers/engine_client.cpp
+++ b/drivers/engine_client.cpp
@@ -23,7 +23,9 @@
   options.mBody = DumpJson(ToJson(aJob));
   options.mTimeout = 0;
   options.mMaximumAnswerBytes = std::size_t{1} << 40;
-  options.mOnData = [reader](std::string_view aBytes) { reader->Take(aBytes); };
+  options.mOnData = [reader](std::string_view aBytes) {
+    reader->Append(aBytes);
+  };
   options.mOnDone = std::move(aHooks.mOnEnd);
   return mClient.Start(std::move(options));
 }
--- a/drivers/event_loop.cpp
+++ b/drivers/event_loop.cpp
@@ -23,13 +23,13 @@
   return tv;
 }
 
-/// So often a loop notes that it runs.
+/// Interval at which a loop records that it is running.
 constexpr Millis kTickInterval = 50;
-/// A gap between two notes up to this is ordinary work: on a tenth of a core
-/// a container gets the processor in slices that are 90 ms apart.
+/// Longer gaps between two ticks count as a stall. With a tenth of a core a
+/// container gets CPU time in slices that are 90 ms apart.
 constexpr Millis kMaxNormalGap = 150;
 
-/// Milliseconds by the clock of libevent's timers.
+/// Milliseconds by the clock that libevent's timers use.
 Millis TimerNow() {
   timespec now{};
   (void)clock_gettime(CLOCK_MONOTONIC, &now);
@@ -37,17 +37,17 @@
          now.tv_nsec / (kMicrosPerMilli * kMicrosPerMilli);
 }
 
-/// Time in which this VM was suspended since it was booted.
+/// Time for which this VM was suspended since boot.
 Millis TotalSuspendedTime() {
   return SteadyNow() - TimerNow();
 }
 
-/// The two clocks are not read at the same moment.
-constexpr Millis kClockSlack = 5;
+/// Tolerance, since the two clocks are not read at the same time.
+constexpr Millis kClockTolerance = 5;
 
 }  // namespace
 
-/// Owns libevent events that call one function.
+/// Owns libevent events that share one callback.
 class EventTimer : public Timer {
  public:
   explicit EventTimer(std::function<void()> aCall) : mCall(std::move(aCall)) {}
@@ -56,7 +56,7 @@
       event_free(item);
     }
     if (mTimers != nullptr) {
-      mTimers->erase(mPlace);
+      mTimers->erase(mPosition);
     }
   }
   EventTimer(const EventTimer&) = delete;
@@ -68,31 +68,31 @@
     event_add(item, nullptr);
   }
 
-  /// Waits for a time. aPeriod: between calls; 0: there is one only.
+  /// Adds a timeout. aInterval: between calls; 0: a single call.
   void AddTimeout(event_base* aBase, std::list<EventTimer*>& aTimers,
-                  Millis aDelay, Millis aPeriod) {
-    const int what = EV_TIMEOUT | (aPeriod > 0 ? EV_PERSIST : 0);
+                  Millis aDelay, Millis aInterval) {
+    const int what = EV_TIMEOUT | (aInterval > 0 ? EV_PERSIST : 0);
     event* item =
         event_new(aBase, -1, static_cast<short>(what), &EventTimer::Fire, this);
     mEvents.push_back(item);
-    mPeriod = aPeriod;
+    mInterval = aInterval;
     mDueAt = SteadyNow() + aDelay;
     const timeval tv = ToTimeval(aDelay);
     event_add(item, &tv);
     mTimers = &aTimers;
-    mPlace = aTimers.insert(aTimers.end(), this);
+    mPosition = aTimers.insert(aTimers.end(), this);
   }
 
   Millis DueAt() const { return mDueAt; }
 
-  /// Waits for what is left until it is due. What is done again and again is
-  /// done at once: libevent takes no other time for its next call alone.
+  /// Waits for the remaining time. A periodic timer fires at once, since
+  /// libevent cannot change the time of the next call alone.
   void Rearm(Millis aNow) {
     event* item = mEvents.front();
     if (event_pending(item, EV_TIMEOUT, nullptr) == 0) {
       return;
     }
-    if (mPeriod > 0 || mDueAt <= aNow) {
+    if (mInterval > 0 || mDueAt <= aNow) {
       event_active(item, EV_TIMEOUT, 0);
       return;
     }
@@ -103,41 +103,41 @@
  private:
   static void Fire(evutil_socket_t, short, void* aSelf) {
     auto* self = static_cast<EventTimer*>(aSelf);
-    self->mDueAt = SteadyNow() + self->mPeriod;
-    // The call may destroy the timer, so that it runs from a copy.
+    self->mDueAt = SteadyNow() + self->mInterval;
+    // The call may destroy the timer, so a copy is called.
     const std::function<void()> call = self->mCall;
     call();
   }
 
   std::function<void()> mCall;
   std::vector<event*> mEvents;
-  Millis mPeriod = 0;
+  Millis mInterval = 0;
   Millis mDueAt = 0;
-  std::list<EventTimer*>* mTimers = nullptr;  ///< Of the loop.
-  std::list<EventTimer*>::iterator mPlace;
+  std::list<EventTimer*>* mTimers = nullptr;  ///< The loop's list.
+  std::list<EventTimer*>::iterator mPosition;
 };
 
 namespace {
 
-/// A timer that is set again for what its loop has not yet run of the delay.
+/// A timer that is rearmed until its loop has been running for the full delay.
 class RunningTimer : public Timer {
  public:
   RunningTimer(EventLoop& aLoop, Millis aDelay, std::function<void()> aCall)
       : mLoop(aLoop),
         mCall(std::move(aCall)),
         mDueAt(aLoop.RunningNow() + aDelay) {
-    Set(aDelay);
+    Arm(aDelay);
   }
 
  private:
-  void Set(Millis aDelay) {
+  void Arm(Millis aDelay) {
     mTimer = mLoop.After(aDelay, [this] {
       const Millis left = mDueAt - mLoop.RunningNow();
       if (left > 0) {
-        Set(left);
+        Arm(left);
         return;
       }
-      // The call may destroy the timer, so that it runs from a copy.
+      // The call may destroy the timer, so a copy is called.
       const std::function<void()> call = mCall;
       call();
     });
@@ -156,7 +156,7 @@
       mLastTickAt(SteadyNow()),
       mSuspended(TotalSuspendedTime()) {
   if (mBase == nullptr) {
-    throw Error(ResultCode::kInternal, "no event loop to be had");
+    throw Error(ResultCode::kInternal, "libevent cannot create an event loop");
   }
   mPostEvent = event_new(mBase, -1, 0, &EventLoop::RunPosted, this);
   mTickEvent = event_new(mBase, -1, EV_TIMEOUT | EV_PERSIST,
@@ -167,7 +167,7 @@
 }
 
 EventLoop::~EventLoop() {
-  // What was posted may own timers of this loop.
+  // Posted calls may own timers of this loop.
   mPosted.clear();
   event_free(mTickEvent);
   event_free(mPostEvent);
@@ -194,10 +194,10 @@
   return std::make_unique<RunningTimer>(*this, aDelay, std::move(aCall));
 }
 
-std::unique_ptr<Timer> EventLoop::Every(Millis aPeriod,
+std::unique_ptr<Timer> EventLoop::Every(Millis aInterval,
                                         std::function<void()> aCall) {
   auto timer = std::make_unique<EventTimer>(std::move(aCall));
-  timer->AddTimeout(mBase, mTimers, aPeriod, aPeriod);
+  timer->AddTimeout(mBase, mTimers, aInterval, aInterval);
   return timer;
 }
 
@@ -224,7 +224,7 @@
 
 void EventLoop::RearmTimers() {
   const Millis suspended = TotalSuspendedTime();
-  if (suspended - mSuspended <= kClockSlack) {
+  if (suspended - mSuspended <= kClockTolerance) {
     return;
   }
   mSuspended = suspended;
@@ -245,8 +245,8 @@
 }
 
 std::unique_ptr<Timer> EventLoop::OnStopSignal(std::function<void()> aCall) {
-  // libevent restores what it found once the handler goes. By default a second
-  // signal would kill the process then, while it ends in order.
+  // libevent restores the previous disposition when the handler is removed. The
+  // default one would let a second signal kill the process during its shutdown.
   signal(SIGTERM, SIG_IGN);
   signal(SIGINT, SIG_IGN);
   auto timer = std::make_unique<EventTimer>(std::move(aCall));
--- a/drivers/file_tools.cpp
+++ b/drivers/file_tools.cpp
@@ -18,7 +18,7 @@
 
 constexpr int kFileMode = 0600;
 
-[[noreturn]] void ThrowStorage(const std::string& aWhat) {
+[[noreturn]] void ThrowStorageFailed(const std::string& aWhat) {
   const std::error_code ec(errno, std::generic_category());
   throw Error(ResultCode::kStorageFailed, aWhat + ": " + ec.message());
 }
@@ -26,24 +26,25 @@
 void WriteAndSync(const std::string& aPath, std::string_view aBytes) {
   const int fd = open(aPath.c_str(), O_WRONLY | O_CREAT | O_TRUNC, kFileMode);
   if (fd < 0) {
-    ThrowStorage("cannot open " + aPath);
+    ThrowStorageFailed("cannot open " + aPath);
   }
   const ssize_t n = write(fd, aBytes.data(), aBytes.size());
-  const bool good = n == static_cast<ssize_t>(aBytes.size()) && fsync(fd) == 0;
+  const bool succeeded =
+      n == static_cast<ssize_t>(aBytes.size()) && fsync(fd) == 0;
   close(fd);
-  if (!good) {
-    ThrowStorage("cannot write " + aPath);
+  if (!succeeded) {
+    ThrowStorageFailed("cannot write " + aPath);
   }
 }
 
 void SyncFolder(const std::string& aPath) {
   const int fd = open(aPath.c_str(), O_RDONLY | O_DIRECTORY);
-  const bool good = fd >= 0 && fsync(fd) == 0;
+  const bool succeeded = fd >= 0 && fsync(fd) == 0;
   if (fd >= 0) {
     close(fd);
   }
-  if (!good) {
-    ThrowStorage("cannot sync " + aPath);
+  if (!succeeded) {
+    ThrowStorageFailed("cannot sync " + aPath);
   }
 }
 
@@ -63,7 +64,7 @@
   const std::string temporary = aPath + ".new";
   WriteAndSync(temporary, aBytes);
   if (rename(temporary.c_str(), aPath.c_str()) != 0) {
-    ThrowStorage("cannot rename " + temporary);
+    ThrowStorageFailed("cannot rename " + temporary);
   }
   const std::filesystem::path folder =
       std::filesystem::path(aPath).parent_path();
--- a/drivers/frame_reader.h
+++ b/drivers/frame_reader.h
@@ -1,4 +1,4 @@
-/// Reads the stream of an engine: a token frame a line.
+/// Reads the stream of an engine: one token frame per line.
 #pragma once
 
 #include <functional>
@@ -11,26 +11,26 @@
 
 namespace spindleweir {
 
-/// Cuts a byte stream into lines and reads each as a frame.
+/// Splits a byte stream into lines and parses each line as a frame.
 class FrameReader {
  public:
   explicit FrameReader(std::function<void(const TokenFrame&)> aOnFrame)
       : mOnFrame(std::move(aOnFrame)) {}
 
-  void Take(std::string_view aBytes) {
-    mRest += aBytes;
+  void Append(std::string_view aBytes) {
+    mIncompleteLine += aBytes;
     std::size_t begin = 0;
     std::vector<TokenFrame> frames;
-    for (std::size_t end = mRest.find('\n'); end != std::string::npos;
-         end = mRest.find('\n', begin)) {
-      frames.push_back(
-          Read(std::string_view(mRest).substr(begin, end - begin)));
+    for (std::size_t end = mIncompleteLine.find('\n'); end != std::string::npos;
+         end = mIncompleteLine.find('\n', begin)) {
+      frames.push_back(ParseFrame(
+          std::string_view(mIncompleteLine).substr(begin, end - begin)));
       begin = end + 1;
     }
-    mRest.erase(0, begin);
-    if (mRest.size() > kMaximumLine) {
-      mRest.clear();
-      frames.push_back(Broken("line too long"));
+    mIncompleteLine.erase(0, begin);
+    if (mIncompleteLine.size() > kMaxLineBytes) {
+      mIncompleteLine.clear();
+      frames.push_back(ErrorFrame("line exceeds 64 KiB"));
     }
     // The receiver may destroy the call and with it this reader.
     const std::function<void(const TokenFrame&)> receiver = mOnFrame;
@@ -40,25 +40,25 @@
   }
 
  private:
-  /// A longer line is no frame.
-  static constexpr std::size_t kMaximumLine = 64 * 1024;
+  /// Longer lines are reported as an error frame.
+  static constexpr std::size_t kMaxLineBytes = 64 * 1024;
 
-  static TokenFrame Broken(const std::string& aWhy) {
+  static TokenFrame ErrorFrame(const std::string& aWhy) {
     TokenFrame frame;
     frame.mError = aWhy;
     return frame;
   }
 
-  static TokenFrame Read(std::string_view aLine) {
+  static TokenFrame ParseFrame(std::string_view aLine) {
     try {
       return FromJson<TokenFrame>(ParseJson(aLine));
     } catch (const Error& error) {
-      return Broken(error.what());
+      return ErrorFrame(error.what());
     }
   }
 
   std::function<void(const TokenFrame&)> mOnFrame;
-  std::string mRest;
+  std::string mIncompleteLine;
 };
 
 }  // namespace spindleweir
--- a/drivers/memory_hold.cpp
+++ b/drivers/memory_hold.cpp
@@ -15,8 +15,8 @@
   mBudget->SetHeld(mNumber, aKind, aBytes);
 }
 
-void MemoryHold::SetEvictionClass(EvictionClass aClaim) {
-  mBudget->SetEvictionClass(mNumber, aClaim, SteadyNow());
+void MemoryHold::SetEvictionClass(EvictionClass aClass) {
+  mBudget->SetEvictionClass(mNumber, aClass, SteadyNow());
 }
 
 void MemoryHold::RecordProgress(std::size_t aBytes) {
--- a/drivers/raft_disk_storage.cpp
+++ b/drivers/raft_disk_storage.cpp
@@ -34,7 +34,8 @@
       const std::int64_t position = entry.mIndex - mState.mSnapshot.mIndex - 1;
       if (position < 0 ||
           position > static_cast<std::int64_t>(mState.mEntries.size())) {
-        throw Error(ResultCode::kDataCorrupt, "an entry is missing");
+        throw Error(ResultCode::kDataCorrupt,
+                    "the entries are not consecutive");
       }
       mState.mEntries.resize(static_cast<std::size_t>(position));
       mState.mEntries.push_back(std::move(entry));
@@ -58,12 +59,12 @@
 }
 
 void RaftDiskStorage::SaveSnapshot(const Snapshot& aSnapshot,
-                                   std::span<const LogEntry> aRest,
+                                   std::span<const LogEntry> aNewerEntries,
                                    const HardState& aState) {
   mLog->Rewrite([&](DiskLog& aLog) {
     aLog.Append(MakeRecord("state", aState));
     aLog.Append(MakeRecord("snapshot", aSnapshot));
-    for (const LogEntry& entry : aRest) {
+    for (const LogEntry& entry : aNewerEntries) {
       aLog.Append(MakeRecord("entry", entry));
     }
   });
--- a/drivers/rpc_channel.cpp
+++ b/drivers/rpc_channel.cpp
@@ -61,7 +61,7 @@
     try {
       done(ResultOf(aResult));
     } catch (const Error& error) {
-      // An answer of another build, or a broken one: as none.
+      // Sent by another version, or malformed: treated as no answer.
       LogLine(LogLevel::kWarning, "answer_unreadable")
           .Add("code", static_cast<int>(error.Code()))
           .Add("why", error.what());
--- a/drivers/rpc_dispatcher.cpp
+++ b/drivers/rpc_dispatcher.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-/// Connects libjsonrpccpp's protocol handler with the registered functions.
+/// Connects libjsonrpccpp's protocol handler to the registered functions.
 class RpcDispatcher::Handler : public jsonrpc::IProcedureInvokationHandler {
  public:
   Handler()
--- a/drivers/socket_options.cpp
+++ b/drivers/socket_options.cpp
@@ -13,7 +13,7 @@
 constexpr int kMillisPerSecond = 1000;
 
 void SetInt(int aFd, int aLevel, int aName, int aValue) {
-  // Best effort: a platform without an option works without it.
+  // Best effort: unsupported options are not needed for correct operation.
   (void)setsockopt(aFd, aLevel, aName, &aValue, sizeof(aValue));
 }
 
@@ -30,7 +30,7 @@
 }
 
 void SetSocketBuffers(int aFd, std::size_t aBytes) {
-  // The kernel takes twice the value, for its own needs.
+  // The kernel doubles the value, for its own overhead.
   const auto size = static_cast<int>(aBytes / 2);
   SetInt(aFd, SOL_SOCKET, SO_RCVBUF, size);
   SetInt(aFd, SOL_SOCKET, SO_SNDBUF, size);
--- a/drivers/socket_options.h
+++ b/drivers/socket_options.h
@@ -1,16 +1,16 @@
-/// Options that every connection which may hang is given.
+/// Socket options that detect unresponsive peers and limit kernel buffers.
 #pragma once
 
 #include <cstddef>
 
 namespace spindleweir {
 
-/// Sets no-delay, keep-alive probes and the longest time without an
-/// acknowledgement from the other side, in milliseconds.
+/// Sets TCP_NODELAY, keep-alive probes and aUserTimeout: the maximum time
+/// without an acknowledgement from the peer, in milliseconds.
 void SetSocketOptions(int aFd, int aUserTimeout);
 
-/// Bounds what the kernel holds each way, unread and not taken yet; to be set
-/// before a connection is made, since a window that was told is not taken back.
+/// Limits the kernel's receive and send buffers. To be called before the
+/// connection is made, since an advertised window cannot be withdrawn.
 void SetSocketBuffers(int aFd, std::size_t aBytes);
 
 }  // namespace spindleweir
--- a/include/spindleweir/drivers/disk_log.h
+++ b/include/spindleweir/drivers/disk_log.h
@@ -1,5 +1,5 @@
-/// An append-only file of checksummed records. A torn tail, as a crash in
-/// mid-write leaves it, is cut at opening; any other damage is refused.
+/// An append-only file of checksummed records. Opening truncates an incomplete
+/// last record, as a crash during a write leaves it; other damage is an error.
 #pragma once
 
 #include <functional>
@@ -12,20 +12,20 @@
 /// 8 bytes xxHash64 of the payload, payload; numbers little-endian.
 class DiskLog {
  public:
-  /// Opens or makes the file and gives each record, oldest first, to aRecord.
-  /// Throws kDataCorrupt or kStorageFailed.
+  /// Opens or creates the file and calls aRecord with each record, oldest
+  /// first. Throws kDataCorrupt or kStorageFailed.
   DiskLog(std::string aPath,
           const std::function<void(std::string_view)>& aRecord);
   ~DiskLog();
   DiskLog(const DiskLog&) = delete;
   DiskLog& operator=(const DiskLog&) = delete;
 
-  /// Adds a record; it lasts once Sync() has returned.
+  /// Adds a record; it is durable after Sync() has returned.
   void Append(std::string_view aPayload);
-  /// Writes and syncs what was added. After a failure the log refuses all
-  /// further use, since the state of the file is unknown.
+  /// Writes and syncs the added records. After a failure all methods throw
+  /// kStorageFailed, since the state of the file is unknown.
   void Sync();
-  /// Replaces the whole file by the records that aFill adds, in one step.
+  /// Atomically replaces the file by the records that aFill adds.
   void Rewrite(const std::function<void(DiskLog&)>& aFill);
 
   std::size_t Bytes() const { return mBytes; }
--- a/include/spindleweir/drivers/engine_client.h
+++ b/include/spindleweir/drivers/engine_client.h
@@ -1,9 +1,9 @@
-/// The adapter to model engines. An engine's own protocol stands here and in
-/// engine_client.cpp only.
+/// The adapter to model engines. Only this header and engine_client.cpp
+/// implement the engines' protocol.
 ///
-/// The last engine of a chain is asked for the stream; it asks the one before
-/// it, and so on, so that activations go from engine to engine directly and
-/// only tokens come to the router. Frames are JSON objects, one a line.
+/// The router requests the stream from the last engine of a chain; each engine
+/// sends a request to the one before it. Activations go directly from engine to
+/// engine, and the router gets only tokens: one JSON object per line.
 #pragma once
 
 #include <functional>
@@ -18,7 +18,7 @@
 
 namespace spindleweir {
 
-/// One engine of a chain, with the layers it runs.
+/// One engine of a chain and its layer range.
 struct ChainHop {
   std::string mEngine;
   std::string mAddress;  ///< "ip:port".
@@ -34,18 +34,18 @@
   }
 };
 
-/// What a chain is asked to do.
+/// A request to run a chain.
 struct ChainJob {
   std::string mRequest;
-  int mAttempt = 0;  ///< An engine drops earlier attempts of the request.
+  int mAttempt = 0;  ///< An engine cancels earlier attempts of the request.
   std::string mModel;
   std::string mVersion;
   std::string mPrompt;
-  std::vector<std::string> mDelivered;  ///< Tokens the caller has already.
-  int mMaximumTokens = 16;              ///< Over all attempts.
+  std::vector<std::string> mDelivered;  ///< Tokens that the caller already has.
+  int mMaximumTokens = 16;              ///< Total over all attempts.
   int mPriority = 0;
   std::vector<ChainHop> mChain;  ///< In the order of the layers.
-  int mPosition = 0;             ///< Of the engine that is asked, in mChain.
+  int mPosition = 0;             ///< Index of the receiving engine in mChain.
 
   template <class Codec>
   void Fields(Codec& aCodec) {
@@ -62,9 +62,9 @@
   }
 };
 
-/// An order as an engine takes it.
+/// An order in the format of the engines' protocol.
 struct EngineOrderMessage {
-  std::int64_t mEpoch = 0;  ///< The fence: an engine refuses a smaller one.
+  std::int64_t mEpoch = 0;  ///< The fence: an engine refuses smaller ones.
   std::string mKind;        ///< "load" or "drop".
   std::string mModel;
   std::string mVersion;
@@ -82,21 +82,21 @@
   }
 };
 
-/// What a running chain tells.
+/// Callbacks of a running chain.
 struct ChainHooks {
   std::function<void(const TokenFrame&)> mOnFrame;
-  /// The stream ended; by itself that is no success: the last frame is.
+  /// The stream ended. Only its last frame shows whether it succeeded.
   std::function<void(const HttpResult&)> mOnEnd;
 };
 
-/// Talks to engines.
+/// Sends requests to engines.
 class EngineClient {
  public:
   explicit EngineClient(HttpClient& aClient) : mClient(aClient) {}
 
   /// Starts a chain; destroying the call cancels it on all its engines.
   std::unique_ptr<HttpCall> Run(const ChainJob& aJob, ChainHooks aHooks);
-  /// Asks for a report; nullptr where none came.
+  /// Requests a report; passes nullptr to aDone if there is no valid one.
   void GetReport(const Endpoint& aEngine, Millis aTimeout,
                  std::function<void(const EngineReport*)> aDone);
   void SendOrder(const Endpoint& aEngine, const EngineOrder& aOrder,
--- a/include/spindleweir/drivers/event_loop.h
+++ b/include/spindleweir/drivers/event_loop.h
@@ -1,4 +1,4 @@
-/// The event loop of a process: libevent's base with timers as objects.
+/// The event loop of a process: libevent's event base with timer objects.
 #pragma once
 
 #include <functional>
@@ -21,7 +21,7 @@
   virtual ~Timer() = default;
 };
 
-/// One thread's event loop. Everything of a daemon runs in its callbacks.
+/// The event loop of one thread. All code of a daemon runs in its callbacks.
 class EventLoop {
  public:
   EventLoop();
@@ -37,46 +37,46 @@
 
   /// Calls aCall once after aDelay milliseconds.
   std::unique_ptr<Timer> After(Millis aDelay, std::function<void()> aCall);
-  /// The same, by RunningNow(): what came while the loop stood still is read
-  /// before a wait for it ends.
+  /// Same, but measured by RunningNow(): messages that arrived while the loop
+  /// was stalled are read before the wait for them ends.
   std::unique_ptr<Timer> AfterRunning(Millis aDelay,
                                       std::function<void()> aCall);
-  /// Calls aCall every aPeriod milliseconds.
-  std::unique_ptr<Timer> Every(Millis aPeriod, std::function<void()> aCall);
-  /// Calls aCall in the next turn of the loop; it cannot be cancelled.
+  /// Calls aCall every aInterval milliseconds.
+  std::unique_ptr<Timer> Every(Millis aInterval, std::function<void()> aCall);
+  /// Calls aCall in the next iteration of the loop; it cannot be cancelled.
   void Post(std::function<void()> aCall);
-  /// Calls aCall at SIGTERM and at SIGINT.
+  /// Calls aCall on SIGTERM and SIGINT.
   std::unique_ptr<Timer> OnStopSignal(std::function<void()> aCall);
-  /// SIGHUP ends no process that is about to read its settings: what it asks
-  /// for is done by that. Before anything else; OnReloadSignal() ends it.
+  /// Ignores SIGHUP until OnReloadSignal(), so that it doesn't end a process
+  /// that is about to read its settings anyway. To be called first in main().
   static void IgnoreReloadSignal();
-  /// Calls aCall at SIGHUP.
+  /// Calls aCall on SIGHUP.
   std::unique_ptr<Timer> OnReloadSignal(std::function<void()> aCall);
 
-  /// Milliseconds in which this loop should have run and did not, since it was
-  /// made: the process was stopped, got no processor, or a call took so long.
-  /// What others said meanwhile is still unread after it: a wait that ends
-  /// then is no silence of theirs.
+  /// Total milliseconds in which this loop was unable to run: the process was
+  /// stopped, got no CPU time, or a callback blocked. Messages that arrived
+  /// meanwhile are still unread, so a wait that ends right afterwards doesn't
+  /// mean that the peer was silent.
   Millis StalledTime() const;
-  /// SteadyNow() without the time in which the loop stood still: by this clock
-  /// nothing grows old that could not have been renewed.
+  /// SteadyNow() without StalledTime(): by this clock nothing expires that
+  /// could not have been renewed.
   Millis RunningNow() const { return SteadyNow() - StalledTime(); }
 
  private:
   static void RunPosted(int aFd, short aWhat, void* aSelf);
 
   static void HandleTick(int aFd, short aWhat, void* aSelf);
-  /// Sets all timers anew where the VM was suspended: libevent's clock does not
-  /// count that time, and each would be as much too late.
+  /// Rearms all timers if the VM was suspended: libevent's clock doesn't
+  /// include that time, so each timer would fire late by it.
   void RearmTimers();
 
   event_base* mBase;
   event* mPostEvent;
   event* mTickEvent;
-  Millis mLastTickAt;  ///< Steady; when the loop was last seen to run.
+  Millis mLastTickAt;  ///< By SteadyNow(); the loop last ran then.
   Millis mStalledTime = 0;
-  Millis mSuspended = 0;           ///< In all, as the timers are set.
-  std::list<EventTimer*> mTimers;  ///< Those that wait for a time.
+  Millis mSuspended = 0;           ///< Total that the timers account for.
+  std::list<EventTimer*> mTimers;  ///< All pending timeouts.
   std::vector<std::function<void()>> mPosted;
 };
 
--- a/include/spindleweir/drivers/file_tools.h
+++ b/include/spindleweir/drivers/file_tools.h
@@ -1,4 +1,4 @@
-/// Files that last: what is written here is synced before it counts.
+/// Durable files: writes are synced before a function returns.
 #pragma once
 
 #include <optional>
@@ -7,14 +7,14 @@
 
 namespace spindleweir {
 
-/// The whole file, or nothing where there is none.
+/// The content of the file, or nothing if it cannot be opened.
 std::optional<std::string> ReadFile(const std::string& aPath);
 
-/// Replaces the file in one step: written beside it, synced, renamed, and the
-/// folder synced. Throws kStorageFailed.
+/// Atomically replaces the file: writes and syncs a temporary file, renames it
+/// and syncs the folder. Throws kStorageFailed.
 void ReplaceFile(const std::string& aPath, std::string_view aBytes);
 
-/// Makes the folder if it is missing and proves that it can be written.
+/// Creates the folder if it is missing and checks that it is writable.
 /// Throws kDataUnwritable.
 void PrepareFolder(const std::string& aPath);
 
--- a/include/spindleweir/drivers/memory_hold.h
+++ b/include/spindleweir/drivers/memory_hold.h
@@ -1,5 +1,5 @@
-/// What is held for one caller's connection, as its parts in the drivers see
-/// it: the connection itself and the calls made for it.
+/// The memory held for one caller's connection; shared by the connection and
+/// the upstream calls made for it.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 namespace spindleweir {
 
-/// One holder of a MemoryBudget.
+/// One connection's entry in a MemoryBudget.
 class MemoryHold {
  public:
   explicit MemoryHold(std::shared_ptr<MemoryBudget> aBudget);
@@ -21,7 +21,7 @@
   MemoryBudget& Budget() { return *mBudget; }
 
   void SetHeld(BufferKind aKind, std::size_t aBytes);
-  void SetEvictionClass(EvictionClass aClaim);
+  void SetEvictionClass(EvictionClass aClass);
   void RecordProgress(std::size_t aBytes);
   bool MayReadMore();
   bool MayCollect() const;
--- a/include/spindleweir/drivers/platform_list.h
+++ b/include/spindleweir/drivers/platform_list.h
@@ -1,4 +1,4 @@
-/// The adapter to the platform's list of VMs. It lags, so that it is a hint.
+/// The adapter to the platform's list of VMs. The list lags: it is only a hint.
 #pragma once
 
 #include <functional>
@@ -9,11 +9,11 @@
 
 namespace spindleweir {
 
-/// One VM of the list.
+/// One VM in the list.
 struct PlatformVm {
   std::string mVm;
   std::string mZone;
-  std::string mService;  ///< The plain service it runs; empty: an engine.
+  std::string mService;  ///< The plain service it runs; empty for an engine.
   std::string mAddress;  ///< "ip:port".
   bool mLeaving = false;
 
@@ -27,7 +27,7 @@
   }
 };
 
-/// The whole answer of the platform.
+/// The platform's answer.
 struct PlatformAnswer {
   std::vector<PlatformVm> mVms;
 
@@ -37,7 +37,7 @@
   }
 };
 
-/// Reads the list once; nullptr where it cannot be had.
+/// Fetches the list once; passes nullptr to aDone if that fails.
 void ReadPlatformList(HttpClient& aClient, const Endpoint& aPlatform,
                       std::function<void(const PlatformAnswer*)> aDone);
 
--- a/include/spindleweir/drivers/raft_disk_storage.h
+++ b/include/spindleweir/drivers/raft_disk_storage.h
@@ -1,4 +1,4 @@
-/// A voter's durable state in one log file of the data folder.
+/// A voter's durable state, stored in one log file of the data folder.
 #pragma once
 
 #include <memory>
@@ -9,7 +9,8 @@
 
 namespace spindleweir {
 
-/// Records of "state", "entry" and "snapshot"; a snapshot rewrites the file.
+/// Stores "state", "entry" and "snapshot" records; a snapshot rewrites the
+/// file.
 class RaftDiskStorage : public RaftStorage {
  public:
   /// Reads the file. Throws kDataCorrupt or kStorageFailed.
@@ -18,17 +19,18 @@
   DurableState Load() override { return mState; }
   void SaveHardState(const HardState& aState) override;
   void Append(std::span<const LogEntry> aEntries) override;
-  void SaveSnapshot(const Snapshot& aSnapshot, std::span<const LogEntry> aRest,
+  void SaveSnapshot(const Snapshot& aSnapshot,
+                    std::span<const LogEntry> aNewerEntries,
                     const HardState& aState) override;
 
-  /// Whether the folder was empty: a voter that never ran.
+  /// Whether the log had no records: the voter never ran before.
   bool Empty() const { return mEmpty; }
   std::size_t Bytes() const { return mLog->Bytes(); }
 
  private:
   void Replay(std::string_view aRecord);
 
-  DurableState mState;  ///< Of the start; not kept up afterwards.
+  DurableState mState;  ///< As read at the start; not updated afterwards.
   bool mEmpty = true;
   std::unique_ptr<DiskLog> mLog;
 };
--- a/include/spindleweir/drivers/rpc_channel.h
+++ b/include/spindleweir/drivers/rpc_channel.h
@@ -1,4 +1,4 @@
-/// Calls between the system's own processes: JSON-RPC 2.0 over HTTP.
+/// Calls between the processes of a deployment: JSON-RPC 2.0 over HTTP.
 #pragma once
 
 #include <json/value.h>
@@ -10,16 +10,16 @@
 
 namespace spindleweir {
 
-/// The path that every process takes JSON-RPC on.
+/// The path at which every process serves JSON-RPC.
 inline constexpr const char* kRpcPath = "/rpc";
 
 /// How a call ended.
 struct RpcResult {
-  bool mOk = false;     ///< An answer came, and it is no error.
-  Json::Value mAnswer;  ///< The answer; null where there is none.
+  bool mOk = false;     ///< An answer came, and it is not an error.
+  Json::Value mAnswer;  ///< The answer; null if there is none.
 };
 
-/// What one call put on the wire, both ways, with HTTP's heads.
+/// Bytes that one call transferred, including HTTP heads.
 struct RpcBytes {
   Endpoint mServer;
   std::string mMethod;
@@ -33,17 +33,17 @@
   /// aKey: the secret that all processes of the deployment share.
   RpcChannel(HttpClient& aClient, std::string aKey);
 
-  /// Sends one call; aDone (it may be empty) is called once.
+  /// Sends one call; aDone (may be empty) is called once.
   void Call(const Endpoint& aServer, const std::string& aMethod,
             const Json::Value& aMessage, Millis aTimeout,
             std::function<void(const RpcResult&)> aDone);
 
-  /// aCall is told of each call that ended, also of those without an answer.
+  /// Calls aCall for each call that ended, including those without an answer.
   void OnBytes(std::function<void(const RpcBytes&)> aCall) {
     mOnBytes = std::move(aCall);
   }
 
-  /// Bytes of requests sent so far, without HTTP's own.
+  /// Total bytes of request bodies sent, without HTTP heads.
   std::int64_t SentBytes() const { return mSentBytes; }
 
  private:
--- a/include/spindleweir/drivers/rpc_dispatcher.h
+++ b/include/spindleweir/drivers/rpc_dispatcher.h
@@ -1,5 +1,5 @@
-/// The receiving side of the calls between the system's own processes:
-/// libjsonrpccpp's protocol handler behind an HTTP exchange.
+/// The receiving side of calls between the processes of a deployment:
+/// libjsonrpccpp's protocol handler on top of an HTTP exchange.
 #pragma once
 
 #include <json/value.h>
@@ -12,7 +12,7 @@
 
 namespace spindleweir {
 
-/// Answers JSON-RPC requests by the functions registered with it.
+/// Dispatches JSON-RPC requests to registered functions.
 class RpcDispatcher {
  public:
   /// aKey: the secret that all processes of the deployment share.
@@ -25,7 +25,7 @@
   void On(const std::string& aMethod,
           std::function<Json::Value(const Json::Value&)> aCall);
 
-  /// Answers one request; 401 where the key is not the deployment's.
+  /// Answers one request; 401 if the key is not that of the deployment.
   void Handle(HttpExchange& aExchange);
 
  private:
