--- a/drivers/http_client.cpp
+++ b/drivers/http_client.cpp
@@ -32,19 +32,19 @@
   return EVHTTP_REQ_GET;
 }
 
-/// What libevent's callbacks point at in place of the call, which may be gone
-/// before them.
+/// The context of libevent's callbacks, which may outlive the call; mCall is
+/// nullptr then.
 struct CallLink {
   EvhttpCall* mCall = nullptr;
 };
 
-/// Whether its server has closed it, or sent what nobody asked for, which the
-/// loop has not read yet: a call on it would get no answer.
+/// Whether the server has closed the connection or sent unexpected bytes, and
+/// the loop has not read that yet: a call on it would get no answer.
 bool HasEnded(evhttp_connection* aConnection) {
   const int fd =
       bufferevent_getfd(evhttp_connection_get_bufferevent(aConnection));
   if (fd < 0) {
-    // It is opened anew with its next call.
+    // evhttp reconnects with the next call.
     return false;
   }
   char byte = 0;
@@ -53,15 +53,15 @@
 }
 
 /// A connection to be freed, and the link that its callbacks use until then.
-struct DoomedConnection {
+struct RetiredConnection {
   evhttp_connection* mConnection;
   std::shared_ptr<CallLink> mLink;
 };
 
 }  // namespace
 
-/// The idle connections by server, and those waiting to be freed: libevent
-/// does not take the freeing of a connection inside its own callback.
+/// Idle connections by server, and connections to be freed later: libevent does
+/// not support freeing a connection inside its own callback.
 struct HttpClient::Pool {
   explicit Pool(EventLoop& aLoop) : mLoop(aLoop) {}
   ~Pool() {
@@ -71,7 +71,7 @@
         evhttp_connection_free(connection);
       }
     }
-    FreeDoomed();
+    FreeRetired();
   }
   Pool(const Pool&) = delete;
   Pool& operator=(const Pool&) = delete;
@@ -82,16 +82,16 @@
       const auto it = std::find(list.begin(), list.end(), aConnection);
       if (it != list.end()) {
         list.erase(it);
-        self->Doom(aConnection);
+        self->Retire(aConnection);
         return;
       }
     }
   }
 
-  void Keep(const std::string& aServer, evhttp_connection* aConnection) {
+  void Put(const std::string& aServer, evhttp_connection* aConnection) {
     std::vector<evhttp_connection*>& list = mIdle[aServer];
     if (list.size() >= kIdleConnectionsPerServer) {
-      Doom(aConnection);
+      Retire(aConnection);
       return;
     }
     evhttp_connection_set_closecb(aConnection, &Pool::HandleIdleClose, this);
@@ -107,39 +107,39 @@
         evhttp_connection_set_closecb(connection, nullptr, nullptr);
         return connection;
       }
-      Doom(connection);
+      Retire(connection);
     }
     return nullptr;
   }
 
-  /// Frees the connection in the next turn of the loop, and with it what its
-  /// callbacks still point at.
-  void Doom(evhttp_connection* aConnection,
-            std::shared_ptr<CallLink> aLink = nullptr) {
+  /// Frees the connection in the next iteration of the loop, together with the
+  /// context of its callbacks.
+  void Retire(evhttp_connection* aConnection,
+              std::shared_ptr<CallLink> aLink = nullptr) {
     evhttp_connection_set_closecb(aConnection, nullptr, nullptr);
-    mDoomed.push_back({aConnection, std::move(aLink)});
-    if (mFreeing == nullptr) {
-      mFreeing = mLoop.After(0, [this] { FreeDoomed(); });
+    mRetired.push_back({aConnection, std::move(aLink)});
+    if (mFreeTimer == nullptr) {
+      mFreeTimer = mLoop.After(0, [this] { FreeRetired(); });
     }
   }
 
-  void FreeDoomed() {
-    mFreeing.reset();
-    const std::vector<DoomedConnection> doomed = std::move(mDoomed);
-    mDoomed.clear();
-    for (const DoomedConnection& item : doomed) {
+  void FreeRetired() {
+    mFreeTimer.reset();
+    const std::vector<RetiredConnection> retired = std::move(mRetired);
+    mRetired.clear();
+    for (const RetiredConnection& item : retired) {
       evhttp_connection_free(item.mConnection);
     }
   }
 
   EventLoop& mLoop;
   std::map<std::string, std::vector<evhttp_connection*>> mIdle;
-  std::vector<DoomedConnection> mDoomed;
-  std::unique_ptr<Timer> mFreeing;
+  std::vector<RetiredConnection> mRetired;
+  std::unique_ptr<Timer> mFreeTimer;
 };
 
-/// One call on one connection. The libevent callbacks find it through the
-/// shared state, which lives until the call ended or was cancelled.
+/// One call on one connection. The libevent callbacks reach it through the
+/// CallLink, which lives until the connection is freed.
 class EvhttpCall : public HttpCall {
  public:
   EvhttpCall(EventLoop& aLoop, std::shared_ptr<HttpClient::Pool> aPool,
@@ -165,14 +165,14 @@
     }
     bufferevent* bev = evhttp_connection_get_bufferevent(mConnection);
     mOutput = bufferevent_get_output(bev);
-    mWatch = evbuffer_add_cb(mOutput, &EvhttpCall::HandleOutput, this);
+    mOutputCallback = evbuffer_add_cb(mOutput, &EvhttpCall::HandleOutput, this);
     mInput = bufferevent_get_input(bev);
-    mInputWatch = evbuffer_add_cb(mInput, &EvhttpCall::HandleInput, this);
+    mInputCallback = evbuffer_add_cb(mInput, &EvhttpCall::HandleInput, this);
     evhttp_connection_set_max_body_size(
         mConnection, static_cast<ev_ssize_t>(mOptions.mMaximumAnswerBytes));
     if (mOptions.mTimeout > 0) {
-      // A router that woke after 1.3 s took all claim keepers for silent,
-      // with their answers unread in its sockets.
+      // Without AfterRunning() a router that was stalled for 1.3 s treated all
+      // claim keepers as silent, with their answers unread in its sockets.
       mTimer = mLoop.AfterRunning(mOptions.mTimeout, [this] { Finish(false); });
     }
     SendRequest();
@@ -224,9 +224,9 @@
         static_cast<std::int64_t>(aInfo->n_added);
   }
 
-  void Unwatch() {
-    evbuffer_remove_cb_entry(mOutput, mWatch);
-    evbuffer_remove_cb_entry(mInput, mInputWatch);
+  void RemoveBufferCallbacks() {
+    evbuffer_remove_cb_entry(mOutput, mOutputCallback);
+    evbuffer_remove_cb_entry(mInput, mInputCallback);
   }
 
   static void HandleChunk(evhttp_request* aRequest, void* aLink) {
@@ -243,7 +243,7 @@
       self->mResult.mBody += bytes;
       return;
     }
-    // The receiver may cancel this call, so that a copy is called.
+    // The receiver may cancel this call, so a copy is called.
     const std::function<void(std::string_view)> receiver =
         self->mOptions.mOnData;
     receiver(bytes);
@@ -274,11 +274,11 @@
     mTimer.reset();
     mLink->mCall = nullptr;
     if (mConnection != nullptr) {
-      Unwatch();
+      RemoveBufferCallbacks();
       if (aComplete && !mOptions.mNewConnection) {
-        mPool->Keep(mServer, mConnection);
+        mPool->Put(mServer, mConnection);
       } else {
-        mPool->Doom(mConnection, mLink);
+        mPool->Retire(mConnection, mLink);
       }
       mConnection = nullptr;
     }
@@ -295,11 +295,11 @@
     if (mConnection == nullptr) {
       return;
     }
-    Unwatch();
+    RemoveBufferCallbacks();
     mLink->mCall = nullptr;
     bufferevent* bev = evhttp_connection_get_bufferevent(mConnection);
     bufferevent_disable(bev, EV_READ | EV_WRITE);
-    mPool->Doom(mConnection, mLink);
+    mPool->Retire(mConnection, mLink);
     mConnection = nullptr;
   }
 
@@ -311,9 +311,9 @@
   HttpResult mResult;
   evhttp_connection* mConnection = nullptr;
   evbuffer* mOutput = nullptr;
-  evbuffer_cb_entry* mWatch = nullptr;
+  evbuffer_cb_entry* mOutputCallback = nullptr;
   evbuffer* mInput = nullptr;
-  evbuffer_cb_entry* mInputWatch = nullptr;
+  evbuffer_cb_entry* mInputCallback = nullptr;
   std::unique_ptr<Timer> mTimer;
   bool mPaused = false;
 };
@@ -336,16 +336,16 @@
     if (done) {
       done(aResult);
     }
-    // The call is still on the stack; it goes in the next turn of the loop.
+    // The call is still on the stack; it is destroyed in the next iteration.
     mEnded.push_back(id);
     if (mDestroyTimer == nullptr) {
       mDestroyTimer = mLoop.After(0, [this] { DestroyEndedCalls(); });
     }
   };
   auto call = std::make_unique<EvhttpCall>(mLoop, mPool, std::move(aOptions));
-  EvhttpCall* begun = call.get();
+  EvhttpCall* started = call.get();
   mDetached[id] = std::move(call);
-  begun->Begin();
+  started->Begin();
 }
 
 void HttpClient::DestroyEndedCalls() {
--- a/drivers/http_connection.cpp
+++ b/drivers/http_connection.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr Millis kLinger = 1000;
+constexpr Millis kLingerTimeout = 1000;
 
 }  // namespace
 
@@ -36,7 +36,7 @@
 
 void HttpConnection::HandleArrived(evbuffer*, const evbuffer_cb_info* aInfo,
                                    void* aSelf) {
-  // evhttp takes a request's bytes out of the buffer before it is whole.
+  // evhttp drains the buffer before a request is complete.
   if (aInfo->n_added > 0) {
     static_cast<HttpConnection*>(aSelf)->mArrived = true;
   }
@@ -62,12 +62,12 @@
 }
 
 bool HttpConnection::Idle() const {
-  const bool waits = mExchange == nullptr && !mArrived && !Closing();
-  if (!waits || evbuffer_get_length(Output()) > 0) {
+  const bool waiting = mExchange == nullptr && !mArrived && !Closing();
+  if (!waiting || evbuffer_get_length(Output()) > 0) {
     return false;
   }
-  // Closed with unread bytes the connection would be reset, and with it what
-  // its caller has not read of the answer before.
+  // Closing with unread bytes would reset the connection, and the caller would
+  // lose the unread part of the previous answer.
   int n = 0;
   const int fd = bufferevent_getfd(evhttp_connection_get_bufferevent(mHandle));
   return ioctl(fd, FIONREAD, &n) != 0 || n == 0;
@@ -80,7 +80,7 @@
 }
 
 bool HttpConnection::LingerExpired() const {
-  return Closing() && SteadyNow() - mClosingSince >= kLinger;
+  return Closing() && SteadyNow() - mClosingSince >= kLingerTimeout;
 }
 
 }  // namespace spindleweir
--- a/drivers/http_connection.h
+++ b/drivers/http_connection.h
@@ -1,5 +1,5 @@
 /// One caller's connection at a HttpServer, from its first request on: evhttp
-/// tells of none before.
+/// has no callback for accepted connections.
 #pragma once
 
 #include <memory>
@@ -15,7 +15,7 @@
 class HttpExchange;
 class HttpServer;
 
-/// Knows whether something is under way on it. Lives until evhttp frees the
+/// Tracks whether a request is in progress. Lives until evhttp frees the
 /// connection.
 class HttpConnection {
  public:
@@ -25,15 +25,16 @@
   HttpConnection& operator=(const HttpConnection&) = delete;
 
   void BeginExchange(std::shared_ptr<HttpExchange> aExchange);
-  /// The answer is complete, if not yet written.
+  /// The answer is complete, though possibly not yet written.
   void FinishExchange();
-  /// Whether no request is under way, has begun to come, or is still answered.
+  /// Whether no request is in progress or partly received, and no answer
+  /// pending.
   bool Idle() const;
-  /// Tells the caller that nothing more comes. A request that crosses this is
-  /// not taken.
+  /// Shuts down the sending side. A request that arrives afterwards is not
+  /// processed.
   void CloseGracefully();
   bool Closing() const { return mClosingSince > 0; }
-  /// Whether its caller had time enough to close its side.
+  /// Whether the caller's time to close its side has run out.
   bool LingerExpired() const;
 
  private:
@@ -46,8 +47,8 @@
   HttpServer& mServer;
   evhttp_connection* mHandle;
   std::shared_ptr<HttpExchange> mExchange;
-  bool mArrived = false;     ///< Bytes of another request have come.
-  Millis mClosingSince = 0;  ///< Steady; 0: not closing.
+  bool mArrived = false;     ///< Bytes of another request have arrived.
+  Millis mClosingSince = 0;  ///< By SteadyNow(); 0: not closing.
 };
 
 }  // namespace spindleweir
--- a/drivers/http_message.cpp
+++ b/drivers/http_message.cpp
@@ -94,7 +94,7 @@
                          std::size_t aN) {
     Impl& self = Of(aParser);
     if (self.mInBody) {
-      return 0;  // A trailer: not passed on.
+      return 0;  // Trailers are not forwarded.
     }
     if (!self.mInField) {
       self.mHeaders.emplace_back();
@@ -117,7 +117,7 @@
   static int HandleHead(http_parser* aParser) {
     Impl& self = Of(aParser);
     self.mInBody = true;
-    // A request to change the protocol is served in this one.
+    // Upgrades are not supported: the request is served as HTTP/1.1.
     aParser->upgrade = 0;
     self.mRequest.mMethod =
         http_method_str(static_cast<http_method>(aParser->method));
--- a/drivers/http_server.cpp
+++ b/drivers/http_server.cpp
@@ -54,10 +54,10 @@
   return body;
 }
 
-Endpoint AddressOf(evhttp_bound_socket* aSocket, const Endpoint& aAsked) {
+Endpoint AddressOf(evhttp_bound_socket* aSocket, const Endpoint& aConfigured) {
   sockaddr_in address{};
   socklen_t n = sizeof(address);
-  Endpoint endpoint = aAsked;
+  Endpoint endpoint = aConfigured;
   if (getsockname(evhttp_bound_socket_get_fd(aSocket),
                   reinterpret_cast<sockaddr*>(&address), &n) == 0) {
     endpoint.mPort = ntohs(address.sin_port);
@@ -154,8 +154,8 @@
   mRequest = nullptr;
   mConnection = nullptr;
   if (evhttp_request_get_connection(request) == nullptr) {
-    // evhttp left it to who would answer: 0.5 KB and its headers for each
-    // caller that leaves before the end.
+    // evhttp leaves the request to the code that answers it. Without this call
+    // 0.5 KB and the headers would leak for each caller that disconnects early.
     evhttp_request_free(request);
   }
   const std::function<void()> call = std::move(mOnClosed);
@@ -165,9 +165,9 @@
 }
 
 void HttpExchange::WatchClose() {
-  // Only reading shows that the caller left. A further request on the
-  // connection has to wait, so the read callback is taken off meanwhile;
-  // evhttp sets its own again after the answer.
+  // A disconnect is only detected by reading. Further requests on the
+  // connection have to wait, so the read callback is removed meanwhile; evhttp
+  // sets its own again after the answer.
   bufferevent* bev = evhttp_connection_get_bufferevent(
       evhttp_request_get_connection(mRequest));
   bufferevent_data_cb write = nullptr;
@@ -184,7 +184,7 @@
   mRequest = nullptr;
   mConnection = nullptr;
   mOnClosed = nullptr;
-  // It may hold the last reference to this.
+  // The connection may hold the last reference to this.
   connection->FinishExchange();
 }
 
@@ -263,7 +263,7 @@
   auto* self = static_cast<HttpServer*>(aSelf);
   HttpConnection& connection = self->ConnectionOf(aRequest);
   if (connection.Closing()) {
-    // Its answer could not be told. The write fails and closes.
+    // The answer cannot be sent: the write fails and closes the connection.
     evhttp_send_error(aRequest, HTTP_SERVUNAVAIL, nullptr);
     return;
   }
--- a/drivers/stream_client.cpp
+++ b/drivers/stream_client.cpp
@@ -13,9 +13,10 @@
 
 namespace {
 
-constexpr int kUserTimeout = 4000;
+constexpr int kUserTimeoutMillis = 4000;
 
-/// What callbacks reach a call by; null once it ended or was destroyed.
+/// A call on a bufferevent. *mAlive turns false when the call is abandoned, so
+/// that its running callbacks stop.
 class BufferCall : public StreamCall {
  public:
   BufferCall(EventLoop& aLoop, StreamCallOptions aOptions)
@@ -39,7 +40,7 @@
         htons(static_cast<std::uint16_t>(mOptions.mServer.mPort));
     if (inet_pton(AF_INET, mOptions.mServer.mHost.c_str(), &address.sin_addr) !=
         1) {
-      EndLater(StreamEnd::kNotSent);
+      FinishLater(StreamEnd::kNotSent);
       return;
     }
     mBuffer = bufferevent_socket_new(
@@ -49,19 +50,19 @@
                       &BufferCall::HandleEvent, this);
     const bool bounded =
         mOptions.mMemory != nullptr && mOptions.mMemory->Budget().Bounded();
-    if (!BoundWindow(address)) {
-      EndLater(StreamEnd::kNotSent);
+    if (!LimitSocketBuffers(address)) {
+      FinishLater(StreamEnd::kNotSent);
       return;
     }
     if (bounded) {
       SetHeld(BufferKind::kUnsent, mOptions.mBody.size());
-      evbuffer_add_cb(bufferevent_get_output(mBuffer), &BufferCall::HandleTaken,
+      evbuffer_add_cb(bufferevent_get_output(mBuffer), &BufferCall::HandleSent,
                       this);
     }
     if (bufferevent_socket_connect(mBuffer,
                                    reinterpret_cast<sockaddr*>(&address),
                                    sizeof(address)) != 0) {
-      EndLater(StreamEnd::kNotSent);
+      FinishLater(StreamEnd::kNotSent);
       return;
     }
     mConnectTimer = mLoop.After(mOptions.mConnectTimeout,
@@ -78,7 +79,7 @@
       return;
     }
     mPaused = aPaused;
-    AccountArrived();
+    UpdateArrivedBytes();
     if (aPaused) {
       bufferevent_disable(mBuffer, EV_READ);
     } else {
@@ -90,23 +91,23 @@
 
   void Abandon() override {
     *mAlive = false;
-    Drop();
+    CloseConnection();
   }
 
  private:
-  static void HandleTaken(evbuffer* aBuffer, const evbuffer_cb_info*,
-                          void* aSelf) {
+  static void HandleSent(evbuffer* aBuffer, const evbuffer_cb_info*,
+                         void* aSelf) {
     static_cast<BufferCall*>(aSelf)->SetHeld(BufferKind::kUnsent,
                                              evbuffer_get_length(aBuffer));
   }
 
-  /// Gives the connection a socket with a bounded window.
-  bool BoundWindow(const sockaddr_in& aAddress) {
-    const std::size_t window =
+  /// Gives the connection a socket with limited kernel buffers.
+  bool LimitSocketBuffers(const sockaddr_in& aAddress) {
+    const std::size_t socketBuffer =
         mOptions.mMemory == nullptr
             ? 0
             : mOptions.mMemory->Budget().Options().mSocketBuffer;
-    if (window == 0) {
+    if (socketBuffer == 0) {
       return true;
     }
     const int fd = socket(aAddress.sin_family,
@@ -114,7 +115,7 @@
     if (fd < 0) {
       return false;
     }
-    SetSocketBuffers(fd, window);
+    SetSocketBuffers(fd, socketBuffer);
     return bufferevent_setfd(mBuffer, fd) == 0;
   }
 
@@ -130,15 +131,15 @@
     }
   }
 
-  void AccountArrived() {
+  void UpdateArrivedBytes() {
     if (mOptions.mMemory == nullptr || !mOptions.mMemory->Budget().Bounded()) {
       return;
     }
-    // Beside what was read, the window fills while nothing is.
-    const std::size_t window =
+    // While reading is paused, the kernel's buffer fills as well.
+    const std::size_t socketBuffer =
         mPaused ? mOptions.mMemory->Budget().Options().mSocketBuffer : 0;
     SetHeld(BufferKind::kArrived,
-            evbuffer_get_length(bufferevent_get_input(mBuffer)) + window);
+            evbuffer_get_length(bufferevent_get_input(mBuffer)) + socketBuffer);
   }
 
   static void HandleEvent(bufferevent*, short aWhat, void* aSelf) {
@@ -148,7 +149,7 @@
       return;
     }
     const std::shared_ptr<bool> alive = self->mAlive;
-    // What came before the end still counts.
+    // Bytes that arrived before the end are still processed.
     self->ReadAll();
     if (!*alive || self->mBuffer == nullptr) {
       return;
@@ -160,8 +161,8 @@
     if ((aWhat & BEV_EVENT_EOF) != 0) {
       self->mReader.ReadEnd();
     }
-    const bool whole = self->mReader.State() == ReadState::kComplete;
-    self->Finish(whole ? StreamEnd::kComplete : StreamEnd::kLost);
+    const bool complete = self->mReader.State() == ReadState::kComplete;
+    self->Finish(complete ? StreamEnd::kComplete : StreamEnd::kLost);
   }
 
   static void HandleRead(bufferevent*, void* aSelf) {
@@ -170,7 +171,7 @@
 
   void SendRequest() {
     mConnectTimer.reset();
-    SetSocketOptions(bufferevent_getfd(mBuffer), kUserTimeout);
+    SetSocketOptions(bufferevent_getfd(mBuffer), kUserTimeoutMillis);
     if (mOptions.mMaySend && !mOptions.mMaySend()) {
       Finish(StreamEnd::kNotSent);
       return;
@@ -204,17 +205,17 @@
                                   buf, static_cast<ev_ssize_t>(n))),
                               n);
       evbuffer_drain(buf, n);
-      Take(bytes, alive);
+      Parse(bytes, alive);
     }
   }
 
-  void Take(std::string_view aBytes, const std::shared_ptr<bool>& aAlive) {
+  void Parse(std::string_view aBytes, const std::shared_ptr<bool>& aAlive) {
     mReader.Read(aBytes);
     const ReadState state = mReader.State();
     const bool hasHead =
         state == ReadState::kBody || state == ReadState::kComplete;
-    if (hasHead && !mHeadTold) {
-      mHeadTold = true;
+    if (hasHead && !mHeadReported) {
+      mHeadReported = true;
       if (mOptions.mOnHead) {
         const std::function<void(const AnswerHead&)> call = mOptions.mOnHead;
         call(mReader.Answer());
@@ -224,7 +225,7 @@
       return;
     }
     const std::string body = mReader.TakeBody();
-    if (mHeadTold && !body.empty() && mOptions.mOnData) {
+    if (mHeadReported && !body.empty() && mOptions.mOnData) {
       const std::function<void(std::string_view)> call = mOptions.mOnData;
       call(body);
     }
@@ -238,11 +239,11 @@
     }
   }
 
-  void EndLater(StreamEnd aEnd) {
+  void FinishLater(StreamEnd aEnd) {
     mTimer = mLoop.After(0, [this, aEnd] { Finish(aEnd); });
   }
 
-  void Drop() {
+  void CloseConnection() {
     mTimer.reset();
     mConnectTimer.reset();
     if (mBuffer != nullptr) {
@@ -255,7 +256,7 @@
   }
 
   void Finish(StreamEnd aEnd) {
-    Drop();
+    CloseConnection();
     // The receiver may destroy this call.
     const std::function<void(StreamEnd)> call = std::move(mOptions.mOnEnd);
     mOptions.mOnEnd = nullptr;
@@ -272,7 +273,7 @@
   std::unique_ptr<Timer> mConnectTimer;
   std::unique_ptr<Timer> mTimer;
   bool mSent = false;
-  bool mHeadTold = false;
+  bool mHeadReported = false;
   bool mPaused = false;
 };
 
--- a/drivers/stream_connection.cpp
+++ b/drivers/stream_connection.cpp
@@ -16,16 +16,16 @@
 
 namespace {
 
-constexpr int kUserTimeout = 10000;
+constexpr int kUserTimeoutMillis = 10000;
 constexpr std::size_t kReadAheadBytes = 64 * 1024;
-/// A caller that was refused gets this long to read the answer.
-constexpr Millis kLingerAfterRefusal = 1000;
-/// From a connection to its first request: some round trips, and one lost
-/// packet.
-constexpr Millis kFirstRequest = 500;
-
-/// The length that a head gives; 0: none, or chunks.
-std::size_t LengthOf(const HttpHeaders& aHeaders) {
+/// Time for a caller to read the answer before the connection is closed.
+constexpr Millis kLingerTimeout = 1000;
+/// From accepting a connection to its first request: some round trips and one
+/// lost packet.
+constexpr Millis kFirstRequestTimeout = 500;
+
+/// The Content-Length of a head; 0 if it has none.
+std::size_t ContentLengthOf(const HttpHeaders& aHeaders) {
   const std::string* text = FindHeader(aHeaders, "Content-Length");
   std::size_t length = 0;
   if (text != nullptr) {
@@ -41,7 +41,7 @@
       mBuffer(bufferevent_socket_new(
           aServer.mLoop.Base(), aFd,
           BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS)) {
-  SetSocketOptions(aFd, kUserTimeout);
+  SetSocketOptions(aFd, kUserTimeoutMillis);
   bufferevent_setcb(mBuffer, &StreamConnection::HandleRead,
                     &StreamConnection::HandleWrite,
                     &StreamConnection::HandleEvent, this);
@@ -52,27 +52,27 @@
 }
 
 void StreamConnection::OpenMemoryHold() {
-  const std::shared_ptr<MemoryBudget>& account = mServer.mOptions.mMemory;
-  if (account == nullptr) {
+  const std::shared_ptr<MemoryBudget>& budget = mServer.mOptions.mMemory;
+  if (budget == nullptr) {
     return;
   }
-  mMemory = std::make_shared<MemoryHold>(account);
+  mMemory = std::make_shared<MemoryHold>(budget);
   mServer.mConnectionsByNumber[mMemory->Number()] = this;
-  // Only with these callbacks is what a caller takes bit by bit seen.
+  // These callbacks also report partial writes to the caller.
   evbuffer_add_cb(bufferevent_get_output(mBuffer),
-                  &StreamConnection::HandleTaken, this);
-  if (!account->Bounded()) {
+                  &StreamConnection::HandleSent, this);
+  if (!budget->Bounded()) {
     return;
   }
   bufferevent_setwatermark(
       mBuffer, EV_READ, 0,
-      std::min(kReadAheadBytes, account->Options().mMinPerRequest));
+      std::min(kReadAheadBytes, budget->Options().mMinPerRequest));
   evbuffer_add_cb(bufferevent_get_input(mBuffer),
                   &StreamConnection::HandleArrived, this);
 }
 
-void StreamConnection::HandleTaken(evbuffer* aBuffer,
-                                   const evbuffer_cb_info* aInfo, void* aSelf) {
+void StreamConnection::HandleSent(evbuffer* aBuffer,
+                                  const evbuffer_cb_info* aInfo, void* aSelf) {
   auto* self = static_cast<StreamConnection*>(aSelf);
   self->mMemory->SetHeld(BufferKind::kUnread, evbuffer_get_length(aBuffer));
   if (aInfo->n_deleted > 0) {
@@ -168,18 +168,18 @@
   return true;
 }
 
-bool StreamConnection::HasRoomForBody() {
+bool StreamConnection::ReserveBody() {
   if (mMemory == nullptr || mBodyChecked) {
     return true;
   }
   mBodyChecked = true;
-  // It is held once for attempts and once on its way to an upstream.
-  constexpr std::size_t kTimes = 2;
-  // What is larger than allowed is refused for that.
+  // The body is stored once for retries and once while sent to an upstream.
+  constexpr std::size_t kCopies = 2;
+  // Larger bodies are refused as kBodyTooLarge.
   const std::size_t length =
-      std::min(LengthOf(mReader->Request().mHeaders),
+      std::min(ContentLengthOf(mReader->Request().mHeaders),
                mServer.mOptions.mLimits.mMaximumBodyBytes);
-  return mMemory->Budget().Reserve(mMemory->Number(), kTimes * length);
+  return mMemory->Budget().Reserve(mMemory->Number(), kCopies * length);
 }
 
 StreamConnection::~StreamConnection() {
@@ -194,7 +194,7 @@
 void StreamConnection::HandleWrite(bufferevent*, void* aSelf) {
   auto* self = static_cast<StreamConnection*>(aSelf);
   if (self->PendingBytes() > 0) {
-    // A callback from before the newest write.
+    // The callback belongs to an earlier write.
     return;
   }
   if (self->mMemory != nullptr && self->mExchange == nullptr &&
@@ -218,16 +218,17 @@
 }
 
 bool StreamConnection::Idle() const {
-  const bool waits = mExchange == nullptr && !mRequestBegun && !mCloseAfter;
-  // Who has just connected is about to ask.
-  const bool fresh = !mRequestSeen && SteadyNow() - mAcceptedAt < kFirstRequest;
-  return waits && !fresh && PendingBytes() == 0 && !HasArrived();
+  const bool waiting = mExchange == nullptr && !mRequestBegun && !mCloseAfter;
+  // A newly accepted caller is about to send its first request.
+  const bool newlyAccepted =
+      !mRequestSeen && SteadyNow() - mAcceptedAt < kFirstRequestTimeout;
+  return waiting && !newlyAccepted && PendingBytes() == 0 && !HasArrived();
 }
 
 bool StreamConnection::HasArrived() const {
-  // What the loop has not read yet stands in the socket, what was read and not
-  // parsed in the buffer. Closed with either, the connection would be reset,
-  // and with it what its caller has not read of the answer before.
+  // Bytes may be unread in the socket or unparsed in the buffer. Closing with
+  // either would reset the connection, and the caller would lose the unread
+  // part of the previous answer.
   int n = 0;
   const bool inSocket =
       ioctl(bufferevent_getfd(mBuffer), FIONREAD, &n) == 0 && n > 0;
@@ -249,8 +250,8 @@
 
 void StreamConnection::Close() {
   const std::shared_ptr<StreamConnection> keep = shared_from_this();
-  // It is on the loop for another turn, in which it must take no request, and
-  // after which its server may be gone.
+  // The connection exists for another iteration of the loop, in which it must
+  // not accept a request; the server may be destroyed afterwards.
   mCloseAfter = true;
   bufferevent_setcb(mBuffer, nullptr, nullptr, nullptr, nullptr);
   bufferevent_disable(mBuffer, EV_READ | EV_WRITE);
@@ -289,9 +290,9 @@
   evbuffer* buf = bufferevent_get_input(mBuffer);
   while (mExchange == nullptr && !mCloseAfter && evbuffer_get_length(buf) > 0) {
     const std::size_t n = evbuffer_get_contiguous_space(buf);
-    Take({reinterpret_cast<const char*>(
-              evbuffer_pullup(buf, static_cast<ev_ssize_t>(n))),
-          n});
+    Parse({reinterpret_cast<const char*>(
+               evbuffer_pullup(buf, static_cast<ev_ssize_t>(n))),
+           n});
   }
   if (mCloseAfter) {
     evbuffer_drain(buf, evbuffer_get_length(buf));
@@ -301,7 +302,7 @@
   PauseIfFull();
 }
 
-void StreamConnection::Take(std::string_view aBytes) {
+void StreamConnection::Parse(std::string_view aBytes) {
   if (mReader == nullptr) {
     mReader = std::make_unique<HttpMessageReader>(MessageSide::kRequests);
     mBody.clear();
@@ -323,7 +324,7 @@
     }
     return;
   }
-  if (!HasRoomForBody()) {
+  if (!ReserveBody()) {
     Refuse(ResultCode::kMemoryFull);
     return;
   }
@@ -337,17 +338,17 @@
   }
 }
 
-bool StreamConnection::HasRoomForAnswer() {
+bool StreamConnection::AdmitCall() {
   if (mMemory == nullptr) {
     return true;
   }
-  MemoryBudget& account = mMemory->Budget();
-  if (!account.HasDescriptorForCall() ||
-      !account.CanAdmit(mMemory->Number(), 0)) {
+  MemoryBudget& budget = mMemory->Budget();
+  if (!budget.HasDescriptorForCall() ||
+      !budget.CanAdmit(mMemory->Number(), 0)) {
     return false;
   }
   mMemory->SetEvictionClass(EvictionClass::kNotSent);
-  if (account.NeedsTicks()) {
+  if (budget.NeedsTicks()) {
     mServer.WatchMemory();
   }
   return true;
@@ -365,15 +366,15 @@
   if (mMemory != nullptr) {
     mMemory->SetHeld(BufferKind::kBody, exchange->Body().size());
   }
-  const bool plain =
+  const bool valid =
       exchange->Head().mTarget.starts_with('/') &&
       CountHeader(exchange->Head().mHeaders, "Host") == 1 &&
       CountHeader(exchange->Head().mHeaders, "Authorization") <= 1;
-  if (!plain) {
+  if (!valid) {
     mServer.mOptions.mRefuse(*exchange, ResultCode::kMalformedHttp);
     return;
   }
-  if (!HasRoomForAnswer()) {
+  if (!AdmitCall()) {
     exchange->CloseAfter();
     mServer.mOptions.mRefuse(*exchange, ResultCode::kMemoryFull);
     return;
@@ -411,7 +412,7 @@
   }
   ArmTimer();
   if (!mReading) {
-    // Not from here: the caller of this may still use the exchange.
+    // Posted, since the caller of this function may still use the exchange.
     const std::weak_ptr<StreamConnection> self = weak_from_this();
     if (evbuffer_get_length(bufferevent_get_input(mBuffer)) > 0) {
       mServer.mLoop.Post([self] {
@@ -424,14 +425,14 @@
 }
 
 void StreamConnection::Linger() {
-  // The end of what is written is told; what still comes is read and dropped
-  // for a while, since closing at once would reset the answer.
+  // Shuts down sending, then reads and drops input for a while, since closing
+  // at once would reset the answer.
   shutdown(bufferevent_getfd(mBuffer), SHUT_WR);
-  mTimer = mServer.mLoop.After(kLingerAfterRefusal, [this] { Close(); });
+  mTimer = mServer.mLoop.After(kLingerTimeout, [this] { Close(); });
 }
 
 void StreamConnection::WaitForReader() {
-  // A slow caller gets its whole answer as long as it takes any of it.
+  // A slow caller gets its complete answer as long as it goes on reading.
   mTimer = mServer.mLoop.After(mServer.mOptions.mLimits.mIdleTimeout,
                                [this, before = PendingBytes()] {
                                  if (PendingBytes() == 0) {
@@ -453,7 +454,7 @@
   mMemory->SetHeld(BufferKind::kBody, 0);
   mMemory->SetHeld(BufferKind::kPartial, 0);
   UpdateReadingBytes();
-  // What is not read yet keeps the claim of its call.
+  // Unsent bytes keep the eviction class of their call.
   if (PendingBytes() == 0) {
     mMemory->SetEvictionClass(EvictionClass::kIdle);
   }
@@ -470,7 +471,7 @@
   const bool inBody =
       mReader != nullptr && mReader->State() == ReadState::kBody;
   if (inBody) {
-    // A body may take as long as a connection may rest.
+    // A body may take the idle timeout in addition.
     mTimer = mServer.mLoop.After(mServer.mOptions.mLimits.mIdleTimeout,
                                  [this] { Refuse(ResultCode::kReadTimeout); });
     return;
--- a/drivers/stream_connection.h
+++ b/drivers/stream_connection.h
@@ -12,7 +12,7 @@
 
 namespace spindleweir {
 
-/// Reads one request at a time; the next waits until the answer has ended.
+/// Reads one request at a time; the next one waits until the answer has ended.
 class StreamConnection : public std::enable_shared_from_this<StreamConnection> {
  public:
   StreamConnection(StreamServer& aServer, int aFd);
@@ -21,52 +21,53 @@
   StreamConnection& operator=(const StreamConnection&) = delete;
 
   void Send(std::string_view aBytes);
-  /// The answer has ended; reads the next request, or closes.
+  /// Called when the answer has ended; reads the next request, or closes.
   void FinishExchange(bool aKeep);
-  /// Closes with a reset, so that nothing looks complete.
+  /// Closes with a reset, so that the answer doesn't look complete.
   void Reset();
-  /// Whether it waits for a request and nothing is under way on it.
+  /// Whether it waits for a request and nothing is in progress.
   bool Idle() const;
   void Close();
-  /// Ends an idle connection: a request that crosses the end is not taken, and
-  /// what its caller still reads is not reset.
+  /// Closes an idle connection. A request that arrives afterwards is not
+  /// processed, and bytes that the caller is still reading are not reset.
   void CloseGracefully();
   std::size_t PendingBytes() const;
   bool ServerClosing() const { return mServer.mClosing; }
   const std::shared_ptr<MemoryHold>& Memory() const { return mMemory; }
   bool MayWriteMore();
-  /// The account of memory has room for it again.
+  /// Resumes reading or writing when the memory budget has capacity again.
   void ContinueReading();
-  /// The account of memory ends it: with a refusal where nothing ran.
+  /// Closes the connection to free memory; refuses a request that is still
+  /// being read.
   void Evict();
 
  private:
   static void HandleRead(bufferevent*, void* aSelf);
   static void HandleWrite(bufferevent*, void* aSelf);
   static void HandleEvent(bufferevent*, short aWhat, void* aSelf);
-  static void HandleTaken(evbuffer* aBuffer, const evbuffer_cb_info* aInfo,
-                          void* aSelf);
+  static void HandleSent(evbuffer* aBuffer, const evbuffer_cb_info* aInfo,
+                         void* aSelf);
   static void HandleArrived(evbuffer* aBuffer, const evbuffer_cb_info* aInfo,
                             void* aSelf);
-  /// Whether bytes of a request have come that were not parsed.
+  /// Whether bytes have arrived that are not parsed yet.
   bool HasArrived() const;
   void OpenMemoryHold();
-  /// What is held of the request that is being read.
+  /// Updates the memory held for the request that is being read.
   void UpdateReadingBytes();
   bool BeginRequest();
-  bool HasRoomForBody();
-  bool HasRoomForAnswer();
+  bool ReserveBody();
+  bool AdmitCall();
   void PauseIfFull();
-  /// The answer has ended.
+  /// Releases the memory of an answer that has ended.
   void ReleaseExchangeMemory();
   void ReadInput();
-  void Take(std::string_view aBytes);
+  void Parse(std::string_view aBytes);
   void Dispatch();
   void Refuse(ResultCode aCode);
   void ArmTimer();
   void Linger();
-  /// Closes once the caller takes nothing of an answer that has ended for as
-  /// long as a connection may rest.
+  /// Resets the connection if the caller reads nothing of an ended answer for
+  /// the idle timeout.
   void WaitForReader();
   void Expire();
   void DetachExchange();
@@ -78,12 +79,12 @@
   std::shared_ptr<StreamExchange> mExchange;
   std::unique_ptr<Timer> mTimer;
   Millis mAcceptedAt = SteadyNow();
-  bool mRequestSeen = false;   ///< A request has come, or begun to.
-  bool mRequestBegun = false;  ///< A byte of the request being read has come.
-  bool mCloseAfter = false;    ///< Close once all is written.
+  bool mRequestSeen = false;   ///< At least part of a request has come.
+  bool mRequestBegun = false;  ///< A request is being read.
+  bool mCloseAfter = false;    ///< Close after all is written.
   bool mReading = false;
   bool mBodyChecked = false;
-  bool mPaused = false;  ///< Its caller is pushed back for lack of memory.
+  bool mPaused = false;  ///< Not reading, for lack of memory.
   std::shared_ptr<MemoryHold> mMemory;
 };
 
--- a/drivers/stream_server.cpp
+++ b/drivers/stream_server.cpp
@@ -81,7 +81,7 @@
   for (const HttpHeader& header : aHeaders) {
     head += header.mName + ": " + header.mValue + "\r\n";
   }
-  // Callers of HTTP/1.0 know no chunks: they get the end of the connection.
+  // HTTP/1.0 has no chunks: the answer ends with the connection.
   mChunked = !aLength.has_value() && mHead.mMinor > 0;
   if (aLength.has_value()) {
     head += "Content-Length: " + std::to_string(*aLength) + "\r\n";
@@ -160,22 +160,22 @@
   sockaddr_in address{};
   address.sin_family = AF_INET;
   address.sin_port = htons(static_cast<std::uint16_t>(mOptions.mListen.mPort));
-  const bool known = inet_pton(AF_INET, mOptions.mListen.mHost.c_str(),
-                               &address.sin_addr) == 1;
-  mListener = known ? evconnlistener_new_bind(
-                          aLoop.Base(), &StreamServer::HandleAccept, this,
-                          LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE |
-                              LEV_OPT_CLOSE_ON_EXEC,
-                          kBacklog, reinterpret_cast<sockaddr*>(&address),
-                          sizeof(address))
-                    : nullptr;
+  const bool parsed = inet_pton(AF_INET, mOptions.mListen.mHost.c_str(),
+                                &address.sin_addr) == 1;
+  mListener = parsed ? evconnlistener_new_bind(
+                           aLoop.Base(), &StreamServer::HandleAccept, this,
+                           LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE |
+                               LEV_OPT_CLOSE_ON_EXEC,
+                           kBacklog, reinterpret_cast<sockaddr*>(&address),
+                           sizeof(address))
+                     : nullptr;
   if (mListener == nullptr) {
     throw Error(ResultCode::kCannotListen,
                 "cannot listen on " + mOptions.mListen.Text());
   }
   if (mOptions.mMemory != nullptr &&
       mOptions.mMemory->Options().mSocketBuffer > 0) {
-    // Accepted connections have it from their start.
+    // Accepted connections inherit the buffer size.
     SetSocketBuffers(evconnlistener_get_fd(mListener),
                      mOptions.mMemory->Options().mSocketBuffer);
   }
@@ -223,29 +223,29 @@
 }
 
 void StreamServer::CheckMemory() {
-  MemoryBudget& account = *mOptions.mMemory;
-  const MemoryActions orders = account.Tick(SteadyNow());
+  MemoryBudget& budget = *mOptions.mMemory;
+  const MemoryActions actions = budget.Tick(SteadyNow());
   std::size_t callers = 0;
   std::size_t bytes = 0;
-  for (std::uint64_t holder : orders.mEvict) {
-    StreamConnection* connection = ConnectionOf(holder);
+  for (std::uint64_t number : actions.mEvict) {
+    StreamConnection* connection = ConnectionOf(number);
     if (connection != nullptr) {
       callers++;
-      bytes += account.BytesHeldFor(holder);
+      bytes += budget.BytesHeldFor(number);
       connection->Evict();
     }
   }
   if (callers > 0 && mOptions.mOnEvict) {
     mOptions.mOnEvict(callers, bytes);
   }
-  for (std::uint64_t holder : orders.mResume) {
-    StreamConnection* connection = ConnectionOf(holder);
+  for (std::uint64_t number : actions.mResume) {
+    StreamConnection* connection = ConnectionOf(number);
     if (connection != nullptr) {
       connection->ContinueReading();
     }
   }
-  if (!account.NeedsTicks()) {
-    // Not from within its own call.
+  if (!budget.NeedsTicks()) {
+    // A timer must not be destroyed within its own callback.
     mLoop.Post([timer = std::shared_ptr<Timer>(std::move(mMemoryTimer))] {});
   }
 }
@@ -254,7 +254,7 @@
   if (mListener == nullptr) {
     return;
   }
-  // Who waits to be accepted has connected already, and would be reset.
+  // Connections in the backlog would be reset.
   const int listener = evconnlistener_get_fd(mListener);
   int fd = accept4(listener, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
   while (fd >= 0) {
@@ -285,8 +285,8 @@
   if (aConnection->Memory() != nullptr) {
     mConnectionsByNumber.erase(aConnection->Memory()->Number());
   }
-  // It may be on the stack: it goes in the next turn of the loop.
-  mLoop.Post([gone = std::move(it->second)] {});
+  // The connection may be on the stack; it is destroyed in the next iteration.
+  mLoop.Post([removed = std::move(it->second)] {});
   mConnections.erase(it);
 }
 
--- a/include/spindleweir/drivers/http_client.h
+++ b/include/spindleweir/drivers/http_client.h
@@ -1,5 +1,5 @@
-/// HTTP client over evhttp: pooled connections, streamed answers, and exact
-/// knowledge of whether a byte reached the server.
+/// HTTP client based on evhttp, with pooled connections and streamed answers.
+/// Reports exactly whether any byte of a request was sent.
 #pragma once
 
 #include <cstdint>
@@ -18,16 +18,16 @@
 
 /// How a call ended.
 struct HttpResult {
-  bool mComplete = false;  ///< A whole answer came.
-  bool mSent = false;      ///< A byte of the request left this process.
-  int mStatus = 0;         ///< HTTP status; 0 where none came.
-  std::string mBody;       ///< The body; empty where it was streamed.
+  bool mComplete = false;  ///< A complete answer came.
+  bool mSent = false;      ///< Some byte of the request was sent.
+  int mStatus = 0;         ///< HTTP status; 0 if there is no answer.
+  std::string mBody;       ///< The body; empty if it was streamed.
   std::vector<HttpHeader> mHeaders;
-  std::int64_t mSentBytes = 0;      ///< That left this process, with the head.
-  std::int64_t mReceivedBytes = 0;  ///< That came, with the head.
+  std::int64_t mSentBytes = 0;      ///< Including the head.
+  std::int64_t mReceivedBytes = 0;  ///< Including the head.
 };
 
-/// One call.
+/// Parameters of one call.
 struct HttpCallOptions {
   Endpoint mServer;
   std::string mMethod = "GET";
@@ -35,23 +35,23 @@
   std::string mBody;
   std::vector<HttpHeader> mHeaders;
   Millis mTimeout = 2000;       ///< From start to end; 0: none.
-  bool mNewConnection = false;  ///< Uses a new connection, never a pooled one.
+  bool mNewConnection = false;  ///< Doesn't use a pooled connection.
   std::size_t mMaximumAnswerBytes = 8 * 1024 * 1024;
-  /// Where set, takes the body of a 200 answer as it comes.
+  /// If set, receives the body of a 200 answer as it arrives.
   std::function<void(std::string_view)> mOnData;
   /// Called exactly once, unless the call is cancelled.
   std::function<void(const HttpResult&)> mOnDone;
 };
 
-/// A call under way; destroying it cancels it.
+/// A running call; destroying it cancels it.
 class HttpCall {
  public:
   virtual ~HttpCall() = default;
-  /// Stops reading from the server, so that it is pushed back, or resumes.
+  /// Stops reading, so that back-pressure slows the server, or resumes.
   virtual void Pause(bool aPaused) = 0;
 };
 
-/// Starts calls and keeps idle connections.
+/// Starts calls and pools idle connections.
 class HttpClient {
  public:
   explicit HttpClient(EventLoop& aLoop);
@@ -61,7 +61,7 @@
 
   /// Starts a call that ends when the returned object is destroyed.
   std::unique_ptr<HttpCall> Start(HttpCallOptions aOptions);
-  /// Starts a call that nobody cancels.
+  /// Starts a call that runs to its end and cannot be cancelled.
   void StartDetached(HttpCallOptions aOptions);
 
  private:
--- a/include/spindleweir/drivers/http_message.h
+++ b/include/spindleweir/drivers/http_message.h
@@ -1,7 +1,7 @@
-/// Heads of HTTP/1.1 messages, and reading them from bytes with http_parser.
-/// evhttp accepts heads that differ in length and cannot tell an answer that
-/// was reset from one that ended, so that requests which are passed on use
-/// this reader instead (docs/design/platform.md).
+/// Heads of HTTP/1.1 messages, and a message parser based on http_parser.
+/// evhttp accepts conflicting lengths in heads and cannot distinguish a reset
+/// answer from a completed one, so forwarded requests use this parser instead
+/// (docs/design/platform.md).
 #pragma once
 
 #include <cstddef>
@@ -15,26 +15,26 @@
 
 namespace spindleweir {
 
-/// Headers in the order in which they came.
+/// Headers in the order received.
 using HttpHeaders = std::vector<HttpHeader>;
 
-/// Whether two header names are the same, in any case.
+/// Compares two header names, ignoring case.
 bool SameHeaderName(std::string_view aLeft, std::string_view aRight);
 /// The first header of that name, or nullptr.
 const std::string* FindHeader(const HttpHeaders& aHeaders,
                               std::string_view aName);
-/// How often a header stands there.
+/// The number of headers of that name.
 std::size_t CountHeader(const HttpHeaders& aHeaders, std::string_view aName);
-/// Whether a status says that all went well: 2xx.
+/// Whether a status is 2xx.
 bool IsSuccess(int aStatus);
-/// Whether a header concerns one connection only and is not passed on:
-/// Connection, what it names, and the framing.
+/// Whether a header is hop-by-hop and not forwarded: Connection, the headers
+/// that it lists, and the framing.
 bool IsConnectionHeader(const HttpHeaders& aHeaders, std::string_view aName);
 
 /// The head of a request.
 struct RequestHead {
   std::string mMethod;
-  std::string mTarget;  ///< Path and query as they came.
+  std::string mTarget;  ///< Path and query as received.
   HttpHeaders mHeaders;
   bool mKeepAlive = true;
   int mMinor = 1;  ///< HTTP/1.mMinor.
@@ -44,13 +44,13 @@
 struct AnswerHead {
   int mStatus = 0;
   HttpHeaders mHeaders;
-  bool mUntilClose = false;  ///< No length: the end of the connection ends it.
+  bool mUntilClose = false;  ///< No length: ends with the connection.
 };
 
-/// Which side of the protocol is read.
+/// Which kind of messages is read.
 enum class MessageSide { kRequests, kAnswers };
 
-/// How far reading came.
+/// Progress of reading a message.
 enum class ReadState {
   kHead,      ///< The head is not complete.
   kBody,      ///< The head is complete.
@@ -58,7 +58,7 @@
   kBad,       ///< The bytes are not HTTP.
 };
 
-/// Reads one message from bytes.
+/// Parses one message.
 class HttpMessageReader {
  public:
   explicit HttpMessageReader(MessageSide aSide);
@@ -66,9 +66,9 @@
   HttpMessageReader(const HttpMessageReader&) = delete;
   HttpMessageReader& operator=(const HttpMessageReader&) = delete;
 
-  /// Reads on; returns how many bytes belong to this message.
+  /// Parses more bytes; returns how many of them belong to this message.
   std::size_t Read(std::string_view aBytes);
-  /// The connection ended in order; completes an answer without a length.
+  /// The connection ended regularly; completes an answer without a length.
   void ReadEnd();
 
   ReadState State() const;
@@ -78,7 +78,7 @@
   AnswerHead& Answer();
   /// Body bytes read since the last call.
   std::string TakeBody();
-  /// For a reader of answers: the request was HEAD, so that no body follows.
+  /// For a reader of answers: the request was HEAD, so no body follows.
   void ExpectNoBody();
 
  private:
--- a/include/spindleweir/drivers/http_server.h
+++ b/include/spindleweir/drivers/http_server.h
@@ -1,4 +1,4 @@
-/// HTTP server over evhttp: requests in, whole or streamed answers out.
+/// HTTP server based on evhttp, with complete or streamed answers.
 #pragma once
 
 #include <functional>
@@ -25,8 +25,8 @@
   std::string mValue;
 };
 
-/// One request and the answer to it. Held by shared_ptr: it may outlive its
-/// connection, and then does nothing.
+/// One request and its answer. Held by shared_ptr: it may outlive its
+/// connection; its methods then have no effect.
 class HttpExchange {
  public:
   HttpExchange(HttpConnection& aConnection, evhttp_request* aRequest);
@@ -37,25 +37,25 @@
   const std::string& Method() const { return mMethod; }
   const std::string& Path() const { return mPath; }
   const std::string& Body() const { return mBody; }
-  /// The first header of that name, in any case; empty where there is none.
+  /// The first header of that name, ignoring case; empty if there is none.
   std::string_view Header(const char* aName) const;
   /// The token of "Authorization: Bearer TOKEN", or empty.
   std::string_view BearerKey() const;
 
-  /// Adds a header to the answer; before Reply or StartStream.
+  /// Adds a header to the answer. To be called before Reply or StartStream.
   void AddHeader(const char* aName, const std::string& aValue);
-  /// Sends a whole answer.
+  /// Sends a complete answer.
   void Reply(int aStatus, std::string_view aType, std::string_view aBody);
   /// Begins a chunked answer.
   void StartStream(int aStatus, std::string_view aType);
   void Write(std::string_view aBytes);
   void EndStream();
-  /// Bytes written but not yet taken by the caller's connection.
+  /// Bytes written that are not yet sent on the caller's connection.
   std::size_t PendingBytes() const;
 
   /// Whether the caller's connection is gone, or the answer is complete.
   bool Closed() const { return mRequest == nullptr; }
-  /// Called once when the caller's connection closes before the end.
+  /// Calls aCall once if the connection closes before the answer is complete.
   void OnClosed(std::function<void()> aCall) { mOnClosed = std::move(aCall); }
 
  private:
@@ -65,7 +65,7 @@
   void WatchClose();
   void Detach();
 
-  HttpConnection* mConnection;  ///< nullptr: it or the exchange has ended.
+  HttpConnection* mConnection;  ///< nullptr: connection or exchange ended.
   evhttp_request* mRequest;
   std::string mMethod;
   std::string mPath;
@@ -73,12 +73,12 @@
   std::function<void()> mOnClosed;
 };
 
-/// How a server listens.
+/// Options of a server.
 struct HttpServerOptions {
   Endpoint mListen;  ///< Port 0: chosen by the system.
   std::size_t mMaximumHeaderBytes = 16 * 1024;
   std::size_t mMaximumBodyBytes = 1024 * 1024;
-  int mIdleSeconds = 60;  ///< A connection silent for longer is closed.
+  int mIdleSeconds = 60;  ///< Connections idle for longer are closed.
   std::function<void(const std::shared_ptr<HttpExchange>&)> mHandle;
 };
 
@@ -91,18 +91,18 @@
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  /// The address with the port in force.
+  /// The address with the actual port.
   const Endpoint& Address() const { return mAddress; }
   /// From now on every answer closes its connection.
   void SetClosing() { mClosing = true; }
-  /// Closes in order the connections that wait for another request, and those
-  /// for good whose callers did not close their side within a second. To be
-  /// called again until there are none.
+  /// Gracefully closes idle connections, and frees those whose callers didn't
+  /// close their side within a second. To be called again until Connections()
+  /// is 0.
   void CloseIdle();
-  /// Takes no new connection. False: somebody has connected who is not accepted
-  /// yet, and would be reset; to be called again.
+  /// Stops accepting connections. Returns false if one is still to be accepted,
+  /// which would be reset; to be called again then.
   bool StopListening();
-  /// Those on which a request has come.
+  /// Number of connections that have received a request.
   std::size_t Connections() const { return mConnections.size(); }
 
  private:
@@ -112,7 +112,7 @@
   void Remove(evhttp_connection* aHandle);
 
   evhttp* mHttp;
-  evhttp_bound_socket* mSocket = nullptr;  ///< nullptr: does not listen.
+  evhttp_bound_socket* mSocket = nullptr;  ///< nullptr: not listening.
   HttpServerOptions mOptions;
   Endpoint mAddress;
   bool mClosing = false;
--- a/include/spindleweir/drivers/stream_client.h
+++ b/include/spindleweir/drivers/stream_client.h
@@ -1,6 +1,6 @@
-/// HTTP/1.1 client for requests that are passed on to upstreams. Each call
-/// has a connection of its own, so that a surplus answer meets nobody, and
-/// tells exactly how it ended.
+/// HTTP/1.1 client for requests forwarded to upstreams. Each call has its own
+/// connection, so that surplus answers cannot reach another call, and reports
+/// exactly how it ended.
 #pragma once
 
 #include <functional>
@@ -17,13 +17,13 @@
 
 /// How a call ended.
 enum class StreamEnd {
-  kComplete,   ///< The whole answer came.
-  kNotSent,    ///< No byte of the request left: it did not run.
-  kLost,       ///< Sent; the connection was lost before the answer's end.
-  kMalformed,  ///< Sent; what came back is not an answer.
+  kComplete,   ///< The complete answer came.
+  kNotSent,    ///< No byte was sent: the request did not run.
+  kLost,       ///< Sent; the connection was lost during the answer.
+  kMalformed,  ///< Sent; the received bytes are not an HTTP answer.
 };
 
-/// One call.
+/// Parameters of one call.
 struct StreamCallOptions {
   Endpoint mServer;
   std::string mMethod = "GET";
@@ -32,25 +32,25 @@
   std::string mBody;
   Millis mConnectTimeout = 500;
   Millis mTimeout = 0;  ///< From start to end; 0: none.
-  /// Who its unsent and unread bytes are held for; nullptr: nobody is told.
+  /// Accounts for its unsent and unread bytes; nullptr: not accounted for.
   std::shared_ptr<MemoryHold> mMemory;
-  /// Asked right before the first byte goes out; false: nothing is sent.
+  /// Called right before the first byte is sent; false: nothing is sent.
   std::function<bool()> mMaySend;
   std::function<void(const AnswerHead&)> mOnHead;
   std::function<void(std::string_view)> mOnData;
-  /// Called exactly once, unless the call is destroyed before.
+  /// Called exactly once, unless the call is destroyed earlier.
   std::function<void(StreamEnd)> mOnEnd;
 };
 
-/// A call under way; destroying it closes its connection.
+/// A running call; destroying it closes its connection.
 class StreamCall {
  public:
   virtual ~StreamCall() = default;
-  /// Stops reading, so that the upstream is pushed back, or resumes.
+  /// Stops reading, so that back-pressure slows the upstream, or resumes.
   virtual void Pause(bool aPaused) = 0;
-  /// Closes the connection; none of the hooks is called any more.
+  /// Closes the connection; no hook is called afterwards.
   virtual void Abandon() = 0;
-  /// Whether the request was handed to the connection.
+  /// Whether the request was written to the connection.
   virtual bool Sent() const = 0;
 };
 
--- a/include/spindleweir/drivers/stream_server.h
+++ b/include/spindleweir/drivers/stream_server.h
@@ -1,6 +1,6 @@
-/// HTTP/1.1 server for requests that are passed on: exact framing, heads as
-/// they came, answers written as they arrive, and a caller's close seen at
-/// once. Over libevent's bufferevent and http_parser (see http_message.h).
+/// HTTP/1.1 server for requests that are forwarded: exact framing, unmodified
+/// heads, streamed answers, and immediate detection of a caller's disconnect.
+/// Based on libevent's bufferevent and http_parser (see http_message.h).
 #pragma once
 
 #include <cstdint>
@@ -24,8 +24,8 @@
 
 class StreamConnection;
 
-/// One whole request and the answer to it. Held by shared_ptr; once the
-/// caller's connection is gone its calls do nothing.
+/// One complete request and its answer. Held by shared_ptr; after the caller's
+/// connection has closed its methods have no effect.
 class StreamExchange {
  public:
   StreamExchange(StreamConnection* aConnection, RequestHead aHead,
@@ -35,37 +35,37 @@
   const std::string& Body() const { return mBody; }
   Millis ReceivedAt() const { return mReceivedAt; }
 
-  /// Begins the answer. aLength: of the body; none: it goes out in chunks.
+  /// Starts the answer. aLength: of the body; none: the body is chunked.
   void Start(int aStatus, const HttpHeaders& aHeaders,
              std::optional<std::size_t> aLength);
   void Write(std::string_view aBytes);
-  /// Ends the answer in order.
+  /// Completes the answer.
   void End();
-  /// Sends a whole answer.
+  /// Sends a complete answer.
   void Reply(int aStatus, const HttpHeaders& aHeaders, std::string_view aBody);
-  /// The connection closes after this answer.
+  /// Closes the connection after this answer.
   void CloseAfter() { mHead.mKeepAlive = false; }
-  /// Breaks the answer off with a reset, so that it cannot be taken for
-  /// complete.
+  /// Aborts the answer with a reset, so that the caller cannot mistake it for a
+  /// complete one.
   void Abort();
-  /// The same, but its caller reads all that was written, where chunks or a
-  /// length tell that more was due.
+  /// Ends the answer early, but lets the caller read all written bytes. Resets
+  /// as Abort() does if neither chunks nor a length show that it is truncated.
   void EndTruncated();
 
   bool Started() const { return mStarted; }
   /// Whether the answer ended or the caller's connection is gone.
   bool Closed() const { return mConnection == nullptr; }
-  /// Bytes written that the caller has not taken.
+  /// Bytes written that are not yet sent to the caller.
   std::size_t PendingBytes() const;
-  /// Whether more of the answer may be brought; if not, OnDrained tells when.
+  /// Whether more of the answer may be written; if not, wait for OnDrained.
   bool MayWriteMore() const;
-  /// What the process holds for this caller; nullptr: the caller is gone, or
-  /// nothing is accounted.
+  /// The memory held for this caller; nullptr if the caller has disconnected or
+  /// there is no budget.
   const std::shared_ptr<MemoryHold>& Memory() const { return mMemory; }
-  /// Called once when the caller's connection closes before the end.
+  /// Calls aCall once if the connection closes before the answer is complete.
   void OnClosed(std::function<void()> aCall) { mOnClosed = std::move(aCall); }
-  /// Called each time the caller has taken all that was written, and when an
-  /// account of memory lets a caller that waited bring more.
+  /// Calls aCall whenever all written bytes are sent, and when the memory
+  /// budget lets a paused answer continue.
   void OnDrained(std::function<void()> aCall) { mOnDrained = std::move(aCall); }
 
  private:
@@ -82,7 +82,7 @@
   std::function<void()> mOnDrained;
 };
 
-/// What callers may send; may change while the server runs.
+/// Limits for callers; may be changed while the server runs.
 struct StreamServerLimits {
   std::size_t mMaximumHeaderBytes = 16 * 1024;
   std::size_t mMaximumBodyBytes = 4 * 1024 * 1024;
@@ -90,7 +90,7 @@
   Millis mIdleTimeout = 15000;
 };
 
-/// How a server listens.
+/// Options of a server.
 struct StreamServerOptions {
   Endpoint mListen;  ///< Port 0: chosen by the system.
   StreamServerLimits mLimits;
@@ -98,9 +98,9 @@
   std::function<void(const std::shared_ptr<StreamExchange>&)> mHandle;
   /// Answers a request that cannot be read, before the connection closes.
   std::function<void(StreamExchange&, ResultCode)> mRefuse;
-  /// Of what is held for callers; nullptr: none.
+  /// The budget for memory held for callers; nullptr: none.
   std::shared_ptr<MemoryBudget> mMemory;
-  /// Callers that were ended for their memory in one look, and their bytes.
+  /// Called with the callers evicted by one memory check, and their bytes.
   std::function<void(std::size_t aCallers, std::size_t aBytes)> mOnEvict;
 };
 
@@ -119,7 +119,7 @@
   void SetClosing() { mClosing = true; }
   /// Closes the connections that wait for a request.
   void CloseIdle();
-  /// Takes who has connected until now, and nobody from then on.
+  /// Accepts all pending connections and none afterwards.
   void StopListening();
   std::size_t Connections() const { return mConnections.size(); }
 
@@ -128,7 +128,7 @@
   static void HandleAccept(evconnlistener*, int aFd, sockaddr*, int,
                            void* aSelf);
   void Remove(StreamConnection* aConnection);
-  /// Looks at the account until nobody waits any more.
+  /// Checks the memory budget periodically until no connection is waiting.
   void WatchMemory();
   void CheckMemory();
   StreamConnection* ConnectionOf(std::uint64_t aNumber) const;
--- a/tests/drivers/disk_log_test.cpp
+++ b/tests/drivers/disk_log_test.cpp
@@ -36,25 +36,25 @@
 
 }  // namespace
 
-Test(disk_log, a_torn_tail_is_cut_and_other_damage_refused) {
+Test(disk_log, a_torn_tail_is_truncated_and_other_damage_refused) {
   const TemporaryFolder folder;
   const std::string path = folder.Path("log");
   WriteThree(path);
   const std::string whole = ReadFile(path).value();
-  SECTION("whole") {
+  SECTION("intact") {
     CHECK(RecordsOf(path).size() == 3);
   }
-  SECTION("cut at every length") {
-    std::size_t least = 0;
+  SECTION("truncated at every length") {
+    std::size_t minimum = 0;
     for (std::size_t n = 0; n <= whole.size(); n++) {
       WriteFile(path, whole.substr(0, n));
       const std::size_t count = RecordsOf(path).size();
-      CHECK(count >= least);
+      CHECK(count >= minimum);
       CHECK(count == 3 || n < whole.size());
-      least = count;
+      minimum = count;
     }
   }
-  SECTION("space that was given but not written") {
+  SECTION("allocated but unwritten space") {
     WriteFile(path, whole + std::string(64, '\0'));
     CHECK(RecordsOf(path).size() == 3);
   }
@@ -69,7 +69,7 @@
   }
 }
 
-Test(disk_log, what_was_cut_does_not_come_back_and_rewriting_is_whole) {
+Test(disk_log, truncated_records_stay_removed_and_rewriting_is_atomic) {
   const TemporaryFolder folder;
   const std::string path = folder.Path("log");
   WriteThree(path);
@@ -91,23 +91,23 @@
   CHECK(RecordsOf(path) == std::vector<std::string>({"only", "next"}));
 }
 
-Test(disk_log, a_full_disk_ends_all_promises) {
+Test(disk_log, a_full_disk_disables_the_log) {
   const TemporaryFolder folder;
   DiskLog log(folder.Path("log"), [](std::string_view) {});
-  // The limit stands in for a full disk: writing beyond it fails.
+  // The limit simulates a full disk: writing beyond it fails.
   signal(SIGXFSZ, SIG_IGN);
   const rlimit limit{4096, 4096};
   REQUIRE(setrlimit(RLIMIT_FSIZE, &limit) == 0);
   log.Append(std::string(8192, 'x'));
   CHECK(CodeThrownBy([&] { log.Sync(); }) == ResultCode::kStorageFailed);
-  SECTION("later too, though there would be room") {
+  SECTION("later calls fail too, even with free space") {
     CHECK(CodeThrownBy([&] { log.Append("small"); }) ==
           ResultCode::kStorageFailed);
     CHECK(CodeThrownBy([&] { log.Sync(); }) == ResultCode::kStorageFailed);
   }
 }
 
-Test(raft_disk_storage, state_entries_and_snapshot_come_back) {
+Test(raft_disk_storage, state_entries_and_snapshot_are_restored) {
   const TemporaryFolder folder;
   const std::string path = folder.Path("raft.log");
   {
--- a/tests/drivers/http_closing_test.cpp
+++ b/tests/drivers/http_closing_test.cpp
@@ -1,6 +1,6 @@
-/// A caller on the own interface sent its next call 0.6 ms before its router
-/// ended, on a connection that it had kept, and got no answer: the router had
-/// closed its port, and ended with its kept connections open.
+/// A caller that sent a request on a kept-alive connection 0.6 ms before its
+/// router ended got no answer: the router had closed its port, but ended with
+/// kept-alive connections open.
 #include "spindleweir/drivers/http_server.h"
 #include "tests/drivers/raw_socket_caller.h"
 #include "tests/test_tools.h"
@@ -11,7 +11,7 @@
 
 constexpr const char* kRequest = "GET /x HTTP/1.1\r\nHost: h\r\n\r\n";
 
-/// A server that answers "yes", or when the test does.
+/// A server that answers "yes" or leaves the answer to the test.
 struct Server {
   Server()
       : mServer(mLoop,
@@ -32,7 +32,7 @@
     }));
   }
 
-  /// Waits for the end, looking at what is idle all the while.
+  /// Closes idle connections repeatedly until none is left.
   bool CloseAll() {
     return RunLoopUntil(mLoop, [this] {
       mServer.CloseIdle();
@@ -49,7 +49,7 @@
 
 }  // namespace
 
-Test(http_closing, kept_connections_end_in_order) {
+Test(http_closing, kept_alive_connections_are_closed_gracefully) {
   Server server;
   RawSocketCaller caller(server.mServer.Address());
   caller.Send(server.mLoop, kRequest);
@@ -64,9 +64,9 @@
     CHECK(caller.mReceived.ends_with("yes"));
     caller.mReceived.clear();
   }
-  SECTION("one of which a part was read is answered") {
+  SECTION("a request that was partly read is answered") {
     caller.SendNow("GET /x HTTP/1.1\r\nHost:");
-    // The part is read in these turns of the loop.
+    // The part is read in these iterations of the loop.
     int turns = 0;
     REQUIRE(RunLoopUntil(server.mLoop, [&] { return ++turns > 3; }));
     server.mServer.CloseIdle();
@@ -75,7 +75,7 @@
     CHECK(caller.mReceived.ends_with("yes"));
     caller.mReceived.clear();
   }
-  SECTION("one that is under way is answered") {
+  SECTION("a request in progress is answered") {
     server.mAnswers = false;
     server.mExchange.reset();
     caller.SendNow(kRequest);
@@ -90,7 +90,8 @@
     server.mAnswers = true;
   }
   SECTION(
-      "one that crosses the close finds an end, no reset, and does not run") {
+      "a request that arrives after the close finds an end, no reset, and does "
+      "not run") {
     const int before = server.mHandled;
     server.mServer.CloseIdle();
     caller.SendNow(kRequest);
@@ -111,14 +112,14 @@
   CHECK(server.CloseAll());
 }
 
-Test(http_closing, who_has_connected_is_taken_before_the_port_closes) {
+Test(http_closing, pending_connections_are_accepted_before_the_port_closes) {
   Server server;
   RawSocketCaller caller(server.mServer.Address());
   CHECK(!server.mServer.StopListening());
   caller.Send(server.mLoop, kRequest);
   server.Await(caller);
   CHECK(caller.mReceived.ends_with("yes"));
-  SECTION("then it closes, and with it the connection after its next answer") {
+  SECTION("then the port closes, and the connection after its next answer") {
     CHECK(server.mServer.StopListening());
     caller.mReceived.clear();
     caller.SendNow(kRequest);
--- a/tests/drivers/http_message_test.cpp
+++ b/tests/drivers/http_message_test.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-/// Reads bytes at once and byte by byte; both must come to the same.
+/// Reads bytes at once and byte by byte; checks that the results are equal.
 ReadState StateOf(MessageSide aSide, std::string_view aBytes,
                   std::string* aBody = nullptr, std::size_t* aUsed = nullptr) {
   HttpMessageReader whole(aSide);
@@ -51,7 +51,7 @@
     CHECK(body == "abcde");
     CHECK(used == one.size());
   }
-  SECTION("what could hide a second request is refused") {
+  SECTION("heads that could hide a second request are refused") {
     CHECK(RequestState("POST / HTTP/1.1\r\nContent-Length: 3\r\n"
                        "Content-Length: 4\r\n\r\nabcd") == ReadState::kBad);
     CHECK(RequestState("POST / HTTP/1.1\r\nContent-Length: 3\r\n"
@@ -63,13 +63,13 @@
           ReadState::kBad);
     CHECK(RequestState("nonsense\r\n\r\n") == ReadState::kBad);
   }
-  SECTION("a chunk that was cut short is not complete") {
+  SECTION("a truncated chunk is not complete") {
     CHECK(RequestState("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
                        "5\r\nab") == ReadState::kBody);
   }
 }
 
-Test(http_message, answers_end_where_they_say) {
+Test(http_message, answers_end_by_length_or_connection) {
   SECTION("without a length only the end of the connection ends them") {
     HttpMessageReader reader(MessageSide::kAnswers);
     reader.Read("HTTP/1.1 200 OK\r\n\r\nabc");
@@ -84,19 +84,19 @@
     reader.ReadEnd();
     CHECK(reader.State() == ReadState::kBody);
   }
-  SECTION("an interim answer is passed over") {
+  SECTION("an interim answer is skipped") {
     CHECK(StateOf(MessageSide::kAnswers,
                   "HTTP/1.1 100 Continue\r\n\r\n"
                   "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n") ==
           ReadState::kComplete);
   }
-  SECTION("bytes that are no answer are bad") {
+  SECTION("bytes that are not HTTP are bad") {
     CHECK(StateOf(MessageSide::kAnswers, "\x16\x03garbage\r\n\r\n") ==
           ReadState::kBad);
   }
 }
 
-Test(http_message, connection_headers_are_known) {
+Test(http_message, hop_by_hop_headers_are_recognized) {
   const HttpHeaders headers = {
       {"Connection", "close, X-Hop"}, {"X-Hop", "1"}, {"X-End", "2"}};
   CHECK(IsConnectionHeader(headers, "x-hop"));
--- a/tests/drivers/http_test.cpp
+++ b/tests/drivers/http_test.cpp
@@ -14,12 +14,12 @@
 
 namespace {
 
-constexpr Millis kLongest = 10000;
+constexpr Millis kCallTimeout = 10000;
 
-/// Blocks of memory that libevent holds, from CountBlocks() on.
+/// Memory blocks that libevent has allocated since CountBlocks().
 int sBlocks = 0;
 
-/// Before anything of libevent is used.
+/// Must be called before any other use of libevent.
 void CountBlocks() {
   event_set_mem_functions(
       [](std::size_t aSize) {
@@ -60,7 +60,7 @@
         .mServer = mServer.Address(),
         .mMethod = "POST",
         .mBody = std::move(aBody),
-        .mTimeout = kLongest,
+        .mTimeout = kCallTimeout,
         .mOnDone = [this](const HttpResult& aResult) { mResult = aResult; }};
   }
 
@@ -91,12 +91,12 @@
 
 }  // namespace
 
-Test(http, whether_a_byte_left_is_known) {
+Test(http, results_report_whether_a_byte_was_sent) {
   Pair pair;
   SECTION("nobody listens") {
     HttpCallOptions options = pair.Call("x");
     {
-      // A port that was free a moment ago, and is again.
+      // A port that is free again.
       const HttpServer other(pair.mLoop, {.mListen = {"127.0.0.1", 0}});
       options.mServer = other.Address();
     }
@@ -121,11 +121,11 @@
   }
 }
 
-Test(http, a_standstill_of_the_process_is_no_silence_of_the_server) {
+Test(http, a_stall_of_the_process_does_not_count_as_silence_of_the_server) {
   Pair pair;
   pair.mHandle = [&pair] {
-    // The answer is on its way, and then nothing runs for longer than the
-    // client waits.
+    // The answer is sent, then the loop is blocked for longer than the client's
+    // timeout.
     pair.mExchange->Reply(200, "text/plain", "there");
     usleep(700 * 1000);
   };
@@ -134,7 +134,7 @@
   const auto call = pair.mClient.Start(std::move(options));
   REQUIRE(pair.RunUntil([&] { return pair.mResult.has_value(); }));
   CHECK(pair.mResult->mComplete && pair.mResult->mBody == "there");
-  SECTION("one that says nothing is given up all the same") {
+  SECTION("a silent server still causes a timeout") {
     pair.mHandle = [] { usleep(700 * 1000); };
     pair.mResult.reset();
     HttpCallOptions again = pair.Call("x");
@@ -143,14 +143,14 @@
     REQUIRE(pair.RunUntil([&] { return pair.mResult.has_value(); }));
     CHECK(!pair.mResult->mComplete);
   }
-  SECTION("nor longer than it had still to wait") {
+  SECTION("a stall extends the timeout by its length at most") {
     pair.mHandle = [] { usleep(2000 * 1000); };
     pair.mResult.reset();
     HttpCallOptions again = pair.Call("x");
     again.mTimeout = 300;
     const auto silent = pair.mClient.Start(std::move(again));
-    // The whole standstill again would end the wait after 4 s, later than this;
-    // of two events in one loop the order holds on a busy machine as well.
+    // Counting the stall twice would end the wait after 4 s, later than this.
+    // The order of two events in one loop holds on a busy machine as well.
     bool firedBefore = false;
     const auto later = pair.mLoop.After(
         3900, [&] { firedBefore = !pair.mResult.has_value(); });
@@ -160,7 +160,7 @@
   }
 }
 
-Test(http, a_server_that_closes_without_an_answer_gets_nothing_twice) {
+Test(http, an_unanswered_request_is_not_sent_twice) {
   Pair pair;
   int seen = 0;
   pair.mHandle = [&] { seen++; };
@@ -174,9 +174,9 @@
   }
 }
 
-// A caller used a kept connection after its server's end of it had arrived, and
-// before the loop had read that: its call got no answer.
-Test(http, a_connection_that_has_ended_is_not_used_again) {
+// A call used a pooled connection that the server had closed, before the loop
+// had read the end of it: the call got no answer.
+Test(http, a_closed_connection_is_not_reused) {
   Pair pair;
   pair.mHandle = [&] { pair.mExchange->Reply(200, "text/plain", "yes"); };
   pair.mClient.StartDetached(pair.Call("x"));
@@ -210,7 +210,7 @@
     pair.mExchange->Write("into nothing");
     pair.mExchange->EndStream();
   }
-  SECTION("a caller that leaves before any answer is seen") {
+  SECTION("a disconnect before any answer is detected") {
     pair.mClosed = false;
     pair.mHandle = nullptr;
     pair.mExchange.reset();
@@ -221,7 +221,7 @@
   }
 }
 
-Test(http, a_caller_that_leaves_before_the_answer_leaves_no_memory_behind) {
+Test(http, a_disconnect_before_the_answer_leaks_no_memory) {
   CountBlocks();
   Pair pair;
   const auto leave = [&pair] {
@@ -231,7 +231,7 @@
     REQUIRE(pair.RunUntil([&] { return pair.mExchange != nullptr; }));
     call.reset();
     REQUIRE(pair.RunUntil([&] { return pair.mClosed; }));
-    // What the loop has still to free.
+    // Lets the loop free pending objects.
     pair.RunUntil([] { return true; });
   };
   const auto leaves = [&leave] {
@@ -245,7 +245,7 @@
     leaves();
     CHECK(sBlocks <= before);
   }
-  SECTION("in the midst of a stream") {
+  SECTION("during a stream") {
     pair.mHandle = [&pair] {
       pair.mExchange->StartStream(200, "text/plain");
       pair.mExchange->Write("one");
--- a/tests/drivers/raw_socket_caller.h
+++ b/tests/drivers/raw_socket_caller.h
@@ -1,4 +1,4 @@
-/// A caller that is a plain socket, for tests of servers.
+/// A caller that uses a raw socket, for tests of servers.
 #pragma once
 
 #include <arpa/inet.h>
@@ -13,13 +13,14 @@
 
 namespace spindleweir {
 
-/// A caller with a small window that reads when it is told to.
+/// A caller with a small receive buffer that reads only in Read().
 class RawSocketCaller {
  public:
   explicit RawSocketCaller(const Endpoint& aServer)
       : mFd(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0)) {
-    constexpr int kWindow = 2048;
-    (void)setsockopt(mFd, SOL_SOCKET, SO_RCVBUF, &kWindow, sizeof(kWindow));
+    constexpr int kReceiveBufferBytes = 2048;
+    (void)setsockopt(mFd, SOL_SOCKET, SO_RCVBUF, &kReceiveBufferBytes,
+                     sizeof(kReceiveBufferBytes));
     sockaddr_in address{};
     address.sin_family = AF_INET;
     address.sin_port = htons(static_cast<std::uint16_t>(aServer.mPort));
@@ -30,7 +31,7 @@
   RawSocketCaller(const RawSocketCaller&) = delete;
   RawSocketCaller& operator=(const RawSocketCaller&) = delete;
 
-  /// Sends once, as soon as it is connected.
+  /// Sends once, when connected.
   void Send(EventLoop& aLoop, std::string_view aBytes) const {
     bool sent = false;
     REQUIRE(RunLoopUntil(aLoop, [&] {
@@ -38,7 +39,7 @@
       return sent;
     }));
   }
-  /// Sends at once: what is connected, on loopback, takes it.
+  /// Sends without waiting: a connected loopback socket accepts the bytes.
   void SendNow(std::string_view aBytes) const {
     CHECK(send(mFd, aBytes.data(), aBytes.size(), MSG_NOSIGNAL) ==
           static_cast<ssize_t>(aBytes.size()));
--- a/tests/drivers/stop_signal_test.cpp
+++ b/tests/drivers/stop_signal_test.cpp
@@ -1,8 +1,6 @@
-// What was seen: a control that was asked to stop ended with code 143 in place
-// of 0, once each in two of fifty soaks. The order of events: a stop signal,
-// the loop ends, the handler goes with it, a second signal finds the default,
-// which kills. Evidence: 40 of 40 stops with signals one after the other ended
-// so, and 0 of 40 with one signal.
+// A control process ended with code 143 instead of 0: after a stop signal the
+// loop ended and its handler was removed, so that a second signal met the
+// default disposition and killed the process.
 #include <signal.h>
 
 #include "spindleweir/drivers/event_loop.h"
@@ -10,49 +8,48 @@
 
 using namespace spindleweir;
 
-Test(stop_signal, one_more_signal_while_the_process_ends_is_passed_over) {
+Test(stop_signal, a_second_signal_during_shutdown_is_ignored) {
   EventLoop loop;
-  int asked = 0;
+  int stopRequests = 0;
   auto handler = loop.OnStopSignal([&] {
-    asked++;
+    stopRequests++;
     loop.Stop();
   });
   raise(SIGTERM);
   loop.Run();
-  CHECK(asked == 1);
+  CHECK(stopRequests == 1);
   handler.reset();
   raise(SIGTERM);
   raise(SIGINT);
-  CHECK(asked == 1);
+  CHECK(stopRequests == 1);
 }
 
-Test(stop_signal, one_before_the_loop_runs_is_heard_once_it_does) {
+Test(stop_signal, a_signal_before_the_loop_runs_is_handled_when_it_runs) {
   EventLoop loop;
-  bool asked = false;
+  bool stopRequests = false;
   const auto handler = loop.OnStopSignal([&] {
-    asked = true;
+    stopRequests = true;
     loop.Stop();
   });
   raise(SIGTERM);
   loop.Run();
-  CHECK(asked);
+  CHECK(stopRequests);
 }
 
-// A router that was asked to read its settings again, a moment after it had
-// been started, was ended by that: it had no handler until all its parts stood.
-Test(stop_signal,
-     a_reload_asked_for_before_the_settings_are_read_ends_nothing) {
+// A reload signal shortly after the start ended a router, which had no handler
+// until all its parts were constructed.
+Test(stop_signal, a_reload_signal_before_the_settings_are_read_is_ignored) {
   EventLoop::IgnoreReloadSignal();
   raise(SIGHUP);
   EventLoop loop;
-  int asked = 0;
+  int stopRequests = 0;
   const auto handler = loop.OnReloadSignal([&] {
-    asked++;
+    stopRequests++;
     loop.Stop();
   });
-  SECTION("one that comes later is heard") {
+  SECTION("a later signal is handled") {
     raise(SIGHUP);
     loop.Run();
-    CHECK(asked == 1);
+    CHECK(stopRequests == 1);
   }
 }
--- a/tests/drivers/stream_test.cpp
+++ b/tests/drivers/stream_test.cpp
@@ -1,4 +1,4 @@
-/// The server and the client for requests that are passed on.
+/// Tests of the server and the client for forwarded requests.
 #include <arpa/inet.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -65,7 +65,7 @@
     return end;
   }
 
-  /// Sends bytes and returns all that comes until the server closes.
+  /// Sends bytes and returns all received bytes until the server closes.
   std::string Raw(std::string_view aBytes) {
     const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
     sockaddr_in address{};
@@ -105,7 +105,7 @@
   StreamServer mServer;
 };
 
-/// An account of so many bytes, of which each request has a least of 16 KB.
+/// A budget of aBound bytes; each request may use at least 16 KB.
 std::shared_ptr<MemoryBudget> MakeBudget(std::size_t aBound) {
   return std::make_shared<MemoryBudget>(
       MemoryBudgetOptions{.mMaxBytes = aBound, .mSocketBuffer = 8 * 1024});
@@ -113,16 +113,16 @@
 
 }  // namespace
 
-Test(stream, answers_come_whole_or_are_known_to_be_broken) {
+Test(stream, answers_are_complete_or_reported_as_broken) {
   Server server;
-  SECTION("a whole answer") {
+  SECTION("a complete answer") {
     server.mHandle = [](StreamExchange& aExchange) {
       aExchange.Reply(200, {}, aExchange.Body() + "!");
     };
     CHECK(server.Call("hello") == StreamEnd::kComplete);
     CHECK(server.mStatus == 200 && server.mBody == "hello!");
   }
-  SECTION("a stream in pieces") {
+  SECTION("a chunked stream") {
     server.mHandle = [](StreamExchange& aExchange) {
       aExchange.Start(200, {}, std::nullopt);
       aExchange.Write("a");
@@ -132,7 +132,7 @@
     CHECK(server.Call() == StreamEnd::kComplete);
     CHECK(server.mBody == "ab");
   }
-  SECTION("a stream that is broken off") {
+  SECTION("an aborted stream") {
     server.mHandle = [](StreamExchange& aExchange) {
       aExchange.Start(200, {}, std::nullopt);
       aExchange.Write("a");
@@ -149,7 +149,7 @@
     const auto call = StartStreamCall(server.mLoop, std::move(options));
     CHECK(server.RunUntil([&] { return end == StreamEnd::kNotSent; }));
   }
-  SECTION("the last look before sending says no: not sent") {
+  SECTION("mMaySend returns false: not sent") {
     const int before = server.mHandled;
     StreamEnd end = StreamEnd::kComplete;
     StreamCallOptions options;
@@ -162,7 +162,7 @@
   }
 }
 
-Test(stream, a_caller_that_leaves_is_seen_at_once) {
+Test(stream, a_disconnect_is_detected_at_once) {
   Server server;
   StreamCallOptions options;
   options.mServer = server.mServer.Address();
@@ -175,8 +175,8 @@
 }
 
 Test(stream, a_connection_that_closes_gets_its_answer_first) {
-  // Found on the users' platform: the write callback from before the newest
-  // write shut the connection down with the answer still in the buffer.
+  // The write callback of an earlier write shut the connection down while the
+  // answer was still in the buffer.
   Server server;
   server.mHandle = [](StreamExchange& aExchange) {
     aExchange.Reply(200, {}, "");
@@ -188,7 +188,7 @@
 }
 
 Test(stream, a_caller_that_reads_slowly_gets_its_whole_answer) {
-  // An answer that closed its connection was cut a second after its end.
+  // An answer with "Connection: close" was truncated a second after its end.
   constexpr std::size_t kBytes = 4 * 1000 * 1000;
   Server server(MakeBudget(8 * kBytes));
   server.mHandle = [](StreamExchange& aExchange) {
@@ -209,16 +209,12 @@
   CHECK(server.RunUntil([&] { return server.mMemory->Held() == 0; }));
 }
 
-// What users saw: around a planned stop some requests were closed without an
-// answer 3 to 5 ms after they had been taken, 2.5 s after the signal, and slow
-// callers' answers ended short. The order of events: the router closes what it
-// takes for idle; bytes of a request have arrived, or an answer has ended for
-// the router and not for its caller. The cause: a connection was idle when no
-// byte of a request was parsed, whatever waited in either direction; and one
-// that was closed went on to be read from in that turn of the loop. Evidence:
-// each of these requests was taken and ended within one closing of idle
-// connections, and sent to no upstream.
-Test(stream, closing_what_is_idle_cuts_nothing_off) {
+// Around a planned stop some requests were closed without an answer, and
+// answers to slow callers were truncated. A connection counted as idle if no
+// byte of a request was parsed, even if unparsed or unsent bytes were pending;
+// and a closed connection was still read from in the same iteration of the
+// loop.
+Test(stream, closing_idle_connections_loses_no_request) {
   Server server;
   server.mHandle = [](StreamExchange& aExchange) {
     aExchange.Reply(200, {}, "yes");
@@ -240,7 +236,7 @@
     }));
     CHECK(caller.mReceived.ends_with("yes"));
   }
-  SECTION("one that crosses the close finds an end, and no reset") {
+  SECTION("a request that arrives after the close finds an end and no reset") {
     const int before = server.mHandled;
     server.mServer.CloseIdle();
     caller.SendNow(request);
@@ -253,9 +249,9 @@
   }
 }
 
-// A caller that had connected 1 ms before a closing of idle connections found
-// the end when it sent its first request, while the router still took new ones.
-Test(stream, closing_what_is_idle_spares_who_has_just_connected) {
+// A caller that connected 1 ms before idle connections were closed found its
+// connection closed, while the router still accepted new ones.
+Test(stream, closing_idle_connections_spares_new_ones) {
   Server server;
   server.mHandle = [](StreamExchange& aExchange) {
     aExchange.Reply(200, {}, "yes");
@@ -270,7 +266,7 @@
     return caller.mEnded || caller.mReceived.ends_with("yes");
   }));
   CHECK(caller.mReceived.ends_with("yes"));
-  SECTION("one that goes on to say nothing is closed") {
+  SECTION("a connection that stays silent is closed") {
     CHECK(server.RunUntil([&] {
       server.mServer.CloseIdle();
       silent.Read();
@@ -279,7 +275,7 @@
   }
 }
 
-Test(stream, closing_what_is_idle_waits_for_slow_callers) {
+Test(stream, closing_idle_connections_waits_for_slow_callers) {
   constexpr std::size_t kBytes = 4 * 1000 * 1000;
   Server server(MakeBudget(8 * kBytes));
   server.mHandle = [](StreamExchange& aExchange) {
@@ -292,7 +288,7 @@
                 "GET /x HTTP/1.1\r\nHost: h\r\n" + std::string(keep) + "\r\n");
     REQUIRE(server.RunUntil([&] { return server.mHandled > before; }));
     server.mServer.CloseIdle();
-    // Looked for only once enough has come: it is read in a thousand pieces.
+    // Compared only when enough bytes have arrived: there are a thousand reads.
     const std::string whole(kBytes, 'x');
     CHECK(server.RunUntil([&] {
       caller.Read();
@@ -303,10 +299,9 @@
   }
 }
 
-// The same class: a stream that is broken off was reset, and with it what its
-// caller had not read yet, though chunks or a length already tell that it is
-// not whole.
-Test(stream, what_was_written_before_a_stream_is_broken_off_is_read) {
+// A truncated stream was reset, and the caller lost unread bytes, though chunks
+// or a length already show that the answer is incomplete.
+Test(stream, bytes_before_a_truncated_end_are_read) {
   constexpr std::size_t kBytes = 1000 * 1000;
   for (const char* version : {"1.1", "1.0"}) {
     Server server(MakeBudget(8 * kBytes));
@@ -330,15 +325,14 @@
       CHECK(!caller.mReceived.ends_with("0\r\n\r\n"));
       continue;
     }
-    SECTION("without chunks nothing but a reset tells that it is not whole") {
+    SECTION("without chunks only a reset shows that the answer is incomplete") {
       CHECK(caller.mWasReset);
     }
   }
 }
 
-// The same class: who had connected, and was not accepted yet, was reset with
-// the port.
-Test(stream, who_has_connected_before_the_port_closes_is_answered) {
+// Closing the port reset connections that were not accepted yet.
+Test(stream, a_caller_connected_before_the_port_closes_is_answered) {
   Server server;
   server.mHandle = [](StreamExchange& aExchange) {
     aExchange.Reply(200, {}, "yes");
@@ -351,7 +345,7 @@
     return caller.mWasReset || caller.mReceived.ends_with("yes");
   }));
   CHECK(caller.mReceived.ends_with("yes"));
-  SECTION("and nobody connects any more") {
+  SECTION("later connections are refused") {
     StreamEnd end = StreamEnd::kComplete;
     StreamCallOptions options;
     options.mServer = server.mServer.Address();
@@ -368,7 +362,7 @@
   };
   CHECK(server.Call() == StreamEnd::kComplete && server.mStatus == 200);
   REQUIRE(server.RunUntil([&] { return server.mMemory->Committed() == 0; }));
-  // Two requests whose answers are not made yet hold all of it.
+  // Two requests without answers use the whole budget.
   server.mHandle = nullptr;
   RawSocketCaller first(server.mServer.Address());
   RawSocketCaller second(server.mServer.Address());
@@ -377,7 +371,7 @@
   REQUIRE(server.RunUntil([&] { return server.mHandled == 3; }));
   CHECK(server.Call() == StreamEnd::kComplete && server.mStatus == 503);
   CHECK(server.mHandled == 3);
-  SECTION("and a body that it can never hold, by its length") {
+  SECTION("a body larger than the budget is refused by its length") {
     Server other(MakeBudget(400 * 1024));
     other.mServer.SetLimits({});
     const std::string answer = other.Raw(
@@ -388,7 +382,7 @@
   }
 }
 
-Test(stream, who_takes_nothing_is_cut_when_memory_is_short) {
+Test(stream, a_caller_that_reads_nothing_is_evicted_when_memory_is_short) {
   constexpr std::size_t kBytes = 300 * 1000;
   Server server(MakeBudget(4 * kBytes));
   server.mHandle = [](StreamExchange& aExchange) {
@@ -402,7 +396,7 @@
     callers.back()->Send(server.mLoop, "GET /x HTTP/1.1\r\nHost: h\r\n\r\n");
     REQUIRE(server.RunUntil([&] { return server.mHandled == i + 1; }));
   }
-  // The last one reads on; one of the others goes.
+  // The last caller goes on reading; one of the others is evicted.
   CHECK(server.RunUntil([&] {
     callers.back()->Read();
     return server.mServer.Connections() < 4;
@@ -413,7 +407,7 @@
   }));
 }
 
-Test(stream, requests_that_cannot_be_read_are_refused_with_a_number) {
+Test(stream, invalid_requests_are_refused_with_a_status) {
   Server server;
   const auto statusOf = [&server](std::string_view aBytes) {
     return server.Raw(aBytes).substr(0, 12);
--- a/tests/fuzz/parsers_fuzzer.cpp
+++ b/tests/fuzz/parsers_fuzzer.cpp
@@ -42,8 +42,8 @@
 void ReadFrames(std::string_view aBytes) {
   FrameReader reader([](const TokenFrame&) {});
   const std::size_t half = aBytes.size() / 2;
-  reader.Take(aBytes.substr(0, half));
-  reader.Take(aBytes.substr(half));
+  reader.Append(aBytes.substr(0, half));
+  reader.Append(aBytes.substr(half));
 }
 
 void ReadRecords(std::string_view aBytes) {
