--- a/include/spindleweir/core/result_code.h
+++ b/include/spindleweir/core/result_code.h
@@ -81,7 +81,7 @@
   std::string_view mMeaning;  ///< One line for operators.
 };
 
-/// The whole table, in ascending order of code.
+/// The full table, in ascending order of code.
 std::span<const ResultCodeInfo> AllResultCodes();
 
 /// The row of one code; the row of kInternal for a number outside the table.
--- a/include/spindleweir/drivers/stream_client.h
+++ b/include/spindleweir/drivers/stream_client.h
@@ -19,7 +19,7 @@
 enum class StreamEnd {
   kComplete,   ///< The complete answer came.
   kNotSent,    ///< No byte was sent: the request did not run.
-  kLost,       ///< Sent; the connection was lost during the answer.
+  kLost,       ///< Sent; connection lost before the answer's end.
   kMalformed,  ///< Sent; the received bytes are not an HTTP answer.
 };
 
