--- a/main/ctl_main.cpp
+++ b/main/ctl_main.cpp
@@ -12,7 +12,7 @@
 #include "spindleweir/core/settings.h"
 #include "spindleweir/drivers/file_tools.h"
 #include "spindleweir/servers/explain/loss_report.h"
-#include "spindleweir/servers/explain/request_story.h"
+#include "spindleweir/servers/explain/request_report.h"
 
 DEFINE_string(control, "", "operator addresses of control, with commas");
 DEFINE_string(operator_key, "", "bearer key of the operators");
--- a/servers/explain/request_story.cpp
+++ b/servers/explain/request_report.cpp
@@ -1,4 +1,4 @@
-#include "spindleweir/servers/explain/request_story.h"
+#include "spindleweir/servers/explain/request_report.h"
 
 #include <algorithm>
 #include <set>
--- a/servers/placement/layer_cards.cpp
+++ b/servers/placement/layer_coverage.cpp
@@ -1,4 +1,4 @@
-#include "servers/placement/layer_cards.h"
+#include "servers/placement/layer_coverage.h"
 
 #include <algorithm>
 
--- a/servers/placement/layer_rows.cpp
+++ b/servers/placement/layer_pipelines.cpp
@@ -1,4 +1,4 @@
-#include "servers/placement/layer_rows.h"
+#include "servers/placement/layer_pipelines.h"
 
 #include <cmath>
 
--- a/servers/placement/layer_planner.cpp
+++ b/servers/placement/layer_planner.cpp
@@ -4,7 +4,7 @@
 #include <map>
 
 #include "servers/placement/layer_groups.h"
-#include "servers/placement/layer_rows.h"
+#include "servers/placement/layer_pipelines.h"
 #include "servers/placement/zone_cells.h"
 #include "servers/placement/zone_repair.h"
 #include "servers/placement/zone_value.h"
--- a/servers/placement/zone_repair.h
+++ b/servers/placement/zone_repair.h
@@ -4,7 +4,7 @@
 
 #include <vector>
 
-#include "servers/placement/layer_cards.h"
+#include "servers/placement/layer_coverage.h"
 #include "spindleweir/servers/placement/layer_planner.h"
 
 namespace spindleweir {
--- a/tests/servers/explain_test.cpp
+++ b/tests/servers/explain_test.cpp
@@ -1,7 +1,7 @@
 /// The lines are log lines of real runs; docs/OPERATIONS.md follows the same
 /// steps.
 #include "spindleweir/servers/explain/loss_report.h"
-#include "spindleweir/servers/explain/request_story.h"
+#include "spindleweir/servers/explain/request_report.h"
 #include "tests/test_tools.h"
 
 using namespace spindleweir;
