--- a/include/spindleweir/daemons/sync_messages.h
+++ b/include/spindleweir/daemons/sync_messages.h
@@ -79,10 +79,11 @@
   bool mNearestAnswers = false;
   /// "IP:PORT" at which a router collects heartbeats; empty: it collects none.
   std::string mCollectorAddress;
-  std::string mCollectedUpstreams;   ///< Collected records that changed: see
-                                     ///< PackUpstreams.
-  Json::Value mCollectedHeartbeats;  ///< Of the others: a HeartbeatTable, see
-                                     ///< ReadHeartbeats.
+  std::string mCollectedUpstreams;  ///< Collected records that changed: see
+                                    ///< PackUpstreams.
+  /// Collected heartbeats that changed nothing else: a HeartbeatTable, see
+  /// ReadHeartbeats.
+  Json::Value mCollectedHeartbeats;
   /// Sequence number of the loads that were received last from the answerer.
   std::int64_t mKnownLoads = 0;
   /// Sequence number of mLoads, which replace those reported before; 0: no
