--- a/tests/daemons/relay_test.cpp
+++ b/tests/daemons/relay_test.cpp
@@ -71,7 +71,7 @@
     const auto publisher = fixture.mLoop.Every(20, [&] {
       fixture.mControl->Publish(document, [](const OperatorAnswer&) {});
     });
-    const auto beats = fixture.mLoop.Every(50, [&] {
+    const auto heartbeats = fixture.mLoop.Every(50, [&] {
       fixture.mControl->ApplyHeartbeat({.mInstance = fixture.mA.Instance(),
                                         .mService = "counter",
                                         .mAddress = fixture.mA.Address(),
