--- a/main/ctl_client.cpp
+++ b/main/ctl_client.cpp
@@ -11,7 +11,7 @@
 
 constexpr int kHttpRedirect = 307;
 constexpr int kHttpUnavailable = 503;
-constexpr Millis kPause = 200;
+constexpr Millis kRetryInterval = 200;
 constexpr std::string_view kScheme = "http://";
 
 HttpResult CallOnce(const Endpoint& aServer, const std::string& aMethod,
@@ -27,14 +27,14 @@
   return CallAndWait(std::move(options));
 }
 
-void Pause(Millis aTime) {
+void Sleep(Millis aTime) {
   EventLoop loop;
   const auto timer = loop.After(aTime, [&loop] { loop.Stop(); });
   loop.Run();
 }
 
 /// The server of a Location header; port 0 where there is none.
-Endpoint RedirectOf(const HttpResult& aResult) {
+Endpoint RedirectTarget(const HttpResult& aResult) {
   for (const HttpHeader& header : aResult.mHeaders) {
     if (header.mName == "Location" && header.mValue.starts_with(kScheme)) {
       const std::string rest = header.mValue.substr(kScheme.size());
@@ -60,7 +60,7 @@
   std::deque<Endpoint> next(mControls.begin(), mControls.end());
   while (SteadyNow() < end) {
     if (next.empty()) {
-      Pause(kPause);
+      Sleep(kRetryInterval);
       next.assign(mControls.begin(), mControls.end());
     }
     const Endpoint server = next.front();
@@ -71,7 +71,7 @@
       continue;
     }
     if (result.mStatus == kHttpRedirect) {
-      const Endpoint leader = RedirectOf(result);
+      const Endpoint leader = RedirectTarget(result);
       if (leader.mPort != 0) {
         next.push_front(leader);
       }
--- a/main/ctl_main.cpp
+++ b/main/ctl_main.cpp
@@ -204,14 +204,14 @@
   }
 }
 
-void ForEachLogLine(const std::function<void(const std::string&)>& aTake) {
+void ForEachLogLine(const std::function<void(const std::string&)>& aOnLine) {
   for (const std::string& path : SplitList(FLAGS_logs)) {
     std::ifstream in(path);
     if (!in) {
       throw Error(ResultCode::kBadSetting, "--logs: cannot read " + path);
     }
     for (std::string line; std::getline(in, line);) {
-      aTake(line);
+      aOnLine(line);
     }
   }
 }
@@ -241,15 +241,15 @@
 
 /// Tells what became of a request from the logs alone.
 int ExplainFromLogs(const std::string& aRequest) {
-  ReportBuilder teller;
+  ReportBuilder builder;
   ForEachLogLine(
-      [&teller](const std::string& aLine) { teller.AddLine(aLine); });
-  const RequestReport story = teller.Build(aRequest);
-  for (const std::string& line : story.mLines) {
+      [&builder](const std::string& aLine) { builder.AddLine(aLine); });
+  const RequestReport report = builder.Build(aRequest);
+  for (const std::string& line : report.mLines) {
     std::cout << line << "\n";
   }
-  std::cout << "cause: " << story.mCause << "\n";
-  return story.mFound ? 0 : kExitRefused;
+  std::cout << "cause: " << report.mCause << "\n";
+  return report.mFound ? 0 : kExitRefused;
 }
 
 int Run(const std::vector<std::string>& aArguments) {
