--- a/main/control_main.cpp
+++ b/main/control_main.cpp
@@ -1,4 +1,4 @@
-/// spindleweir-control: the daemon that keeps the accepted configuration.
+/// spindleweir-control: the daemon that stores the accepted configuration.
 #include <gflags/gflags.h>
 
 #include <iostream>
@@ -12,25 +12,28 @@
 
 DEFINE_string(id, "", "name of this process in the list of entry VMs");
 DEFINE_string(zone, "", "availability zone of this VM");
-DEFINE_string(rpc_listen, "127.0.0.1:0", "IP:PORT for our own processes");
+DEFINE_string(rpc_listen, "127.0.0.1:0", "IP:PORT for routers and control");
 DEFINE_string(operator_listen, "127.0.0.1:0", "IP:PORT for operators");
 DEFINE_string(operator_key, "", "bearer key of the operators");
-DEFINE_string(cluster_key, "", "secret that our processes share");
+DEFINE_string(cluster_key, "", "secret that routers and control share");
 DEFINE_string(entry_vms, "", "path of the list of entry VMs");
 DEFINE_string(data, "", "data folder");
-DEFINE_string(initial_voters, "",
-              "ids of the first voters, with commas; only for the first start "
-              "of a deployment");
+DEFINE_string(
+    initial_voters, "",
+    "ids of the first voters, comma-separated; only for the first start "
+    "of a deployment");
 DEFINE_string(platform, "", "IP:PORT of the platform's list of VMs");
-DEFINE_string(port_file, "", "file to write the addresses in force to");
+DEFINE_string(port_file, "", "file to write the bound addresses to");
 DEFINE_string(log_level, "info", "debug, info, warning or error");
-DEFINE_int32(election_ms, 500, "least time without a leader before a vote");
-DEFINE_int32(plan_lifetime_ms, 600000, "how long a plan can be confirmed");
-DEFINE_int32(receipts, 100000, "receipts kept on this VM");
+DEFINE_int32(election_ms, 500,
+             "min. milliseconds without a leader before an election");
+DEFINE_int32(plan_lifetime_ms, 600000,
+             "milliseconds in which a plan can be confirmed");
+DEFINE_int32(receipts, 100000, "max. receipts stored on this VM");
 DEFINE_string(boot, "",
               "settings file of the users' platform; then all settings but "
               "--cluster_key and --log_level come from it");
-DEFINE_int32(metrics_port, 0, "with --boot: port for figures; 0: none");
+DEFINE_int32(metrics_port, 0, "with --boot: port for metrics; 0: none");
 DEFINE_bool(check, false, "check the settings and exit");
 
 namespace spindleweir {
@@ -85,7 +88,7 @@
   }
   EventLoop loop;
   std::unique_ptr<ControlDaemon> daemon;
-  // A signal that comes while the parts are made is heard once the loop runs.
+  // A signal that arrives during construction is handled once the loop runs.
   const auto signal = loop.OnStopSignal([&daemon] { daemon->Stop(); });
   daemon = std::make_unique<ControlDaemon>(loop, std::move(options));
   loop.Run();
@@ -97,5 +100,5 @@
 
 int main(int aArgc, char** aArgv) {
   return spindleweir::RunProgram(
-      aArgc, aArgv, "keeps the accepted configuration", spindleweir::Run);
+      aArgc, aArgv, "stores the accepted configuration", spindleweir::Run);
 }
--- a/main/ctl_client.cpp
+++ b/main/ctl_client.cpp
@@ -33,7 +33,7 @@
   loop.Run();
 }
 
-/// The server of a Location header; port 0 where there is none.
+/// The server of a Location header; port 0 if there is none.
 Endpoint RedirectTarget(const HttpResult& aResult) {
   for (const HttpHeader& header : aResult.mHeaders) {
     if (header.mName == "Location" && header.mValue.starts_with(kScheme)) {
@@ -47,10 +47,10 @@
 }  // namespace
 
 CtlClient::CtlClient(std::vector<Endpoint> aControls, std::string aKey,
-                     int aTimeout)
+                     int aTimeoutMillis)
     : mControls(std::move(aControls)),
       mKey(std::move(aKey)),
-      mTimeoutMillis(aTimeout) {}
+      mTimeoutMillis(aTimeoutMillis) {}
 
 CtlAnswer CtlClient::Call(const std::string& aMethod, const std::string& aPath,
                           const Json::Value& aBody) {
--- a/main/ctl_client.h
+++ b/main/ctl_client.h
@@ -1,4 +1,4 @@
-/// Calls the operators' interface and waits for the answer.
+/// Client of control's interface for operators.
 #pragma once
 
 #include <json/value.h>
@@ -10,19 +10,20 @@
 
 namespace spindleweir {
 
-/// One answer.
+/// Answer of a control process.
 struct CtlAnswer {
   int mStatus = 0;  ///< 0: no control process could be reached.
   Json::Value mBody;
 };
 
-/// Tries the control processes in turn and follows them to their leader.
+/// Tries the control processes in turn and follows redirects to their leader.
 class CtlClient {
  public:
-  CtlClient(std::vector<Endpoint> aControls, std::string aKey, int aTimeout);
+  CtlClient(std::vector<Endpoint> aControls, std::string aKey,
+            int aTimeoutMillis);
 
-  /// aBody: null for none. A command carries its command id, so that trying
-  /// again cannot do it twice.
+  /// Waits for the answer. aBody: null for none. A command carries its command
+  /// id, so that a retry cannot execute it twice.
   CtlAnswer Call(const std::string& aMethod, const std::string& aPath,
                  const Json::Value& aBody);
 
--- a/main/ctl_main.cpp
+++ b/main/ctl_main.cpp
@@ -14,13 +14,15 @@
 #include "spindleweir/servers/explain/loss_report.h"
 #include "spindleweir/servers/explain/request_report.h"
 
-DEFINE_string(control, "", "operator addresses of control, with commas");
+DEFINE_string(control, "", "operator addresses of control, comma-separated");
 DEFINE_string(operator_key, "", "bearer key of the operators");
-DEFINE_string(command_id, "", "id of the command, to resend it safely");
+DEFINE_string(command_id, "",
+              "id of the command; a retry with the same id is executed once");
 DEFINE_int64(base_version, -1, "version that the intent builds on");
-DEFINE_int32(timeout_ms, 15000, "how long to try");
-DEFINE_string(logs, "",
-              "log files of processes, with commas, for explain and losses");
+DEFINE_int32(timeout_ms, 15000, "milliseconds for an answer, with retries");
+DEFINE_string(
+    logs, "",
+    "log files of processes, comma-separated, for explain and losses");
 DEFINE_int32(late_first_ms, 500, "losses: a later first event is late");
 DEFINE_int32(late_pause_ms, 200, "losses: a longer pause is late");
 DEFINE_bool(json, false, "print the answer as JSON");
@@ -35,21 +37,21 @@
 
 constexpr const char* kUsage =
     "spindleweirctl [flags] COMMAND\n\n"
-    "  intent FILE        state an intent (- reads standard input)\n"
+    "  intent FILE        submit an intent (- reads standard input)\n"
     "  plan ID            show a plan\n"
     "  confirm ID         put a plan in force\n"
     "  configuration      show the accepted configuration\n"
     "  state              show leader, routers and upstreams\n"
-    "  explain REQUEST    show the receipt of a request; with --logs: what\n"
-    "                     the lines of all processes say became of it\n"
+    "  explain REQUEST    show the receipt of a request; with --logs:\n"
+    "                     its events and outcome in the logs of all processes\n"
     "  losses             with --logs: how many requests were lost or late,\n"
     "                     by cause, zone, route and second\n"
-    "  drain VM           give a VM no new work\n"
-    "  undrain VM         take a VM back\n"
+    "  drain VM           send a VM no new work\n"
+    "  undrain VM         send a drained VM work again\n"
     "  voters ID,ID,...   replace the voters, one at a time\n\n"
-    "Exit codes: 0 done, 1 refused, 2 bad use, 3 control not reached.";
+    "Exit codes: 0 done, 1 refused, 2 invalid usage, 3 control unreachable.";
 
-/// What one command line asks for.
+/// The HTTP request of a command line.
 struct CtlRequest {
   std::string mMethod;
   std::string mPath;
@@ -107,7 +109,8 @@
     return {"GET", "/v1/state", {}};
   }
   if (aArguments.size() != 2) {
-    throw Error(ResultCode::kBadSetting, "bad command; see --help");
+    throw Error(ResultCode::kBadSetting,
+                "wrong number of arguments; see --help");
   }
   const std::string& argument = aArguments[1];
   if (command == "intent") {
@@ -129,7 +132,7 @@
     return VotersRequest(argument);
   }
   throw Error(ResultCode::kBadSetting,
-              "no command " + command + "; see --help");
+              "unknown command " + command + "; see --help");
 }
 
 void PrintStage(const Json::Value& aStage) {
@@ -223,7 +226,7 @@
   }
 }
 
-/// Tells where requests were lost, from the logs alone.
+/// Prints lost and late requests by cause and place, from the logs alone.
 int LossesFromLogs() {
   LossReport report(
       {.mFirstEventMs = FLAGS_late_first_ms, .mPauseMs = FLAGS_late_pause_ms});
@@ -239,7 +242,7 @@
   return summary.mRequests > 0 ? 0 : kExitRefused;
 }
 
-/// Tells what became of a request from the logs alone.
+/// Prints the events and outcome of a request from the logs alone.
 int ExplainFromLogs(const std::string& aRequest) {
   ReportBuilder builder;
   ForEachLogLine(
--- a/main/router_main.cpp
+++ b/main/router_main.cpp
@@ -13,24 +13,27 @@
 DEFINE_string(id, "", "name of this process in the list of entry VMs");
 DEFINE_string(zone, "", "availability zone of this VM");
 DEFINE_string(listen, "127.0.0.1:0", "IP:PORT for callers");
-DEFINE_string(rpc_listen, "127.0.0.1:0", "IP:PORT for our own processes");
+DEFINE_string(rpc_listen, "127.0.0.1:0", "IP:PORT for routers and control");
 DEFINE_string(entry_vms, "", "path of the list of entry VMs");
 DEFINE_string(platform, "", "IP:PORT of the platform's list of VMs");
-DEFINE_string(cluster_key, "", "secret that our processes share");
-DEFINE_string(port_file, "", "file to write the addresses in force to");
+DEFINE_string(cluster_key, "", "secret that routers and control share");
+DEFINE_string(port_file, "", "file to write the bound addresses to");
 DEFINE_string(log_level, "info", "debug, info, warning or error");
-DEFINE_int32(max_in_flight, 512, "requests in flight at a time");
-DEFINE_int32(max_queue, 1024, "requests waiting for a place");
-DEFINE_int32(max_loads, 4, "engines of the zone that load at a time");
-DEFINE_int32(silence_ms, 700, "silence of a chain before it is probed");
-DEFINE_int32(stop_unready_ms, 2000, "serves on so long after SIGTERM");
-DEFINE_int32(stop_grace_ms, 60000, "for requests in flight after SIGTERM");
+DEFINE_int32(max_in_flight, 512, "max. requests in flight at a time");
+DEFINE_int32(max_queue, 1024, "max. requests in the queue");
+DEFINE_int32(max_loads, 4,
+             "max. engines of the zone that load layers at a time");
+DEFINE_int32(silence_ms, 700, "stall timeout of a chain, milliseconds");
+DEFINE_int32(stop_unready_ms, 2000,
+             "milliseconds of service, not ready, after SIGTERM");
+DEFINE_int32(stop_grace_ms, 60000,
+             "milliseconds for requests in flight after SIGTERM");
 DEFINE_string(boot, "",
               "settings file of the users' platform; then all settings but "
               "--cluster_key and --log_level come from it");
-DEFINE_int32(metrics_port, 0, "with --boot: port for figures; 0: none");
+DEFINE_int32(metrics_port, 0, "with --boot: port for metrics; 0: none");
 DEFINE_double(cost_zone_byte, 1,
-              "with --boot: how dear bytes between zones are, 0 to 1");
+              "with --boot: relative cost of bytes between zones, 0 to 1");
 DEFINE_bool(check, false, "check the settings and exit");
 
 namespace spindleweir {
@@ -88,7 +91,7 @@
   }
   EventLoop loop;
   std::unique_ptr<RouterDaemon> daemon;
-  // A signal that comes while the parts are made is heard once the loop runs.
+  // A signal that arrives during construction is handled once the loop runs.
   const auto signal = loop.OnStopSignal([&daemon] { daemon->Stop(); });
   daemon = std::make_unique<RouterDaemon>(loop, std::move(options));
   loop.Run();
@@ -100,6 +103,6 @@
 
 int main(int aArgc, char** aArgv) {
   return spindleweir::RunProgram(
-      aArgc, aArgv, "takes callers' requests and routes them to upstreams",
+      aArgc, aArgv, "accepts callers' requests and routes them to upstreams",
       spindleweir::Run);
 }
--- a/main/standin_main.cpp
+++ b/main/standin_main.cpp
@@ -15,17 +15,17 @@
 DEFINE_string(vm, "", "name of the VM");
 DEFINE_string(zone, "", "availability zone");
 DEFINE_string(listen, "127.0.0.1:0", "IP:PORT");
-DEFINE_string(port_file, "", "file to write the address in force to");
+DEFINE_string(port_file, "", "file to write the bound address to");
 DEFINE_string(record, "", "file to write records to");
 DEFINE_string(accelerator, "a100", "engine: kind of accelerator");
-DEFINE_int32(memory_layers, 8, "engine: layers that fit");
-DEFINE_double(layer_us, 1000, "engine: microseconds a layer and step");
-DEFINE_int32(batch, 8, "engine: tokens a step");
-DEFINE_int32(load_ms, 200, "engine: time to load layers");
-DEFINE_bool(checks_fence, true, "engine: refuses orders of an old epoch");
-DEFINE_int32(delay_ms, 5, "service: time from run to answer");
+DEFINE_int32(memory_layers, 8, "engine: layers that fit into memory");
+DEFINE_double(layer_us, 1000, "engine: microseconds per layer and step");
+DEFINE_int32(batch, 8, "engine: tokens per step");
+DEFINE_int32(load_ms, 200, "engine: milliseconds to load layers");
+DEFINE_bool(checks_fence, true, "engine: refuse orders of an old epoch");
+DEFINE_int32(delay_ms, 5, "service: milliseconds from run to answer");
 DEFINE_string(file, "", "platform: the list to serve");
-DEFINE_int32(lag_ms, 0, "platform: how old the served list is");
+DEFINE_int32(lag_ms, 0, "platform: age of the served list, milliseconds");
 
 namespace spindleweir {
 namespace {
@@ -83,5 +83,6 @@
 
 int main(int aArgc, char** aArgv) {
   return spindleweir::RunProgram(
-      aArgc, aArgv, "stands in for an outside system", spindleweir::Run);
+      aArgc, aArgv, "simulates an engine, a service or the platform",
+      spindleweir::Run);
 }
