--- a/main/ctl_main.cpp
+++ b/main/ctl_main.cpp
@@ -23,8 +23,10 @@
 DEFINE_string(
     logs, "",
     "log files of processes, comma-separated, for explain and losses");
-DEFINE_int32(late_first_ms, 500, "losses: a later first event is late");
-DEFINE_int32(late_pause_ms, 200, "losses: a longer pause is late");
+DEFINE_int32(late_first_ms, 500,
+             "losses: milliseconds after which a first event is late");
+DEFINE_int32(late_pause_ms, 200,
+             "losses: milliseconds after which a pause is late");
 DEFINE_bool(json, false, "print the answer as JSON");
 
 namespace spindleweir {
@@ -110,7 +112,8 @@
   }
   if (aArguments.size() != 2) {
     throw Error(ResultCode::kBadSetting,
-                "wrong number of arguments; see --help");
+                "missing or unknown command, or wrong number of arguments; "
+                "see --help");
   }
   const std::string& argument = aArguments[1];
   if (command == "intent") {
