--- a/bench/memory_measures.cpp
+++ b/bench/memory_measures.cpp
@@ -115,8 +115,8 @@
   options.mMemoryBytes = aCase.mMemoryBytes;
   options.mSocketBufferBytes = kWindow;
   options.mMaxConnections = kConnections;
-  options.mCallers = PlainCallers();
-  options.mEngines = PlainEngines();
+  options.mCallers = PlainCallerProtocol();
+  options.mEngines = PlainEngineProtocol();
   RelayRouter router(loop, std::move(options));
   const int port = router.Address().mPort;
   (void)!write(aPipe, &port, sizeof(port));
@@ -425,8 +425,8 @@
     options.mSeeds = {mSeed};
     options.mFirstStart = true;
     options.mElectionTimeout = 50;
-    options.mDocuments = PlainDocuments();
-    options.mEngines = PlainEngines();
+    options.mDocuments = PlainDocumentProtocol();
+    options.mEngines = PlainEngineProtocol();
     return options;
   }
 
--- a/standins/engine_standin.cpp
+++ b/standins/engine_standin.cpp
@@ -13,8 +13,8 @@
 constexpr int kHttpOk = 200;
 constexpr int kHttpConflict = 409;
 constexpr double kMicrosPerMilli = 1000;
-constexpr double kLateTimer = 4;
-constexpr Millis kFrozenStep = 20;
+constexpr double kMaxTimerLagMillis = 4;
+constexpr Millis kFrozenRetryInterval = 20;
 
 /// Tells the first engine of a chain that a token came out of the last.
 struct TokenAck {
@@ -52,9 +52,9 @@
 struct EngineStandin::Stream {
   ChainJob mJob;
   std::shared_ptr<HttpExchange> mExchange;
-  std::unique_ptr<HttpCall> mBefore;  ///< From the engine before.
-  std::string mPartial;               ///< A line not yet whole.
-  bool mLastCame = false;             ///< The last frame from before is here.
+  std::unique_ptr<HttpCall> mPreviousStage;  ///< From the engine before.
+  std::string mPartialLine;                  ///< A line not yet whole.
+  bool mLastFrameArrived = false;  ///< The last frame from before is here.
 
   const ChainHop& Hop() const {
     return mJob.mChain[static_cast<std::size_t>(mJob.mPosition)];
@@ -92,20 +92,20 @@
 void EngineStandin::Handle(const std::shared_ptr<HttpExchange>& aExchange) {
   const std::string& path = aExchange->Path();
   if (mFreezeTimer != nullptr) {
-    mHeldBack.push_back(aExchange);
+    mHeldExchanges.push_back(aExchange);
     return;
   }
   try {
     if (path == "/v1/report") {
-      Report(*aExchange);
+      HandleReport(*aExchange);
     } else if (path == "/v1/orders") {
-      Order(*aExchange);
+      HandleOrder(*aExchange);
     } else if (path == "/v1/stages/run") {
       StartStream(aExchange);
     } else if (path == "/v1/stages/ack") {
-      Acknowledge(*aExchange);
+      HandleTokenAck(*aExchange);
     } else if (path == "/v1/faults") {
-      Fault(*aExchange);
+      HandleFault(*aExchange);
     } else {
       throw Error(ResultCode::kNotFound, path);
     }
@@ -114,7 +114,7 @@
   }
 }
 
-void EngineStandin::Report(HttpExchange& aExchange) {
+void EngineStandin::HandleReport(HttpExchange& aExchange) {
   const Millis now = SteadyNow();
   mSamples.push_back({now, static_cast<int>(mStreams.size())});
   while (mSamples.size() > 1 && mSamples[1].mAt <= now - mOptions.mReportLag) {
@@ -124,7 +124,7 @@
   ReplyJson(aExchange, kHttpOk, ToJson(mReport));
 }
 
-void EngineStandin::Order(HttpExchange& aExchange) {
+void EngineStandin::HandleOrder(HttpExchange& aExchange) {
   const auto order = FromJson<EngineOrderMessage>(ParseJson(aExchange.Body()));
   if (mOptions.mChecksFence && order.mEpoch < mReport.mEpoch) {
     aExchange.Reply(kHttpConflict, "application/json", "{}");
@@ -139,7 +139,7 @@
   mReport.mLoading = order.mKind == "load";
   const std::map<std::string, std::shared_ptr<Stream>> streams = mStreams;
   for (const auto& [request, stream] : streams) {
-    Break(stream, "the engine changes its layers", mOptions.mVm);
+    FailStream(stream, "the engine changes its layers", mOptions.mVm);
   }
   if (order.mKind == "load") {
     mLoadTimer = mLoop.After(mOptions.mLoadMillis, [this, order] {
@@ -172,7 +172,7 @@
     if (known->second->mJob.mAttempt > stream->mJob.mAttempt) {
       throw Error(ResultCode::kVersionConflict, "an older attempt");
     }
-    Drop(request);
+    RemoveStream(request);
   }
   mStreams[request] = stream;
   const std::weak_ptr<Stream> weak = stream;
@@ -180,18 +180,18 @@
     const std::shared_ptr<Stream> held = weak.lock();
     const auto it = mStreams.find(request);
     if (held != nullptr && it != mStreams.end() && it->second == held) {
-      Drop(request);
+      RemoveStream(request);
     }
   });
   aExchange->StartStream(kHttpOk, "application/x-ndjson");
   if (stream->IsFirst()) {
-    NextToken(stream, static_cast<int>(stream->mJob.mDelivered.size()));
+    StartToken(stream, static_cast<int>(stream->mJob.mDelivered.size()));
   } else {
-    AskBefore(stream);
+    CallPreviousStage(stream);
   }
 }
 
-void EngineStandin::AskBefore(const std::shared_ptr<Stream>& aStream) {
+void EngineStandin::CallPreviousStage(const std::shared_ptr<Stream>& aStream) {
   ChainJob job = aStream->mJob;
   job.mPosition--;
   const ChainHop before = job.mChain[static_cast<std::size_t>(job.mPosition)];
@@ -208,29 +208,29 @@
     if (stream == nullptr) {
       return;
     }
-    stream->mPartial += aBytes;
-    for (std::size_t end = stream->mPartial.find('\n');
-         end != std::string::npos; end = stream->mPartial.find('\n')) {
-      const std::string line = stream->mPartial.substr(0, end);
-      stream->mPartial.erase(0, end + 1);
+    stream->mPartialLine += aBytes;
+    for (std::size_t end = stream->mPartialLine.find('\n');
+         end != std::string::npos; end = stream->mPartialLine.find('\n')) {
+      const std::string line = stream->mPartialLine.substr(0, end);
+      stream->mPartialLine.erase(0, end + 1);
       const auto activation = FromJson<Activation>(ParseJson(line));
-      stream->mLastCame = activation.mFrame.mLast;
+      stream->mLastFrameArrived = activation.mFrame.mLast;
       Enqueue(stream, activation);
     }
   };
   options.mOnDone = [this, weak, name = before.mEngine](const HttpResult&) {
     const std::shared_ptr<Stream> stream = weak.lock();
-    if (stream != nullptr && !stream->mLastCame &&
+    if (stream != nullptr && !stream->mLastFrameArrived &&
         !stream->mExchange->Closed()) {
       // The last frame ends a stream; an end before it is a failure.
-      Break(stream, "the stage before ended", name);
+      FailStream(stream, "the stage before ended", name);
     }
   };
-  aStream->mBefore = mClient.Start(std::move(options));
+  aStream->mPreviousStage = mClient.Start(std::move(options));
 }
 
-void EngineStandin::NextToken(const std::shared_ptr<Stream>& aStream,
-                              int aIndex) {
+void EngineStandin::StartToken(const std::shared_ptr<Stream>& aStream,
+                               int aIndex) {
   if (aIndex >= aStream->mJob.mMaximumTokens) {
     return;
   }
@@ -246,7 +246,7 @@
 void EngineStandin::Enqueue(const std::shared_ptr<Stream>& aStream,
                             const Activation& aActivation) {
   if (!aActivation.mFrame.mError.empty()) {
-    Break(aStream, aActivation.mFrame.mError, aActivation.mFrame.mFailed);
+    FailStream(aStream, aActivation.mFrame.mError, aActivation.mFrame.mFailed);
     return;
   }
   mQueue.push_back({aStream, aActivation});
@@ -260,8 +260,8 @@
   if (mStepTimer != nullptr || mQueue.empty()) {
     return;
   }
-  const auto most = static_cast<std::size_t>(mOptions.mBatch);
-  while (!mQueue.empty() && mBatch.size() < most) {
+  const auto maxBatch = static_cast<std::size_t>(mOptions.mBatch);
+  while (!mQueue.empty() && mBatch.size() < maxBatch) {
     if (!mQueue.front().mStream.expired()) {
       mBatch.push_back(std::move(mQueue.front()));
     }
@@ -274,8 +274,8 @@
       mOptions.mLayerMicros * (mReport.mLast - mReport.mFirst) * mSlowdown;
   // Steps that follow each other keep their pace whatever a timer is late.
   const auto now = static_cast<double>(SteadyNow());
-  const double begin = now - mStepEnd < kLateTimer ? mStepEnd : now;
-  mStepEnd = begin + micros / kMicrosPerMilli;
+  const double start = now - mStepEnd < kMaxTimerLagMillis ? mStepEnd : now;
+  mStepEnd = start + micros / kMicrosPerMilli;
   const auto millis = static_cast<Millis>(std::max(0.0, mStepEnd - now));
   // What a report tells is the nominal time: a slow engine does not know it.
   mReport.mStepMillis = mOptions.mLayerMicros *
@@ -286,7 +286,7 @@
 void EngineStandin::FinishStep() {
   mStepTimer.reset();
   if (mFreezeTimer != nullptr) {
-    mStepTimer = mLoop.After(kFrozenStep, [this] { FinishStep(); });
+    mStepTimer = mLoop.After(kFrozenRetryInterval, [this] { FinishStep(); });
     return;
   }
   const std::vector<WorkItem> batch = std::move(mBatch);
@@ -294,26 +294,26 @@
   for (const WorkItem& item : batch) {
     const std::shared_ptr<Stream> stream = item.mStream.lock();
     if (stream != nullptr && !stream->mExchange->Closed()) {
-      Emit(stream, item.mActivation);
+      SendToken(stream, item.mActivation);
     }
   }
   StartStep();
 }
 
-void EngineStandin::Emit(const std::shared_ptr<Stream>& aStream,
-                         Activation aActivation) {
+void EngineStandin::SendToken(const std::shared_ptr<Stream>& aStream,
+                              Activation aActivation) {
   const ChainHop hop = aStream->Hop();
   TokenFrame& frame = aActivation.mFrame;
   if (frame.mLayers != hop.mFirst) {
-    Break(aStream, "layers out of order", mOptions.mVm);
+    FailStream(aStream, "layers out of order", mOptions.mVm);
     return;
   }
   for (int layer = hop.mFirst; layer < hop.mLast; layer++) {
     aActivation.mValue = RunLayer(aActivation.mValue, layer);
   }
   frame.mLayers = hop.mLast;
-  frame.mText = WordOf(aActivation.mValue);
-  if (mRecord.On()) {
+  frame.mText = TokenText(aActivation.mValue);
+  if (mRecord.IsOpen()) {
     Json::Value fields(Json::objectValue);
     fields["request"] = frame.mRequest;
     fields["attempt"] = frame.mAttempt;
@@ -337,7 +337,7 @@
   if (aStream->IsLast() && !frame.mLast) {
     const TokenAck ack{frame.mRequest, frame.mAttempt, frame.mIndex};
     if (aStream->IsFirst()) {
-      NextToken(aStream, frame.mIndex + 1);
+      StartToken(aStream, frame.mIndex + 1);
     } else {
       HttpCallOptions options;
       options.mServer =
@@ -350,35 +350,36 @@
   }
   if (frame.mLast) {
     aStream->mExchange->EndStream();
-    Drop(frame.mRequest);
+    RemoveStream(frame.mRequest);
   }
 }
 
-void EngineStandin::Acknowledge(HttpExchange& aExchange) {
+void EngineStandin::HandleTokenAck(HttpExchange& aExchange) {
   const auto ack = FromJson<TokenAck>(ParseJson(aExchange.Body()));
   const auto it = mStreams.find(ack.mRequest);
   if (it != mStreams.end() && it->second->mJob.mAttempt == ack.mAttempt) {
-    NextToken(it->second, ack.mIndex + 1);
+    StartToken(it->second, ack.mIndex + 1);
   }
   ReplyJson(aExchange, kHttpOk, Json::Value(Json::objectValue));
 }
 
-void EngineStandin::Break(const std::shared_ptr<Stream>& aStream,
-                          const std::string& aWhy, const std::string& aFailed) {
+void EngineStandin::FailStream(const std::shared_ptr<Stream>& aStream,
+                               const std::string& aReason,
+                               const std::string& aFailed) {
   Activation broken;
   broken.mFrame.mRequest = aStream->mJob.mRequest;
   broken.mFrame.mAttempt = aStream->mJob.mAttempt;
-  broken.mFrame.mError = aWhy;
+  broken.mFrame.mError = aReason;
   broken.mFrame.mFailed = aFailed;
   aStream->mExchange->Write(DumpJson(ToJson(broken)) + "\n");
   aStream->mExchange->EndStream();
   const auto it = mStreams.find(aStream->mJob.mRequest);
   if (it != mStreams.end() && it->second == aStream) {
-    Drop(aStream->mJob.mRequest);
+    RemoveStream(aStream->mJob.mRequest);
   }
 }
 
-void EngineStandin::Drop(const std::string& aRequest) {
+void EngineStandin::RemoveStream(const std::string& aRequest) {
   const auto it = mStreams.find(aRequest);
   if (it == mStreams.end()) {
     return;
@@ -389,24 +390,25 @@
     stream->mExchange->EndStream();
   }
   // The call to the stage before may be on the stack.
-  mLoop.Post([stream] { stream->mBefore.reset(); });
+  mLoop.Post([stream] { stream->mPreviousStage.reset(); });
 }
 
-void EngineStandin::Fault(HttpExchange& aExchange) {
+void EngineStandin::HandleFault(HttpExchange& aExchange) {
   const auto fault = FromJson<FaultMessage>(ParseJson(aExchange.Body()));
   mCorrupt = fault.mCorrupt;
   mSlowdown = fault.mSlowdown;
   mReport.mLeaving = fault.mLeaving;
   if (fault.mFreeze > 0) {
-    mFreezeTimer = mLoop.After(fault.mFreeze, [this] { Thaw(); });
+    mFreezeTimer = mLoop.After(fault.mFreeze, [this] { Unfreeze(); });
   }
   ReplyJson(aExchange, kHttpOk, Json::Value(Json::objectValue));
 }
 
-void EngineStandin::Thaw() {
+void EngineStandin::Unfreeze() {
   mFreezeTimer.reset();
-  const std::vector<std::shared_ptr<HttpExchange>> held = std::move(mHeldBack);
-  mHeldBack.clear();
+  const std::vector<std::shared_ptr<HttpExchange>> held =
+      std::move(mHeldExchanges);
+  mHeldExchanges.clear();
   for (const std::shared_ptr<HttpExchange>& exchange : held) {
     Handle(exchange);
   }
--- a/standins/engine_standin.h
+++ b/standins/engine_standin.h
@@ -59,22 +59,23 @@
   };
 
   void Handle(const std::shared_ptr<HttpExchange>& aExchange);
-  void Report(HttpExchange& aExchange);
-  void Order(HttpExchange& aExchange);
+  void HandleReport(HttpExchange& aExchange);
+  void HandleOrder(HttpExchange& aExchange);
   void StartStream(const std::shared_ptr<HttpExchange>& aExchange);
-  void Acknowledge(HttpExchange& aExchange);
-  void Fault(HttpExchange& aExchange);
-  void AskBefore(const std::shared_ptr<Stream>& aStream);
+  void HandleTokenAck(HttpExchange& aExchange);
+  void HandleFault(HttpExchange& aExchange);
+  void CallPreviousStage(const std::shared_ptr<Stream>& aStream);
   void Enqueue(const std::shared_ptr<Stream>& aStream,
                const Activation& aActivation);
-  void Break(const std::shared_ptr<Stream>& aStream, const std::string& aWhy,
-             const std::string& aFailed);
+  void FailStream(const std::shared_ptr<Stream>& aStream,
+                  const std::string& aReason, const std::string& aFailed);
   void StartStep();
   void FinishStep();
-  void Emit(const std::shared_ptr<Stream>& aStream, Activation aActivation);
-  void NextToken(const std::shared_ptr<Stream>& aStream, int aIndex);
-  void Drop(const std::string& aRequest);
-  void Thaw();
+  void SendToken(const std::shared_ptr<Stream>& aStream,
+                 Activation aActivation);
+  void StartToken(const std::shared_ptr<Stream>& aStream, int aIndex);
+  void RemoveStream(const std::string& aRequest);
+  void Unfreeze();
 
   EventLoop& mLoop;
   EngineStandinOptions mOptions;
@@ -96,7 +97,7 @@
   std::unique_ptr<Timer> mStepTimer;
   std::unique_ptr<Timer> mLoadTimer;
   std::unique_ptr<Timer> mFreezeTimer;  ///< Set: the engine is frozen.
-  std::vector<std::shared_ptr<HttpExchange>> mHeldBack;
+  std::vector<std::shared_ptr<HttpExchange>> mHeldExchanges;
   std::unique_ptr<HttpServer> mServer;
 };
 
--- a/standins/expected_answer.cpp
+++ b/standins/expected_answer.cpp
@@ -14,7 +14,7 @@
   return FastHash(bytes, static_cast<std::uint64_t>(aLayer) + 1);
 }
 
-std::string WordOf(std::uint64_t aValue) {
+std::string TokenText(std::uint64_t aValue) {
   constexpr std::uint64_t kWords = 100000;
   return " w" + std::to_string(aValue % kWords);
 }
@@ -26,7 +26,7 @@
     for (int layer = 0; layer < aLayers; layer++) {
       value = RunLayer(value, layer);
     }
-    answer += WordOf(value);
+    answer += TokenText(value);
   }
   return answer;
 }
--- a/standins/expected_answer.h
+++ b/standins/expected_answer.h
@@ -15,7 +15,7 @@
 std::uint64_t RunLayer(std::uint64_t aValue, int aLayer);
 
 /// The token that a value stands for.
-std::string WordOf(std::uint64_t aValue);
+std::string TokenText(std::uint64_t aValue);
 
 /// The whole answer of aTokens tokens.
 std::string ExpectedAnswer(std::string_view aPrompt, int aLayers, int aTokens);
--- a/standins/plain_protocol.cpp
+++ b/standins/plain_protocol.cpp
@@ -43,8 +43,8 @@
   if (!limit.empty()) {
     facts.mLimit.mPerSecond = std::stod(limit);
   }
-  const std::string rest = ValueOf(aHead.mHeaders, "X-Rest");
-  facts.mBackoff = rest.empty() ? 0 : std::stoll(rest);
+  const std::string backoff = ValueOf(aHead.mHeaders, "X-Rest");
+  facts.mBackoff = backoff.empty() ? 0 : std::stoll(backoff);
   facts.mLeaves = FindHeader(aHead.mHeaders, "X-Leaves") != nullptr;
   return facts;
 }
@@ -62,7 +62,7 @@
 
 }  // namespace
 
-CallerProtocol PlainCallers() {
+CallerProtocol PlainCallerProtocol() {
   return {.mReadRequest = &ReadRequest,
           .mWriteRequest = &WriteRequest,
           .mReadAnswer = &ReadAnswer,
@@ -70,13 +70,13 @@
           .mWriteRefusal = &WriteRefusal};
 }
 
-DocumentProtocol PlainDocuments() {
+DocumentProtocol PlainDocumentProtocol() {
   return {.mRead = [](std::string_view aText) {
     return FromJson<TrafficConfiguration>(ParseJson(aText));
   }};
 }
 
-EngineProtocol PlainEngines() {
+EngineProtocol PlainEngineProtocol() {
   return {
       .mWritePlace =
           [](const PlaceOrder&) {
@@ -87,8 +87,8 @@
             EngineMessage message{.mMethod = "POST",
                                   .mTarget = kRepathTarget,
                                   .mHeaders = {{"Host", "engine"}}};
-            for (const PathStage& part : *aOrder.mPath) {
-              message.mBody += part.mInstance + " ";
+            for (const PathStage& stage : *aOrder.mPath) {
+              message.mBody += stage.mInstance + " ";
             }
             return message;
           },
--- a/standins/plain_protocol.h
+++ b/standins/plain_protocol.h
@@ -8,12 +8,12 @@
 
 /// Headers X-Request, X-Key, X-Deadline, X-After; answers carry X-Signature,
 /// and X-Ran: no where they did not run.
-CallerProtocol PlainCallers();
+CallerProtocol PlainCallerProtocol();
 /// The product's own words as JSON.
-DocumentProtocol PlainDocuments();
+DocumentProtocol PlainDocumentProtocol();
 /// Where an order to move a request goes; its body names the path.
 inline constexpr const char* kRepathTarget = "/repath";
 /// Orders and reports as JSON.
-EngineProtocol PlainEngines();
+EngineProtocol PlainEngineProtocol();
 
 }  // namespace spindleweir
--- a/standins/platform_standin.h
+++ b/standins/platform_standin.h
@@ -31,8 +31,8 @@
     std::string mText;
   };
 
-  void Look();
-  const std::string& Shown();
+  void ReadList();
+  const std::string& VisibleList();
 
   PlatformStandinOptions mOptions;
   std::deque<Version> mVersions;  ///< Oldest first.
--- a/standins/record.cpp
+++ b/standins/record.cpp
@@ -6,22 +6,22 @@
 
 namespace spindleweir {
 
-Record::Record(const std::string& aPath, std::string aWho)
-    : mWho(std::move(aWho)) {
+Record::Record(const std::string& aPath, std::string aWriter)
+    : mWriter(std::move(aWriter)) {
   if (!aPath.empty()) {
     mFile.open(aPath, std::ios::app);
   }
 }
 
-void Record::Write(const char* aWhat, Json::Value aFields) {
-  if (!On()) {
+void Record::Write(const char* aEvent, Json::Value aFields) {
+  if (!IsOpen()) {
     return;
   }
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   aFields["wall_us"] = static_cast<Json::Int64>(
       std::chrono::duration_cast<std::chrono::microseconds>(now).count());
-  aFields["who"] = mWho;
-  aFields["what"] = aWhat;
+  aFields["who"] = mWriter;
+  aFields["what"] = aEvent;
   mFile << DumpJson(aFields) + "\n" << std::flush;
 }
 
--- a/standins/record.h
+++ b/standins/record.h
@@ -12,12 +12,12 @@
 /// Writes records; does nothing where it was given no path.
 class Record {
  public:
-  Record(const std::string& aPath, std::string aWho);
-  void Write(const char* aWhat, Json::Value aFields);
-  bool On() const { return mFile.is_open(); }
+  Record(const std::string& aPath, std::string aWriter);
+  void Write(const char* aEvent, Json::Value aFields);
+  bool IsOpen() const { return mFile.is_open(); }
 
  private:
-  std::string mWho;
+  std::string mWriter;
   std::ofstream mFile;
 };
 
--- a/standins/scripted_upstream.cpp
+++ b/standins/scripted_upstream.cpp
@@ -13,7 +13,7 @@
 constexpr int kServerError = 500;
 constexpr int kUnavailable = 503;
 
-int After(const RequestHead& aHead) {
+int LastEventOf(const RequestHead& aHead) {
   const std::string* value = FindHeader(aHead.mHeaders, "X-After");
   return value == nullptr ? 0 : std::stoi(*value);
 }
@@ -21,7 +21,9 @@
 }  // namespace
 
 ScriptedUpstream::ScriptedUpstream(EventLoop& aLoop, std::string aInstance)
-    : mLoop(aLoop), mInstance(std::move(aInstance)), mFailure(kServerError) {
+    : mLoop(aLoop),
+      mInstance(std::move(aInstance)),
+      mFailureStatus(kServerError) {
   mServer = std::make_unique<StreamServer>(
       aLoop, StreamServerOptions{
                  .mListen = {"127.0.0.1", 0},
@@ -43,19 +45,19 @@
   mLoop.Post([this] { mServer.reset(); });
 }
 
-void ScriptedUpstream::Next(std::vector<UpstreamAct> aActs) {
-  mActs.assign(aActs.begin(), aActs.end());
+void ScriptedUpstream::QueueActions(std::vector<UpstreamAction> aActions) {
+  mPendingActions.assign(aActions.begin(), aActions.end());
 }
 
-HttpHeaders ScriptedUpstream::Saying(HttpHeaders aHeaders) const {
+HttpHeaders ScriptedUpstream::WithNotices(HttpHeaders aHeaders) const {
   if (mLimit.has_value()) {
     aHeaders.push_back({"X-Limit", std::to_string(*mLimit)});
   }
-  if (mLeaves) {
+  if (mLeaving) {
     aHeaders.push_back({"X-Leaves", "1"});
   }
-  if (mRest.value_or(0) > 0) {
-    aHeaders.push_back({"X-Rest", std::to_string(*mRest)});
+  if (mBackoff.value_or(0) > 0) {
+    aHeaders.push_back({"X-Rest", std::to_string(*mBackoff)});
   }
   return aHeaders;
 }
@@ -66,7 +68,7 @@
                     [aFrom](Millis aAt) { return aAt >= aFrom; }));
 }
 
-int ScriptedUpstream::MostArrivalsIn(Millis aWindow, Millis aFrom) const {
+int ScriptedUpstream::MaxArrivalsIn(Millis aWindow, Millis aFrom) const {
   int most = 0;
   for (auto first = mArrivals.begin(); first != mArrivals.end(); first++) {
     if (*first < aFrom) {
@@ -84,7 +86,7 @@
   return it == mRuns.end() ? 0 : it->second;
 }
 
-int ScriptedUpstream::AllRuns() const {
+int ScriptedUpstream::TotalRuns() const {
   int runs = 0;
   for (const auto& [request, n] : mRuns) {
     runs += n;
@@ -95,43 +97,44 @@
 void ScriptedUpstream::Handle(
     const std::shared_ptr<StreamExchange>& aExchange) {
   if (aExchange->Head().mTarget == kRepathTarget) {
-    Move(*aExchange);
+    HandleRepath(*aExchange);
     return;
   }
   mArrivals.push_back(SteadyNow());
-  UpstreamAct act = UpstreamAct::kAnswer;
-  if (!mActs.empty()) {
-    act = mActs.front();
-    mActs.pop_front();
+  UpstreamAction action = UpstreamAction::kAnswer;
+  if (!mPendingActions.empty()) {
+    action = mPendingActions.front();
+    mPendingActions.pop_front();
   }
-  if (act == UpstreamAct::kRefuse || mRest.has_value()) {
-    aExchange->Reply(kUnavailable, Saying({{"X-Ran", "no"}}), "");
+  if (action == UpstreamAction::kRefuse || mBackoff.has_value()) {
+    aExchange->Reply(kUnavailable, WithNotices({{"X-Ran", "no"}}), "");
     return;
   }
   const std::string* request =
       FindHeader(aExchange->Head().mHeaders, "X-Request");
   mRuns[request == nullptr ? "" : *request]++;
-  if (!mCrashOn.empty() && aExchange->Head().mTarget.ends_with(mCrashOn)) {
+  if (!mCrashTarget.empty() &&
+      aExchange->Head().mTarget.ends_with(mCrashTarget)) {
     Crash();
     return;
   }
-  aExchange->OnClosed([this] { mClosed++; });
-  if (act == UpstreamAct::kSilent) {
+  aExchange->OnClosed([this] { mClosedEarly++; });
+  if (action == UpstreamAction::kSilent) {
     return;
   }
-  if (act == UpstreamAct::kLate) {
-    mLate.push_back(mLoop.After(kLateBy, [this, aExchange] {
-      aExchange->Reply(kOk, Saying({{"X-Signature", mInstance}}),
+  if (action == UpstreamAction::kDelayedAnswer) {
+    mTimers.push_back(mLoop.After(kAnswerDelay, [this, aExchange] {
+      aExchange->Reply(kOk, WithNotices({{"X-Signature", mInstance}}),
                        "by " + mInstance);
     }));
     return;
   }
   if (aExchange->Head().mTarget.starts_with("/stream/")) {
-    Stream(aExchange, act);
+    Stream(aExchange, action);
     return;
   }
-  if (act == UpstreamAct::kCut) {
-    aExchange->Start(kOk, Saying({{"X-Signature", mInstance}}), 100);
+  if (action == UpstreamAction::kTruncate) {
+    aExchange->Start(kOk, WithNotices({{"X-Signature", mInstance}}), 100);
     aExchange->Write("part");
     aExchange->Abort();
     return;
@@ -139,14 +142,14 @@
   const std::string body = mBytes > 0 && request != nullptr
                                ? BodyOf(*request, mBytes)
                                : "by " + mInstance;
-  aExchange->Reply(act == UpstreamAct::kFail ? mFailure : kOk,
-                   Saying({{"X-Signature", mInstance}}), body);
+  aExchange->Reply(action == UpstreamAction::kFail ? mFailureStatus : kOk,
+                   WithNotices({{"X-Signature", mInstance}}), body);
 }
 
-void ScriptedUpstream::Move(StreamExchange& aOrder) {
-  mMoves.push_back(aOrder.Body());
-  const bool refused = mRefusedMoves > 0;
-  mRefusedMoves -= refused ? 1 : 0;
+void ScriptedUpstream::HandleRepath(StreamExchange& aOrder) {
+  mRepaths.push_back(aOrder.Body());
+  const bool refused = mRejectedRepaths > 0;
+  mRejectedRepaths -= refused ? 1 : 0;
   aOrder.Reply(refused ? kConflict : kOk, {}, "");
 }
 
@@ -160,39 +163,41 @@
   return body;
 }
 
-void ScriptedUpstream::Pace(const std::shared_ptr<StreamExchange>& aExchange,
-                            int aId) {
+void ScriptedUpstream::WriteSlowly(
+    const std::shared_ptr<StreamExchange>& aExchange, int aId) {
   if (aId > kEvents) {
     aExchange->End();
     return;
   }
   aExchange->Write("id: " + std::to_string(aId) + "\ndata: x\n\n");
-  mLate.push_back(mLoop.After(
-      kPaceBy, [this, aExchange, aId] { Pace(aExchange, aId + 1); }));
+  mTimers.push_back(mLoop.After(kEventInterval, [this, aExchange, aId] {
+    WriteSlowly(aExchange, aId + 1);
+  }));
 }
 
 void ScriptedUpstream::Stream(const std::shared_ptr<StreamExchange>& aStream,
-                              UpstreamAct aAct) {
-  constexpr int kCutAfter = 2;
+                              UpstreamAction aAction) {
+  constexpr int kTruncatedEvents = 2;
   StreamExchange& exchange = *aStream;
   exchange.Start(kOk,
-                 Saying({{"X-Signature", mInstance},
-                         {"Content-Type", "text/event-stream"}}),
+                 WithNotices({{"X-Signature", mInstance},
+                              {"Content-Type", "text/event-stream"}}),
                  std::nullopt);
-  const int first = After(exchange.Head()) + 1;
-  if (aAct == UpstreamAct::kPaced) {
-    Pace(aStream, first);
+  const int first = LastEventOf(exchange.Head()) + 1;
+  if (aAction == UpstreamAction::kSlowStream) {
+    WriteSlowly(aStream, first);
     return;
   }
   for (int id = first; id <= kEvents; id++) {
-    if (aAct == UpstreamAct::kCut && id - first >= kCutAfter) {
+    if (aAction == UpstreamAction::kTruncate &&
+        id - first >= kTruncatedEvents) {
       exchange.Write("id: " + std::to_string(id) + "\nda");
       // In order to break off after what was written, not before it.
       exchange.OnDrained([exchange = &exchange] { exchange->Abort(); });
       return;
     }
     exchange.Write("id: " + std::to_string(id) + "\ndata: x\n\n");
-    if (aAct == UpstreamAct::kStall) {
+    if (aAction == UpstreamAction::kStall) {
       return;
     }
   }
--- a/tests/daemons/crashing_request_test.cpp
+++ b/tests/daemons/crashing_request_test.cpp
@@ -23,7 +23,7 @@
     for (int i = 0; i < kUpstreams; i++) {
       mUpstreams.push_back(std::make_unique<ScriptedUpstream>(
           mFixture.mLoop, "u" + std::to_string(i)));
-      mUpstreams.back()->CrashOn("crashing");
+      mUpstreams.back()->CrashOnTarget("crashing");
       mFixture.SendHeartbeat(*mUpstreams.back(), UpstreamState::kReady);
     }
     mOther = mFixture.MakeRouter("other");
@@ -111,7 +111,7 @@
   SECTION("however many upstreams crash, as it completes in between") {
     for (int i = 0; i < 5; i++) {
       ScriptedUpstream ends(fixture.mFixture.mLoop, "ends" + std::to_string(i));
-      ends.CrashOn("innocent");
+      ends.CrashOnTarget("innocent");
       fixture.mFixture.SendHeartbeat(ends, UpstreamState::kReady);
       for (int n = 0; !ends.Crashed(); n++) {
         REQUIRE(n < 2000);
@@ -139,8 +139,8 @@
   hold(first, 0);
   hold(second, 4);
   fixture.Wait(600);
-  first.Next({UpstreamAct::kSilent});
-  const int before = first.AllRuns();
+  first.QueueActions({UpstreamAction::kSilent});
+  const int before = first.TotalRuns();
   StreamCallOptions options;
   options.mServer = fixture.mRouter->Address();
   options.mMethod = "POST";
@@ -149,7 +149,7 @@
   bool ended = false;
   options.mOnEnd = [&](StreamEnd) { ended = true; };
   const auto call = StartStreamCall(fixture.mLoop, std::move(options));
-  REQUIRE(fixture.RunUntil([&] { return first.AllRuns() > before; }));
+  REQUIRE(fixture.RunUntil([&] { return first.TotalRuns() > before; }));
   second.Crash();
   first.Crash();
   REQUIRE(fixture.RunUntil([&] { return ended; }));
--- a/tests/daemons/cut_streams_test.cpp
+++ b/tests/daemons/cut_streams_test.cpp
@@ -51,7 +51,8 @@
   fixture.Wait(kWindow);
   fixture.ReportRouters(9);
   SECTION("one upstream cuts its streams, no other router needs a retry") {
-    fixture.mA.Next(std::vector<UpstreamAct>(kStreams, UpstreamAct::kCut));
+    fixture.mA.QueueActions(
+        std::vector<UpstreamAction>(kStreams, UpstreamAction::kTruncate));
     std::vector<std::unique_ptr<OpenCall>> streams;
     for (int i = 0; i < kStreams; i++) {
       streams.push_back(fixture.Open("/stream/1", "s" + std::to_string(i)));
@@ -87,9 +88,9 @@
     fixture.mRouter->RefreshGauges();
     return fixture.mRouter->OwnCounters().Value("upstreams_ready") == 4;
   }));
-  const std::vector<UpstreamAct> paced(2, UpstreamAct::kPaced);
-  first.Next(paced);
-  second.Next(paced);
+  const std::vector<UpstreamAction> paced(2, UpstreamAction::kSlowStream);
+  first.QueueActions(paced);
+  second.QueueActions(paced);
   const auto stream = fixture.Open("/stream/1", "paced");
   REQUIRE(
       fixture.RunUntil([&stream] { return !stream->mAnswer.mBody.empty(); }));
@@ -109,8 +110,8 @@
       {.mRatio = 0, .mWindow = kWindow, .mSlack = 1, .mUsableShare = 1});
   fixture.Begin();
   fixture.Wait(kWindow);
-  fixture.mA.Next({UpstreamAct::kCut});
-  fixture.mB.Next({UpstreamAct::kCut});
+  fixture.mA.QueueActions({UpstreamAction::kTruncate});
+  fixture.mB.QueueActions({UpstreamAction::kTruncate});
   CHECK(fixture.Call("/look/1").mStatus == 502);
   SECTION(
       "its retry is available 2 s later, within the route's timeout of 5 s") {
--- a/tests/daemons/heartbeat_collectors_test.cpp
+++ b/tests/daemons/heartbeat_collectors_test.cpp
@@ -68,11 +68,11 @@
     CHECK(SendHeartbeatToRouter(
               fixture, RecordOf(fixture, fixture.mA, UpstreamState::kLeaving))
               .mAccepted);
-    const int before = fixture.mA.AllRuns();
+    const int before = fixture.mA.TotalRuns();
     for (int i = 0; i < 20; i++) {
       CHECK(fixture.Call("/look/x").mStatus == 200);
     }
-    CHECK(fixture.mA.AllRuns() == before);
+    CHECK(fixture.mA.TotalRuns() == before);
   }
 }
 
--- a/tests/daemons/incarnation_test.cpp
+++ b/tests/daemons/incarnation_test.cpp
@@ -92,10 +92,10 @@
   leaving.mState = UpstreamState::kLeaving;
   SendHeartbeat(story, leaving);
   REQUIRE(story.RunUntil([&story] { return ReadyAtRouter(story) == 1; }));
-  const int before = story.mA.AllRuns();
+  const int before = story.mA.TotalRuns();
   SECTION("a new incarnation with a lower sequence gets requests") {
     SendHeartbeat(story, HeartbeatOf(story.mA, kNextStart, 1));
-    for (int i = 0; story.mA.AllRuns() == before; i++) {
+    for (int i = 0; story.mA.TotalRuns() == before; i++) {
       REQUIRE(i < 200);
       CHECK(story.Call("/look/x").mStatus == 200);
       story.Wait(5);
@@ -145,14 +145,16 @@
     const std::int64_t seen = RestartsSeen(story);
     REQUIRE(story.RunUntil([&] { return ReadyAtRouter(story) == 2; }));
     story.Wait(600);
-    const int runsOfA = story.mA.AllRuns();
-    const int runsOfB = story.mB.AllRuns();
-    story.mA.Next({UpstreamAct::kSilent});
+    const int runsOfA = story.mA.TotalRuns();
+    const int runsOfB = story.mB.TotalRuns();
+    story.mA.QueueActions({UpstreamAction::kSilent});
     const OpenStream stream(story);
-    REQUIRE(story.RunUntil([&] { return story.mA.AllRuns() == runsOfA + 1; }));
+    REQUIRE(
+        story.RunUntil([&] { return story.mA.TotalRuns() == runsOfA + 1; }));
     SendHeartbeat(story, EngineHeartbeatOf(story.mB, start, 2, {0, 8}));
     SendHeartbeat(story, EngineHeartbeatOf(story.mA, ++start, 1, {}));
-    REQUIRE(story.RunUntil([&] { return story.mB.AllRuns() == runsOfB + 1; }));
+    REQUIRE(
+        story.RunUntil([&] { return story.mB.TotalRuns() == runsOfB + 1; }));
     took = SteadyNow() - stream.mBegun;
     CHECK(RestartsSeen(story) > seen);
     REQUIRE(story.RunUntil([&stream] { return stream.mEnded; }));
@@ -168,9 +170,9 @@
   SendHeartbeat(story, HeartbeatOf(story.mA, kFirstStart, 90));
   SendHeartbeat(story, HeartbeatOf(story.mB, kFirstStart, 90));
   story.Wait(300);
-  story.mA.Next({UpstreamAct::kSilent});
-  story.mB.Next({UpstreamAct::kSilent});
-  const int before = story.mA.AllRuns() + story.mB.AllRuns();
+  story.mA.QueueActions({UpstreamAction::kSilent});
+  story.mB.QueueActions({UpstreamAction::kSilent});
+  const int before = story.mA.TotalRuns() + story.mB.TotalRuns();
   const auto restart = story.mLoop.After(300, [&story] {
     for (const ScriptedUpstream* upstream : {&story.mA, &story.mB}) {
       story.mControl->ApplyHeartbeat(HeartbeatOf(*upstream, kNextStart, 1),
@@ -182,7 +184,7 @@
   CHECK(answer.mStatus >= 500);
   CHECK(answer.mStatus != 503);
   CHECK(story.RunsOfLast() == 1);
-  CHECK(story.mA.AllRuns() + story.mB.AllRuns() == before + 1);
+  CHECK(story.mA.TotalRuns() + story.mB.TotalRuns() == before + 1);
 }
 
 Test(incarnation, heartbeats_that_cannot_be_used_are_refused_and_counted) {
--- a/tests/daemons/memory_test.cpp
+++ b/tests/daemons/memory_test.cpp
@@ -124,8 +124,8 @@
   fixture.mSlots = 1000;
   fixture.StartRouter();
   fixture.Begin();
-  fixture.mA.SetBytes(kAnswer);
-  fixture.mB.SetBytes(kAnswer);
+  fixture.mA.SetAnswerBytes(kAnswer);
+  fixture.mB.SetAnswerBytes(kAnswer);
   Crowd crowd(fixture);
   crowd.Add(60, "/look/slow", Slow::kReadsNothing);
   crowd.Add(10, "/pay/slow", Slow::kReadsNothing);
@@ -170,8 +170,8 @@
   fixture.mMemoryBytes = kMemory;
   fixture.StartRouter();
   fixture.Begin();
-  fixture.mA.SetBytes(kAnswer);
-  fixture.mB.SetBytes(kAnswer);
+  fixture.mA.SetAnswerBytes(kAnswer);
+  fixture.mB.SetAnswerBytes(kAnswer);
   SlowCaller caller(fixture.mRouter->Address(), "/pay/slow", "slow",
                     Slow::kReadsNothing);
   caller.Step();
--- a/tests/daemons/outcome_test.cpp
+++ b/tests/daemons/outcome_test.cpp
@@ -178,19 +178,19 @@
   fixture.Begin();
   for (int status : kPromises) {
     // The answer doesn't state that the request did not run, so it may have.
-    fixture.mA.FailWith(status);
-    fixture.mB.FailWith(status);
-    fixture.mA.Next({UpstreamAct::kFail});
-    fixture.mB.Next({UpstreamAct::kFail});
+    fixture.mA.SetFailureStatus(status);
+    fixture.mB.SetFailureStatus(status);
+    fixture.mA.QueueActions({UpstreamAction::kFail});
+    fixture.mB.QueueActions({UpstreamAction::kFail});
     const Answer answer = fixture.Call("/pay/1");
     CHECK(answer.mStatus == 502);
     CHECK(fixture.RunsOfLast() == 1);
-    fixture.mA.Next({});
-    fixture.mB.Next({});
+    fixture.mA.QueueActions({});
+    fixture.mB.QueueActions({});
   }
   SECTION("for a safe request it is forwarded") {
-    fixture.mA.Next({UpstreamAct::kFail, UpstreamAct::kFail});
-    fixture.mB.Next({UpstreamAct::kFail, UpstreamAct::kFail});
+    fixture.mA.QueueActions({UpstreamAction::kFail, UpstreamAction::kFail});
+    fixture.mB.QueueActions({UpstreamAction::kFail, UpstreamAction::kFail});
     CHECK(fixture.Call("/look/1").mStatus == 503);
   }
 }
@@ -287,8 +287,8 @@
 Test(outcomes, a_caller_that_disconnects_causes_no_second_run) {
   RelayFixture fixture;
   fixture.Begin();
-  fixture.mA.Next({UpstreamAct::kSilent});
-  fixture.mB.Next({UpstreamAct::kSilent});
+  fixture.mA.QueueActions({UpstreamAction::kSilent});
+  fixture.mB.QueueActions({UpstreamAction::kSilent});
   auto call = Start(fixture, "/pay/1", 3000);
   REQUIRE(fixture.RunUntil([&] { return fixture.RunsOfLast() == 1; }));
   call->mCall.reset();
@@ -310,13 +310,13 @@
   // Longer than the stall timeout of a stream's upstream.
   constexpr Millis kDeadline = 3500;
   for (const char* target : {"/pay/1", "/stream/1"}) {
-    fixture.mA.Next({UpstreamAct::kSilent});
-    fixture.mB.Next({UpstreamAct::kSilent});
+    fixture.mA.QueueActions({UpstreamAction::kSilent});
+    fixture.mB.QueueActions({UpstreamAction::kSilent});
     const auto call = Start(fixture, target, kDeadline);
     REQUIRE(fixture.RunUntil([&] { return call->mDone; }));
     CHECK(call->mStatus == 504);
     CHECK(fixture.RunsOfLast() == 1);
-    fixture.mA.Next({});
-    fixture.mB.Next({});
+    fixture.mA.QueueActions({});
+    fixture.mB.QueueActions({});
   }
 }
--- a/tests/daemons/placing_test.cpp
+++ b/tests/daemons/placing_test.cpp
@@ -38,8 +38,8 @@
     options.mSeeds = {aSeed};
     options.mFirstStart = aFirst;
     options.mElectionTimeout = 50;
-    options.mDocuments = PlainDocuments();
-    options.mEngines = PlainEngines();
+    options.mDocuments = PlainDocumentProtocol();
+    options.mEngines = PlainEngineProtocol();
     options.mEngines.mWritePlace = [](const PlaceOrder&) {
       return EngineMessage{.mMethod = "POST",
                            .mTarget = "/place",
--- a/tests/daemons/planned_stop_test.cpp
+++ b/tests/daemons/planned_stop_test.cpp
@@ -14,7 +14,7 @@
 
 /// Of the stopping router: leaves less time than a late answer takes.
 constexpr Millis kShortGrace = 2300;
-static_assert(kShortGrace - ScriptedUpstream::kLateBy < 300);
+static_assert(kShortGrace - ScriptedUpstream::kAnswerDelay < 300);
 
 std::int64_t EndedAs(RelayRouter& aRouter, const char* aRoute,
                      const char* aOutcome, int aStatus) {
@@ -39,8 +39,10 @@
 Test(planned_stop, a_request_that_takes_too_long_is_refused_immediately) {
   StopFixture fixture;
   constexpr int kLateCalls = 8;
-  fixture.mA.Next(std::vector<UpstreamAct>(kLateCalls, UpstreamAct::kLate));
-  fixture.mB.Next(std::vector<UpstreamAct>(kLateCalls, UpstreamAct::kLate));
+  fixture.mA.QueueActions(
+      std::vector<UpstreamAction>(kLateCalls, UpstreamAction::kDelayedAnswer));
+  fixture.mB.QueueActions(
+      std::vector<UpstreamAction>(kLateCalls, UpstreamAction::kDelayedAnswer));
   std::vector<std::unique_ptr<OpenCall>> late;
   for (int i = 0; i < kLateCalls; i++) {
     late.push_back(fixture.Open("/pay/1", "late" + std::to_string(i)));
@@ -49,8 +51,8 @@
     return std::all_of(late.begin(), late.end(),
                        [](const auto& aOpen) { return aOpen->mEnded; });
   }));
-  fixture.mA.Next({});
-  fixture.mB.Next({});
+  fixture.mA.QueueActions({});
+  fixture.mB.QueueActions({});
   fixture.mRouter->Stop();
   SECTION("a call of a service that takes longer than the remaining time") {
     const Answer answer = fixture.Call("/pay/1");
@@ -66,8 +68,8 @@
 
 Test(planned_stop, a_request_in_flight_at_the_end_gets_an_answer) {
   StopFixture fixture;
-  fixture.mA.Next({UpstreamAct::kSilent});
-  fixture.mB.Next({UpstreamAct::kSilent});
+  fixture.mA.QueueActions({UpstreamAction::kSilent});
+  fixture.mB.QueueActions({UpstreamAction::kSilent});
   const auto open = fixture.Open("/pay/1", "left");
   REQUIRE(fixture.RunUntil([&fixture] {
     return fixture.mA.Runs("left") + fixture.mB.Runs("left") == 1;
@@ -83,8 +85,8 @@
 Test(planned_stop, the_router_ends_after_its_slowest_caller_has_the_answer) {
   constexpr std::size_t kBytes = 4 * 1000 * 1000;
   StopFixture fixture;
-  fixture.mA.SetBytes(kBytes);
-  fixture.mB.SetBytes(kBytes);
+  fixture.mA.SetAnswerBytes(kBytes);
+  fixture.mB.SetAnswerBytes(kBytes);
   const auto open = fixture.Open("/pay/1", "slow");
   open->mCall->Pause(true);
   REQUIRE(fixture.RunUntil([&fixture] {
@@ -104,7 +106,7 @@
   StopFixture fixture;
   ScriptedUpstream engine(fixture.mLoop, "engine");
   fixture.BeginEngine(engine);
-  engine.Next({UpstreamAct::kStall});
+  engine.QueueActions({UpstreamAction::kStall});
   const auto open = fixture.Open("/stream/1", "cut");
   REQUIRE(fixture.RunUntil([&open] { return !open->mAnswer.mBody.empty(); }));
   fixture.mRouter->Stop();
--- a/tests/daemons/refused_move_test.cpp
+++ b/tests/daemons/refused_move_test.cpp
@@ -24,7 +24,7 @@
   fixture.SendEngineHeartbeat(leaving, kBack);
   fixture.SendEngineHeartbeat(front, kFront);
   fixture.AwaitCall(front);
-  front.Next({UpstreamAct::kStall});
+  front.QueueActions({UpstreamAction::kStall});
   const auto open = fixture.Open("/stream/1", "moved");
   REQUIRE(fixture.RunUntil([&open] { return !open->mAnswer.mBody.empty(); }));
   fixture.SendEngineHeartbeat(one, kBack);
@@ -33,11 +33,11 @@
     fixture.mRouter->RefreshGauges();
     return fixture.mRouter->OwnCounters().Value("upstreams_ready") == 6;
   }));
-  front.RefuseMoves(1);
+  front.RejectRepaths(1);
   fixture.SendEngineHeartbeat(leaving, kBack, UpstreamState::kLeaving);
-  REQUIRE(fixture.RunUntil([&front] { return front.Moves().size() >= 2; }));
-  CHECK(front.Moves()[0] != front.Moves()[1]);
-  for (const std::string& path : front.Moves()) {
+  REQUIRE(fixture.RunUntil([&front] { return front.Repaths().size() >= 2; }));
+  CHECK(front.Repaths()[0] != front.Repaths()[1]);
+  for (const std::string& path : front.Repaths()) {
     CHECK(path == "front one " || path == "front two ");
   }
   CHECK(front.Runs("moved") == 1);
--- a/tests/daemons/relay_fixture.cpp
+++ b/tests/daemons/relay_fixture.cpp
@@ -102,8 +102,8 @@
   options.mStartWait = mStartWait;
   options.mRetries = mRetries;
   options.mMemoryBytes = mMemoryBytes;
-  options.mCallers = PlainCallers();
-  options.mEngines = PlainEngines();
+  options.mCallers = PlainCallerProtocol();
+  options.mEngines = PlainEngineProtocol();
   return std::make_unique<RelayRouter>(mLoop, std::move(options));
 }
 
@@ -119,12 +119,12 @@
   options.mElectionTimeout = 50;
   options.mMaxLocalHeartbeats = mMaxLocalHeartbeats;
   options.mRetries = mRetries;
-  options.mDocuments = PlainDocuments();
+  options.mDocuments = PlainDocumentProtocol();
   options.mDocuments.mRead = [this](std::string_view aDocument) {
     mDocumentsRead++;
-    return PlainDocuments().mRead(aDocument);
+    return PlainDocumentProtocol().mRead(aDocument);
   };
-  options.mEngines = PlainEngines();
+  options.mEngines = PlainEngineProtocol();
   mControl = std::make_unique<JoinedControl>(mLoop, std::move(options));
 }
 
@@ -228,7 +228,7 @@
 }
 
 void RelayFixture::AwaitCall(const ScriptedUpstream& aEngine) {
-  for (int i = 0; aEngine.AllRuns() == 0; i++) {
+  for (int i = 0; aEngine.TotalRuns() == 0; i++) {
     REQUIRE(i < 200);
     Call("/stream/x");
     Wait(10);
@@ -298,14 +298,14 @@
 }
 
 std::unique_ptr<Timer> RelayFixture::CutNextOnce() {
-  mA.Next({UpstreamAct::kCut});
-  mB.Next({UpstreamAct::kCut});
+  mA.QueueActions({UpstreamAction::kTruncate});
+  mB.QueueActions({UpstreamAction::kTruncate});
   const std::string id = "r" + std::to_string(mRequest + 1);
   return mLoop.Every(1, [this, id] {
     if (mA.Runs(id) > 0) {
-      mB.Next({});
+      mB.QueueActions({});
     } else if (mB.Runs(id) > 0) {
-      mA.Next({});
+      mA.QueueActions({});
     }
   });
 }
@@ -315,7 +315,7 @@
   SendHeartbeat(mA, UpstreamState::kReady);
   SendHeartbeat(mB, UpstreamState::kReady);
   REQUIRE(RunUntil([this] { return mRouter->Ready(); }));
-  for (int i = 0; mA.AllRuns() == 0 || mB.AllRuns() == 0; i++) {
+  for (int i = 0; mA.TotalRuns() == 0 || mB.TotalRuns() == 0; i++) {
     REQUIRE(i < 200);
     Call("/look/x");
   }
--- a/tests/daemons/relay_test.cpp
+++ b/tests/daemons/relay_test.cpp
@@ -105,30 +105,30 @@
 Test(relay, an_unsafe_request_runs_at_most_once) {
   RelayFixture fixture;
   fixture.Begin();
-  const auto next = [&fixture](UpstreamAct aAct) {
-    fixture.mA.Next({aAct});
-    fixture.mB.Next({aAct});
+  const auto next = [&fixture](UpstreamAction aAct) {
+    fixture.mA.QueueActions({aAct});
+    fixture.mB.QueueActions({aAct});
   };
   SECTION("cut after it ran: 502 and no second run") {
-    next(UpstreamAct::kCut);
+    next(UpstreamAction::kTruncate);
     const Answer answer = fixture.Call("/pay/1");
     CHECK(answer.mStatus == 502);
     CHECK(fixture.RunsOfLast() == 1);
   }
   SECTION("refused by both: 503 with Retry-After, and no run") {
     // A refused request has not run: the router retries it a few times.
-    const std::vector<UpstreamAct> refusals(4, UpstreamAct::kRefuse);
-    fixture.mA.Next(refusals);
-    fixture.mB.Next(refusals);
+    const std::vector<UpstreamAction> refusals(4, UpstreamAction::kRefuse);
+    fixture.mA.QueueActions(refusals);
+    fixture.mB.QueueActions(refusals);
     const Answer answer = fixture.Call("/pay/1");
     CHECK(answer.mStatus == 503);
     CHECK(FindHeader(answer.mHeaders, "Retry-After") != nullptr);
     CHECK(fixture.RunsOfLast() == 0);
   }
   SECTION("a failure of the upstream is forwarded unchanged") {
-    fixture.mA.Next({});
-    fixture.mB.Next({});
-    next(UpstreamAct::kFail);
+    fixture.mA.QueueActions({});
+    fixture.mB.QueueActions({});
+    next(UpstreamAction::kFail);
     CHECK(fixture.Call("/pay/1").mStatus == 500);
     CHECK(fixture.RunsOfLast() == 1);
   }
@@ -137,29 +137,30 @@
 Test(relay, a_safe_request_is_retried) {
   RelayFixture fixture;
   fixture.Begin();
-  for (UpstreamAct act : {UpstreamAct::kCut, UpstreamAct::kFail}) {
+  for (UpstreamAction act :
+       {UpstreamAction::kTruncate, UpstreamAction::kFail}) {
     // If the first upstream is chosen it fails, and the other one answers.
-    fixture.mA.Next({act});
+    fixture.mA.QueueActions({act});
     const Answer answer = fixture.Call("/look/1");
     CHECK(answer.mStatus == 200);
-    fixture.mA.Next({});
+    fixture.mA.QueueActions({});
   }
 }
 
 Test(relay, a_cut_stream_resumes_after_its_last_event) {
   RelayFixture fixture;
   fixture.Begin();
-  fixture.mA.Next({UpstreamAct::kCut});
-  fixture.mB.Next({UpstreamAct::kCut});
+  fixture.mA.QueueActions({UpstreamAction::kTruncate});
+  fixture.mB.QueueActions({UpstreamAction::kTruncate});
   const Answer answer = fixture.Call("/stream/1");
   CHECK(answer.mEnd == StreamEnd::kLost || answer.mStatus == 200);
-  fixture.mA.Next({});
-  fixture.mB.Next({});
+  fixture.mA.QueueActions({});
+  fixture.mB.QueueActions({});
   SECTION("the caller gets full events, each once and in order") {
     for (int i = 0; i < 10; i++) {
-      fixture.mA.Next({UpstreamAct::kCut});
+      fixture.mA.QueueActions({UpstreamAction::kTruncate});
       const Answer next = fixture.Call("/stream/1");
-      fixture.mA.Next({});
+      fixture.mA.QueueActions({});
       std::string wanted;
       for (int id = 1; id <= ScriptedUpstream::kEvents; id++) {
         wanted += "id: " + std::to_string(id) + "\ndata: x\n\n";
@@ -179,8 +180,8 @@
   // In the first window a router withholds the retries that its predecessor may
   // have used.
   fixture.Wait(400);
-  fixture.mA.Next({UpstreamAct::kCut});
-  fixture.mB.Next({UpstreamAct::kCut});
+  fixture.mA.QueueActions({UpstreamAction::kTruncate});
+  fixture.mB.QueueActions({UpstreamAction::kTruncate});
   CHECK(fixture.Call("/look/1").mStatus == 502);
   CHECK(fixture.RunsOfLast() == 2);
   SECTION("cut by either upstream, it ends at the other") {
@@ -198,11 +199,11 @@
   fixture.SendHeartbeat(fixture.mA, UpstreamState::kLeaving);
   const Millis sentAt = SteadyNow();
   REQUIRE(fixture.RunUntil([&] { return SteadyNow() - sentAt > 1000; }));
-  const int before = fixture.mA.AllRuns();
+  const int before = fixture.mA.TotalRuns();
   for (int i = 0; i < 20; i++) {
     CHECK(fixture.Call("/look/1").mStatus == 200);
   }
-  CHECK(fixture.mA.AllRuns() == before);
+  CHECK(fixture.mA.TotalRuns() == before);
 }
 
 Test(relay, keys_are_refused_when_the_lease_from_control_runs_out) {
@@ -222,8 +223,8 @@
 Test(relay, a_caller_that_disconnects_frees_its_upstream) {
   RelayFixture fixture;
   fixture.Begin();
-  fixture.mA.Next({UpstreamAct::kSilent});
-  fixture.mB.Next({UpstreamAct::kSilent});
+  fixture.mA.QueueActions({UpstreamAction::kSilent});
+  fixture.mB.QueueActions({UpstreamAction::kSilent});
   StreamCallOptions options;
   options.mServer = fixture.mRouter->Address();
   options.mTarget = "/look/1";
@@ -259,7 +260,7 @@
   ScriptedUpstream engine(fixture.mLoop, "engine");
   fixture.Begin();
   fixture.BeginEngine(engine);
-  engine.Next({UpstreamAct::kSilent});
+  engine.QueueActions({UpstreamAction::kSilent});
   StreamCallOptions options;
   options.mServer = fixture.mRouter->Address();
   options.mTarget = "/stream/1";
--- a/tests/daemons/restart_test.cpp
+++ b/tests/daemons/restart_test.cpp
@@ -203,16 +203,16 @@
   story.BeginEngine(engine);
   constexpr Millis kFirstDeadline = 4000;
   CHECK(story.Call("/stream/x", "key", kFirstDeadline).mStatus == 200);
-  const std::vector<UpstreamAct> refusals(5, UpstreamAct::kRefuse);
+  const std::vector<UpstreamAction> refusals(5, UpstreamAction::kRefuse);
   SECTION("a first try is refused at once, for the caller to retry") {
-    engine.Next({refusals.begin(), refusals.begin() + 4});
+    engine.QueueActions({refusals.begin(), refusals.begin() + 4});
     CHECK(story.Call("/stream/x", "key", kFirstDeadline).mStatus == 503);
     CHECK(story.RunsOfLast() + engine.Runs(story.Last()) == 0);
   }
   // Keeps the engine from counting as silent on a busy machine.
   story.SendEngineHeartbeat(engine);
   SECTION("a later try, which has less time left, is served") {
-    engine.Next(refusals);
+    engine.QueueActions(refusals);
     CHECK(story.Call("/stream/x", "key", kFirstDeadline / 2).mStatus == 200);
     CHECK(engine.Runs(story.Last()) == 1);
   }
@@ -225,7 +225,7 @@
   story.BeginEngine(engine);
   constexpr Millis kDay = 86400000;
   CHECK(story.Call("/stream/x", "key", kDay).mStatus == 200);
-  engine.Next(std::vector<UpstreamAct>(4, UpstreamAct::kRefuse));
+  engine.QueueActions(std::vector<UpstreamAction>(4, UpstreamAction::kRefuse));
   SECTION("a first try is refused at once, for the caller to retry") {
     // The whole timeout of the route.
     CHECK(story.Call("/stream/x", "key", 5000).mStatus == 503);
@@ -241,9 +241,9 @@
   story.Begin();
   constexpr Millis kFirstDeadline = 2000;
   CHECK(story.Call("/look/x", "key", kFirstDeadline).mStatus == 200);
-  const std::vector<UpstreamAct> refusals(3, UpstreamAct::kRefuse);
-  story.mA.Next(refusals);
-  story.mB.Next(refusals);
+  const std::vector<UpstreamAction> refusals(3, UpstreamAction::kRefuse);
+  story.mA.QueueActions(refusals);
+  story.mB.QueueActions(refusals);
   constexpr Millis kTimeLeft = kFirstDeadline / 2;
   const Millis startedAt = SteadyNow();
   CHECK(story.Call("/look/x", "key", kTimeLeft).mStatus == 503);
--- a/tests/daemons/suspended_vm_test.cpp
+++ b/tests/daemons/suspended_vm_test.cpp
@@ -32,8 +32,8 @@
 Test(suspended_vm, ends_requests_whose_deadline_passed_meanwhile) {
   RelayFixture fixture;
   fixture.Begin();
-  fixture.mA.Next({UpstreamAct::kSilent, UpstreamAct::kSilent});
-  fixture.mB.Next({UpstreamAct::kSilent, UpstreamAct::kSilent});
+  fixture.mA.QueueActions({UpstreamAction::kSilent, UpstreamAction::kSilent});
+  fixture.mB.QueueActions({UpstreamAction::kSilent, UpstreamAction::kSilent});
   int status = 0;
   bool ended = false;
   StreamCallOptions options;
--- a/tests/daemons/upstream_backoff_test.cpp
+++ b/tests/daemons/upstream_backoff_test.cpp
@@ -61,13 +61,13 @@
 Test(upstream_backoff, of_a_plain_service_is_honored) {
   RelayFixture fixture;
   fixture.Begin();
-  fixture.mA.TurnAway(kBackoff);
+  fixture.mA.RejectRequests(kBackoff);
   AwaitRefusal(fixture, fixture.mA, "/look/1");
   CHECK(CallDuringBackoff(fixture, fixture.mA, "/look/1", kOk) > 0);
   SECTION("it gets requests again afterwards") {
-    fixture.mA.TakeAgain();
-    const int before = fixture.mA.AllRuns();
-    for (int i = 0; fixture.mA.AllRuns() == before; i++) {
+    fixture.mA.AcceptRequests();
+    const int before = fixture.mA.TotalRuns();
+    for (int i = 0; fixture.mA.TotalRuns() == before; i++) {
       REQUIRE(i < 200);
       fixture.Call("/look/1");
       fixture.Wait(kPause);
@@ -78,7 +78,7 @@
 Test(upstream_backoff, of_a_first_stage_engine_is_honored) {
   RelayFixture fixture;
   TwoEngines engines(fixture);
-  engines.mFirst.TurnAway(kBackoff);
+  engines.mFirst.RejectRequests(kBackoff);
   AwaitRefusal(fixture, engines.mFirst, "/stream/1");
   CHECK(CallDuringBackoff(fixture, engines.mFirst, "/stream/1", kOk) > 0);
 }
@@ -86,8 +86,8 @@
 Test(upstream_backoff, is_honored_without_another_upstream) {
   RelayFixture fixture;
   fixture.Begin();
-  fixture.mA.TurnAway(kBackoff);
-  fixture.mB.TurnAway(kBackoff);
+  fixture.mA.RejectRequests(kBackoff);
+  fixture.mB.RejectRequests(kBackoff);
   AwaitRefusal(fixture, fixture.mA, "/look/1");
   AwaitRefusal(fixture, fixture.mB, "/look/1");
   SECTION("callers are refused immediately") {
@@ -98,15 +98,15 @@
 Test(upstream_backoff, is_honored_by_resumed_streams) {
   RelayFixture fixture;
   TwoEngines engines(fixture);
-  engines.mSecond.TurnAway(kBackoff);
+  engines.mSecond.RejectRequests(kBackoff);
   // Cut by the first engine, the stream is sent to the second.
-  engines.mFirst.Next({UpstreamAct::kCut});
+  engines.mFirst.QueueActions({UpstreamAction::kTruncate});
   CHECK(fixture.Call("/stream/1").mEnd == StreamEnd::kComplete);
   CHECK(engines.mSecond.ArrivalsSince(0) > 0);
   fixture.Wait(kSettleTime);
   const Millis from = SteadyNow();
   for (int i = 0; i < 4; i++) {
-    engines.mFirst.Next({UpstreamAct::kCut});
+    engines.mFirst.QueueActions({UpstreamAction::kTruncate});
     CHECK(fixture.Call("/stream/1").mEnd == StreamEnd::kComplete);
   }
   CHECK(engines.mSecond.ArrivalsSince(from) <= kMaxDuringBackoff);
@@ -115,7 +115,7 @@
 Test(upstream_backoff, is_not_required_to_try_another_engine_after_a_refusal) {
   RelayFixture fixture;
   TwoEngines engines(fixture);
-  engines.mFirst.TurnAway(0);
+  engines.mFirst.RejectRequests(0);
   const Millis from = SteadyNow();
   constexpr int kCalls = 10;
   for (int i = 0; i < kCalls; i++) {
@@ -127,7 +127,7 @@
 Test(upstream_backoff, of_the_only_engine_makes_a_started_stream_wait) {
   RelayFixture fixture;
   TwoEngines engines(fixture);
-  engines.mFirst.Next({UpstreamAct::kStall});
+  engines.mFirst.QueueActions({UpstreamAction::kStall});
   const auto open = fixture.Open("/stream/1", "begun");
   REQUIRE(fixture.RunUntil([&open] { return !open->mAnswer.mBody.empty(); }));
   fixture.SendEngineHeartbeat(engines.mFirst, {0, 8}, UpstreamState::kLeaving);
@@ -136,10 +136,10 @@
     return fixture.mRouter->OwnCounters().Value("upstreams_ready") == 3;
   }));
   SECTION("the engine refuses for a moment without asking for a back-off") {
-    engines.mSecond.TurnAway(0);
+    engines.mSecond.RejectRequests(0);
     engines.mFirst.Crash();
     fixture.Wait(kSettleTime);
-    engines.mSecond.TakeAgain();
+    engines.mSecond.AcceptRequests();
     CHECK(fixture.RunUntil([&open] { return open->mEnded; }));
     CHECK(open->mAnswer.mEnd == StreamEnd::kComplete);
     CHECK(engines.mSecond.Runs("begun") == 1);
--- a/tests/daemons/upstream_leave_test.cpp
+++ b/tests/daemons/upstream_leave_test.cpp
@@ -35,7 +35,7 @@
 Test(upstream_leave, a_leave_notice_of_a_plain_service_is_honored) {
   RelayFixture fixture;
   fixture.Begin();
-  fixture.mA.SayLeaving();
+  fixture.mA.AnnounceLeaving();
   AwaitAnswer(fixture, fixture.mA, "/look/1");
   const Millis from = SteadyNow();
   CheckServed(fixture, "/look/1");
@@ -47,7 +47,8 @@
     CHECK(fixture.mA.ArrivalsSince(from) == 0);
   }
   SECTION("nor does a failure of the other upstream") {
-    fixture.mB.Next({UpstreamAct::kCut, UpstreamAct::kCut});
+    fixture.mB.QueueActions(
+        {UpstreamAction::kTruncate, UpstreamAction::kTruncate});
     fixture.Call("/look/1");
     CHECK(fixture.mA.ArrivalsSince(from) == 0);
   }
@@ -56,11 +57,11 @@
 Test(upstream_leave, a_leave_notice_in_a_refusal_is_honored) {
   RelayFixture fixture;
   fixture.Begin();
-  fixture.mA.SayLeaving();
-  fixture.mA.TurnAway(0);
+  fixture.mA.AnnounceLeaving();
+  fixture.mA.RejectRequests(0);
   AwaitAnswer(fixture, fixture.mA, "/look/1");
   const Millis from = SteadyNow();
-  fixture.mA.TakeAgain();
+  fixture.mA.AcceptRequests();
   // Longer than the effect of a refusal without a leave notice.
   fixture.Wait(500);
   CheckServed(fixture, "/look/1");
@@ -75,13 +76,13 @@
   fixture.BeginEngine(leaving);
   fixture.SendEngineHeartbeat(other);
   fixture.Wait(500);
-  leaving.SayLeaving();
+  leaving.AnnounceLeaving();
   AwaitAnswer(fixture, leaving, "/stream/1");
   const Millis from = SteadyNow();
   CheckServed(fixture, "/stream/1");
   CHECK(leaving.ArrivalsSince(from) == 0);
   SECTION("a stream that is cut does not resume there") {
-    other.Next({UpstreamAct::kCut});
+    other.QueueActions({UpstreamAction::kTruncate});
     CHECK(fixture.Call("/stream/1").mEnd == StreamEnd::kComplete);
     CHECK(leaving.ArrivalsSince(from) == 0);
   }
--- a/tests/daemons/upstream_limit_test.cpp
+++ b/tests/daemons/upstream_limit_test.cpp
@@ -86,25 +86,25 @@
 void CheckLimit(RelayFixture& aFixture, ScriptedUpstream& aLimited,
                 const std::string& aTarget,
                 std::function<void()> aSendHeartbeats) {
-  aLimited.NameLimit(kPerSecond);
+  aLimited.AdvertiseLimit(kPerSecond);
   const Callers callers(aFixture, aTarget);
   HeartbeatWait wait(aFixture, std::move(aSendHeartbeats));
   wait.Wait(kLimitSpread);
   const Millis from = SteadyNow();
   wait.Wait(kWindow + kLimitSpread);
-  CHECK(aLimited.MostArrivalsIn(kWindow, from) <= kAllowed);
+  CHECK(aLimited.MaxArrivalsIn(kWindow, from) <= kAllowed);
   SECTION(
       "it gets requests up to its limit, and another upstream serves the "
       "rest") {
-    CHECK(aLimited.MostArrivalsIn(kWindow, from) >= kPerSecond);
+    CHECK(aLimited.MaxArrivalsIn(kWindow, from) >= kPerSecond);
     CHECK(callers.Served() > kUnlimited);
   }
   SECTION("it gets more again once its answers carry no limit") {
-    aLimited.NameLimit(std::nullopt);
+    aLimited.AdvertiseLimit(std::nullopt);
     wait.Wait(kWindow);
     const Millis lifted = SteadyNow();
     wait.Wait(kWindow);
-    CHECK(aLimited.MostArrivalsIn(kWindow, lifted) > kUnlimited);
+    CHECK(aLimited.MaxArrivalsIn(kWindow, lifted) > kUnlimited);
   }
 }
 
@@ -134,12 +134,12 @@
 Test(upstream_limit, holds_for_retries) {
   RelayFixture fixture;
   fixture.Begin();
-  const std::vector<UpstreamAct> refusals(1000, UpstreamAct::kRefuse);
-  fixture.mB.Next(refusals);
-  fixture.mA.NameLimit(kPerSecond);
+  const std::vector<UpstreamAction> refusals(1000, UpstreamAction::kRefuse);
+  fixture.mB.QueueActions(refusals);
+  fixture.mA.AdvertiseLimit(kPerSecond);
   const Callers callers(fixture, "/look/1");
   fixture.Wait(kLimitSpread);
   const Millis from = SteadyNow();
   fixture.Wait(kWindow + kLimitSpread);
-  CHECK(fixture.mA.MostArrivalsIn(kWindow, from) <= kAllowed);
+  CHECK(fixture.mA.MaxArrivalsIn(kWindow, from) <= kAllowed);
 }
