--- a/standins/engine_standin.cpp
+++ b/standins/engine_standin.cpp
@@ -16,7 +16,7 @@
 constexpr double kMaxTimerLagMillis = 4;
 constexpr Millis kFrozenRetryInterval = 20;
 
-/// Tells the first engine of a chain that a token came out of the last.
+/// Notifies the first engine of a chain that the last one produced a token.
 struct TokenAck {
   std::string mRequest;
   int mAttempt = 0;
@@ -30,12 +30,13 @@
   }
 };
 
-/// A fault for tests: how answers go wrong, how slow steps are, leaving.
+/// Faults for tests: corrupt answers, slow steps, a freeze, or a report that
+/// the engine is leaving.
 struct FaultMessage {
   std::string mCorrupt;
   double mSlowdown = 1;
   bool mLeaving = false;
-  Millis mFreeze = 0;  ///< Answers nothing and works on nothing for so long.
+  Millis mFreeze = 0;  ///< Duration without answers or steps.
 
   template <class Codec>
   void Fields(Codec& aCodec) {
@@ -48,13 +49,13 @@
 
 }  // namespace
 
-/// One attempt of a request on this engine.
+/// An attempt at a request on this engine.
 struct EngineStandin::Stream {
   ChainJob mJob;
   std::shared_ptr<HttpExchange> mExchange;
-  std::unique_ptr<HttpCall> mPreviousStage;  ///< From the engine before.
-  std::string mPartialLine;                  ///< A line not yet whole.
-  bool mLastFrameArrived = false;  ///< The last frame from before is here.
+  std::unique_ptr<HttpCall> mPreviousStage;  ///< Call to the previous stage.
+  std::string mPartialLine;                  ///< An incomplete line.
+  bool mLastFrameArrived = false;            ///< From the previous stage.
 
   const ChainHop& Hop() const {
     return mJob.mChain[static_cast<std::size_t>(mJob.mPosition)];
@@ -222,7 +223,7 @@
     const std::shared_ptr<Stream> stream = weak.lock();
     if (stream != nullptr && !stream->mLastFrameArrived &&
         !stream->mExchange->Closed()) {
-      // The last frame ends a stream; an end before it is a failure.
+      // A stream that ends before its last frame has failed.
       FailStream(stream, "the stage before ended", name);
     }
   };
@@ -272,12 +273,13 @@
   }
   const double micros =
       mOptions.mLayerMicros * (mReport.mLast - mReport.mFirst) * mSlowdown;
-  // Steps that follow each other keep their pace whatever a timer is late.
+  // If a timer fires late by less than kMaxTimerLagMillis, the next step counts
+  // from the due time of the previous one, so that lags don't add up.
   const auto now = static_cast<double>(SteadyNow());
   const double start = now - mStepEnd < kMaxTimerLagMillis ? mStepEnd : now;
   mStepEnd = start + micros / kMicrosPerMilli;
   const auto millis = static_cast<Millis>(std::max(0.0, mStepEnd - now));
-  // What a report tells is the nominal time: a slow engine does not know it.
+  // Reports state the nominal time: a slow engine isn't aware of its slowdown.
   mReport.mStepMillis = mOptions.mLayerMicros *
                         (mReport.mLast - mReport.mFirst) / kMicrosPerMilli;
   mStepTimer = mLoop.After(millis, [this] { FinishStep(); });
@@ -389,7 +391,7 @@
   if (!stream->mExchange->Closed()) {
     stream->mExchange->EndStream();
   }
-  // The call to the stage before may be on the stack.
+  // The call to the previous stage may be on the stack.
   mLoop.Post([stream] { stream->mPreviousStage.reset(); });
 }
 
--- a/standins/engine_standin.h
+++ b/standins/engine_standin.h
@@ -1,5 +1,5 @@
-/// A stand-in model engine: holds a range of layers, batches continuously,
-/// takes fenced orders, and can be given faults.
+/// A stand-in model engine: holds a range of layers, uses continuous batching,
+/// applies orders that carry a fence, and injects faults on request.
 #pragma once
 
 #include <deque>
@@ -16,7 +16,7 @@
 
 namespace spindleweir {
 
-/// How a stand-in engine is set up.
+/// Options of a stand-in engine.
 struct EngineStandinOptions {
   std::string mVm;
   std::string mZone;
@@ -27,11 +27,12 @@
   int mBatch = 8;
   Millis mLoadMillis = 200;
   bool mChecksFence = true;
-  Millis mReportLag = 0;  ///< How old the queue in a report is.
-  std::string mRecord;    ///< Path; empty: no record.
+  Millis mReportLag = 0;  ///< Age of the queue length in a report.
+  std::string mRecord;    ///< Path; empty: writes no record.
 };
 
-/// What goes from engine to engine, and as a token to the router.
+/// The message that one stage sends to the next; the last stage sends it to the
+/// router as a token.
 struct Activation {
   TokenFrame mFrame;
   std::uint64_t mValue = 0;
@@ -43,7 +44,7 @@
   }
 };
 
-/// One engine in an event loop.
+/// One engine, run by an event loop.
 class EngineStandin {
  public:
   EngineStandin(EventLoop& aLoop, EngineStandinOptions aOptions);
@@ -67,6 +68,8 @@
   void CallPreviousStage(const std::shared_ptr<Stream>& aStream);
   void Enqueue(const std::shared_ptr<Stream>& aStream,
                const Activation& aActivation);
+  /// Sends the error aReason to the caller of the stream (the next stage or the
+  /// router), names aFailed as the engine at fault, and ends the stream.
   void FailStream(const std::shared_ptr<Stream>& aStream,
                   const std::string& aReason, const std::string& aFailed);
   void StartStep();
@@ -85,18 +88,19 @@
   std::map<std::string, std::shared_ptr<Stream>> mStreams;  ///< By request.
   std::deque<WorkItem> mQueue;
   std::vector<WorkItem> mBatch;
-  double mStepEnd = 0;  ///< When the last step was due, in milliseconds.
-  /// A queue length and when it held.
+  double mStepEnd = 0;  ///< Due time of the latest step, in milliseconds.
+  /// A queue length and the time of its measurement.
   struct QueueSample {
     Millis mAt;
     int mQueue;
   };
   std::deque<QueueSample> mSamples;
   double mSlowdown = 1;
-  std::string mCorrupt;  ///< A fault of the answers; empty: none.
+  std::string mCorrupt;  ///< Fault injected into answers; empty: none.
   std::unique_ptr<Timer> mStepTimer;
   std::unique_ptr<Timer> mLoadTimer;
   std::unique_ptr<Timer> mFreezeTimer;  ///< Set: the engine is frozen.
+  /// Requests that arrived while the engine was frozen.
   std::vector<std::shared_ptr<HttpExchange>> mHeldExchanges;
   std::unique_ptr<HttpServer> mServer;
 };
--- a/standins/expected_answer.h
+++ b/standins/expected_answer.h
@@ -1,5 +1,5 @@
-/// What a stand-in model answers: a function of prompt, index and the layers
-/// run, so that a checker knows every token beforehand.
+/// The answers of a stand-in model: a function of the prompt, the token's index
+/// and the layers run, so that a checker can compute every token.
 #pragma once
 
 #include <cstdint>
@@ -8,16 +8,17 @@
 
 namespace spindleweir {
 
-/// The value that enters layer 0 for the token at aIndex.
+/// Returns the input of layer 0 for the token at aIndex.
 std::uint64_t FirstActivation(std::string_view aPrompt, int aIndex);
 
-/// What one layer makes of it; the order of the layers matters.
+/// Returns the output of one layer for the input aValue. The result depends on
+/// the order of the layers.
 std::uint64_t RunLayer(std::uint64_t aValue, int aLayer);
 
-/// The token that a value stands for.
+/// Returns the text of the token for the output of the last layer.
 std::string TokenText(std::uint64_t aValue);
 
-/// The whole answer of aTokens tokens.
+/// Returns the full answer of aTokens tokens by a model of aLayers layers.
 std::string ExpectedAnswer(std::string_view aPrompt, int aLayers, int aTokens);
 
 }  // namespace spindleweir
--- a/standins/plain_protocol.h
+++ b/standins/plain_protocol.h
@@ -1,19 +1,21 @@
-/// A plain implementation of the seam towards callers, upstreams and
-/// operators, for tests and development.
+/// Plain implementations of the protocols for callers, upstreams and operators,
+/// for tests and development.
 #pragma once
 
 #include "spindleweir/daemons/traffic_protocols.h"
 
 namespace spindleweir {
 
-/// Headers X-Request, X-Key, X-Deadline, X-After; answers carry X-Signature,
-/// and X-Ran: no where they did not run.
+/// Requests carry the headers X-Request, X-Key, X-Deadline and X-After; answers
+/// carry X-Signature, and "X-Ran: no" if the upstream didn't run the request.
 CallerProtocol PlainCallerProtocol();
-/// The product's own words as JSON.
+/// Reads configuration documents as JSON with the field names of
+/// TrafficConfiguration.
 DocumentProtocol PlainDocumentProtocol();
-/// Where an order to move a request goes; its body names the path.
+/// Target of an order that moves a request to another path; the body lists the
+/// instances of the new path.
 inline constexpr const char* kRepathTarget = "/repath";
-/// Orders and reports as JSON.
+/// Writes orders for engines as bare messages; every state read is empty.
 EngineProtocol PlainEngineProtocol();
 
 }  // namespace spindleweir
--- a/standins/platform_standin.h
+++ b/standins/platform_standin.h
@@ -1,4 +1,4 @@
-/// A stand-in of the platform's list of VMs: serves a JSON file, late.
+/// A stand-in for the platform's list of VMs: serves a JSON file with a delay.
 #pragma once
 
 #include <deque>
@@ -10,11 +10,11 @@
 
 namespace spindleweir {
 
-/// How the stand-in is set up.
+/// Options of the stand-in.
 struct PlatformStandinOptions {
   Endpoint mListen;
-  std::string mFile;  ///< {"vms": [...]}; read again when it changes.
-  Millis mLag = 0;    ///< How old what it serves is.
+  std::string mFile;  ///< {"vms": [...]}; polled for changes.
+  Millis mLag = 0;    ///< Age of the served content.
 };
 
 /// Serves GET /v1/vms.
@@ -25,13 +25,15 @@
   const Endpoint& Address() const { return mServer->Address(); }
 
  private:
-  /// A content of the file and when it was seen.
+  /// Content of the file and the time at which it was first read.
   struct Version {
     Millis mSeenAt;
     std::string mText;
   };
 
+  /// Reads the file and adds a version if its content has changed.
   void ReadList();
+  /// Returns the newest content that is at least mLag old.
   const std::string& VisibleList();
 
   PlatformStandinOptions mOptions;
--- a/standins/record.h
+++ b/standins/record.h
@@ -1,5 +1,6 @@
-/// The record format that stand-ins, bench and checker share: a JSON object a
-/// line, with "wall_us", "who" and "what" and further fields by kind.
+/// The record format shared by stand-ins, bench and checker: one JSON object
+/// per line, with "wall_us", "who" (the writer), "what" (the event) and further
+/// fields that depend on the event.
 #pragma once
 
 #include <json/value.h>
@@ -9,7 +10,7 @@
 
 namespace spindleweir {
 
-/// Writes records; does nothing where it was given no path.
+/// Appends records to a file; does nothing if the path is empty.
 class Record {
  public:
   Record(const std::string& aPath, std::string aWriter);
--- a/standins/scripted_upstream.cpp
+++ b/standins/scripted_upstream.cpp
@@ -41,7 +41,7 @@
     return;
   }
   mCrashed = true;
-  // One of its calls is on the stack.
+  // A call of the server is on the stack.
   mLoop.Post([this] { mServer.reset(); });
 }
 
@@ -192,7 +192,7 @@
     if (aAction == UpstreamAction::kTruncate &&
         id - first >= kTruncatedEvents) {
       exchange.Write("id: " + std::to_string(id) + "\nda");
-      // In order to break off after what was written, not before it.
+      // Aborts only when the written bytes have been sent.
       exchange.OnDrained([exchange = &exchange] { exchange->Abort(); });
       return;
     }
--- a/standins/scripted_upstream.h
+++ b/standins/scripted_upstream.h
@@ -1,4 +1,4 @@
-/// An upstream whose next answers are written down beforehand.
+/// An upstream whose handling of requests is scripted by the test.
 #pragma once
 
 #include <deque>
@@ -12,78 +12,82 @@
 
 namespace spindleweir {
 
-/// What it does with a request.
+/// How the upstream handles a request.
 enum class UpstreamAction {
-  kAnswer,      ///< Runs it and answers whole; a stream: its events to the end.
-  kRefuse,      ///< Says that it did not run it.
-  kTruncate,    ///< Runs it and breaks off: a stream after two events.
-  kFail,        ///< Runs it and answers 500, or as SetFailureStatus() said.
-  kSilent,      ///< Runs it and says nothing.
-  kStall,       ///< Runs it; a stream: one event, and nothing more.
-  kSlowStream,  ///< Runs it; a stream: its events kEventInterval apart.
-  kDelayedAnswer,  ///< Runs it and answers whole after kAnswerDelay.
+  kAnswer,      ///< Runs it and answers in full; a stream: all events.
+  kRefuse,      ///< Answers that it didn't run the request.
+  kTruncate,    ///< Runs it and aborts the answer: a stream after two events.
+  kFail,        ///< Runs it and answers 500 or the SetFailureStatus() status.
+  kSilent,      ///< Runs it and sends no answer.
+  kStall,       ///< Runs it; a stream: sends one event, then nothing.
+  kSlowStream,  ///< Runs it; a stream: events kEventInterval apart.
+  kDelayedAnswer,  ///< Runs it and answers in full after kAnswerDelay.
 };
 
-/// One upstream on a port of its own.
+/// One upstream, listening on its own port.
 class ScriptedUpstream {
  public:
   ScriptedUpstream(EventLoop& aLoop, std::string aInstance);
 
-  /// The next requests are dealt with so; then all with kAnswer.
+  /// Sets the actions for the next requests, one each; kAnswer applies to all
+  /// later ones.
   void QueueActions(std::vector<UpstreamAction> aActions);
-  /// From now on whole answers have so many bytes: the request's id again and
-  /// again.
+  /// From now on full answers have aBytes bytes: the request's id, repeated.
   void SetAnswerBytes(std::size_t aBytes) { mBytes = aBytes; }
-  /// The body that a request gets then.
+  /// Returns the body of such an answer.
   static std::string BodyOf(const std::string& aRequest, std::size_t aBytes);
-  /// Whatever begins to run a request whose target ends so ends itself.
+  /// From now on the upstream crashes when it starts to run a request whose
+  /// target ends with aTargetEnd.
   void CrashOnTarget(std::string aTargetEnd) {
     mCrashTarget = std::move(aTargetEnd);
   }
-  /// Ends it: all connections are lost, its port refuses.
+  /// Stops the upstream: all connections are lost and its port refuses new
+  /// ones.
   void Crash();
   bool Crashed() const { return mCrashed; }
-  /// Of the next orders to move a request so many are refused, for lack of room
-  /// somewhere.
+  /// Rejects the next aCount orders to move a request with status 409, as an
+  /// engine of the path that lacks capacity does.
   void RejectRepaths(int aCount) { mRejectedRepaths = aCount; }
-  /// The paths of all such orders, as instances with a space after each.
+  /// The paths of all such orders: instances, each followed by a space.
   const std::vector<std::string>& Repaths() const { return mRepaths; }
-  /// From now on its answers name a limit, in requests a second; none: they
-  /// name none.
+  /// From now on answers advertise this limit, in requests per second; nullopt:
+  /// no limit.
   void AdvertiseLimit(std::optional<double> aPerSecond) { mLimit = aPerSecond; }
-  /// From now on it turns all requests away and asks for so much rest; 0: it
-  /// does not ask for any.
+  /// From now on the upstream rejects all requests and asks for this back-off;
+  /// 0: it asks for none.
   void RejectRequests(Millis aBackoff) { mBackoff = aBackoff; }
-  /// It runs requests again.
+  /// Ends the effect of RejectRequests().
   void AcceptRequests() { mBackoff.reset(); }
-  /// From now on its answers say that it leaves.
+  /// From now on answers announce that the upstream is leaving.
   void AnnounceLeaving() { mLeaving = true; }
-  /// The requests that came since.
+  /// Returns the number of requests that arrived at aFrom or later.
   int ArrivalsSince(Millis aFrom) const;
-  /// The most requests that came within such a time, of those since aFrom.
+  /// Returns the maximum number of requests that arrived within a span of
+  /// aWindow, counting those at aFrom or later.
   int MaxArrivalsIn(Millis aWindow, Millis aFrom) const;
-  /// The status of what fails.
+  /// Sets the status for kFail.
   void SetFailureStatus(int aStatus) { mFailureStatus = aStatus; }
   const std::string& Address() const { return mAddress; }
   const std::string& Instance() const { return mInstance; }
-  /// How often a request ran here.
+  /// Returns how often this upstream ran the request.
   int Runs(const std::string& aRequest) const;
   int TotalRuns() const;
-  /// Callers that closed before their answer's end.
+  /// Returns the number of calls that were closed before the end of their
+  /// answer.
   int Closed() const { return mClosedEarly; }
 
   static constexpr Millis kEventInterval = 50;
   static constexpr Millis kAnswerDelay = 2100;
-  static constexpr int kEvents = 5;  ///< Of a stream, with ids from 1.
+  static constexpr int kEvents = 5;  ///< Per stream, with ids from 1.
 
  private:
   void Handle(const std::shared_ptr<StreamExchange>& aExchange);
-  /// Headers with what it says in all answers.
+  /// Adds the headers for the advertised limit, leaving and back-off.
   HttpHeaders WithNotices(HttpHeaders aHeaders) const;
   void HandleRepath(StreamExchange& aOrder);
   void Stream(const std::shared_ptr<StreamExchange>& aStream,
               UpstreamAction aAction);
-  /// Writes this event and, in time, those after it.
+  /// Writes the event aId, and each later one after kEventInterval.
   void WriteSlowly(const std::shared_ptr<StreamExchange>& aExchange, int aId);
 
   EventLoop& mLoop;
@@ -93,7 +97,7 @@
   std::vector<Millis> mArrivals;
   std::optional<double> mLimit;
   bool mLeaving = false;
-  std::optional<Millis> mBackoff;  ///< That it asks for, while it turns away.
+  std::optional<Millis> mBackoff;  ///< Set while it rejects all requests.
   int mClosedEarly = 0;
   std::size_t mBytes = 0;
   int mRejectedRepaths = 0;
--- a/standins/service_standin.cpp
+++ b/standins/service_standin.cpp
@@ -42,7 +42,8 @@
   answer["path"] = aExchange->Path();
   answer["echo"] = aExchange->Body();
   mAnswers[run] = mLoop.After(mOptions.mDelay, [this, run, aExchange, answer] {
-    // The timer runs a copy of this call, so that erasing it is safe.
+    // The timer runs a copy of this callback, so erasing the timer here is
+    // safe.
     mAnswers.erase(run);
     ReplyJson(*aExchange, kHttpOk, answer);
   });
--- a/standins/service_standin.h
+++ b/standins/service_standin.h
@@ -1,5 +1,5 @@
-/// A stand-in plain service, such as kaunter-api: each call that it runs is
-/// counted and recorded.
+/// A stand-in for a plain service such as kaunter-api: counts and records each
+/// call that it runs.
 #pragma once
 
 #include <map>
@@ -12,15 +12,15 @@
 
 namespace spindleweir {
 
-/// How a stand-in service is set up.
+/// Options of a stand-in service.
 struct ServiceStandinOptions {
   std::string mVm;
   Endpoint mListen;
-  Millis mDelay = 5;    ///< Between running a call and answering it.
-  std::string mRecord;  ///< Path; empty: no record.
+  Millis mDelay = 5;    ///< From running a call to its answer.
+  std::string mRecord;  ///< Path; empty: writes no record.
 };
 
-/// One instance. GET /runs tells how many calls it ran.
+/// One instance. GET /runs returns the number of calls that it ran.
 class ServiceStandin {
  public:
   ServiceStandin(EventLoop& aLoop, ServiceStandinOptions aOptions);
