--- a/tests/platform/soak/soak_need.cpp
+++ b/tests/platform/soak/soak_load_reduction.cpp
@@ -1,4 +1,4 @@
-#include "tests/platform/soak/soak_need.h"
+#include "tests/platform/soak/soak_load_reduction.h"
 
 #include <algorithm>
 #include <iostream>
--- a/tests/platform/soak/soak_upstream.h
+++ b/tests/platform/soak/soak_upstream.h
@@ -9,7 +9,7 @@
 #include "spindleweir/drivers/stream_client.h"
 #include "spindleweir/drivers/stream_server.h"
 #include "tests/platform/soak/soak_link.h"
-#include "tests/platform/soak/soak_need.h"
+#include "tests/platform/soak/soak_load_reduction.h"
 #include "tests/platform/soak/soak_record.h"
 
 namespace spindleweir {
