--- a/tests/platform/soak/soak_caller.cpp
+++ b/tests/platform/soak/soak_caller.cpp
@@ -13,18 +13,18 @@
 namespace {
 
 /// Longer than any process stands still in a soak.
-constexpr Millis kPatience = 6000;
-constexpr Millis kConnectAgain = 50;
-constexpr int kMostThinkTime = 150;
-constexpr int kFewestEvents = 10;
-constexpr int kMostEvents = 150;
+constexpr Millis kStallTimeout = 6000;
+constexpr Millis kReconnectDelay = 50;
+constexpr int kMaxThinkTime = 150;
+constexpr int kMinEvents = 10;
+constexpr int kMaxEvents = 150;
 
 }  // namespace
 
 SoakCaller::SoakCaller(EventLoop& aLoop, std::string aName,
                        SoakCallerOptions aOptions)
     : mLoop(aLoop), mName(std::move(aName)), mOptions(std::move(aOptions)) {
-  Next();
+  ScheduleNext();
 }
 
 SoakCaller::~SoakCaller() {
@@ -39,12 +39,12 @@
   return mOptions.mRecord->At(mId);
 }
 
-void SoakCaller::Next() {
-  if (!mOptions.mGoesOn()) {
+void SoakCaller::ScheduleNext() {
+  if (!mOptions.mMaySend()) {
     Disconnect();
     return;
   }
-  mTimer = mLoop.After(Pick(0, kMostThinkTime), [this] {
+  mTimer = mLoop.After(Pick(0, kMaxThinkTime), [this] {
     if (mBuffer == nullptr) {
       Connect();
     } else {
@@ -61,7 +61,7 @@
   address.sin_port = htons(static_cast<std::uint16_t>(mRouter->mAddress.mPort));
   inet_pton(AF_INET, mRouter->mAddress.mHost.c_str(), &address.sin_addr);
   mBuffer = bufferevent_socket_new(mLoop.Base(), -1, BEV_OPT_CLOSE_ON_FREE);
-  mOnConnection = 0;
+  mConnectionRequests = 0;
   bufferevent_setcb(mBuffer, &SoakCaller::HandleRead, nullptr,
                     &SoakCaller::HandleEvent, this);
   bufferevent_enable(mBuffer, EV_READ | EV_WRITE);
@@ -80,17 +80,18 @@
   mId = mName + "-" + std::to_string(++mSent);
   SoakRequest& request = Request();
   request.mRouter = mRouter->mName;
-  request.mReused = mOnConnection++ > 0;
+  request.mReused = mConnectionRequests++ > 0;
   request.mSentAt = WallMicros();
   const int kind = Pick(0, 9);
   request.mStream = kind < 6;
-  request.mOnce = kind >= 8;
-  const int events = Pick(kFewestEvents, kMostEvents);
+  request.mAtMostOnce = kind >= 8;
+  const int events = Pick(kMinEvents, kMaxEvents);
   const std::string target = request.mStream
                                  ? "/stream/" + std::to_string(events)
-                             : request.mOnce ? "/pay/1"
-                                             : "/look/1";
-  request.mWanted = request.mStream ? SoakEvents(mId, 1, events) : "by " + mId;
+                             : request.mAtMostOnce ? "/pay/1"
+                                                   : "/look/1";
+  request.mExpectedBody =
+      request.mStream ? SoakEvents(mId, 1, events) : "by " + mId;
   const std::string body = "b" + mId;
   const std::string text =
       "POST " + target +
@@ -101,7 +102,7 @@
       "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   mReader = std::make_unique<HttpMessageReader>(MessageSide::kAnswers);
   bufferevent_write(mBuffer, text.data(), text.size());
-  mTimer = mLoop.After(kPatience, [this] { End(SoakEnd::kLeft); });
+  mTimer = mLoop.After(kStallTimeout, [this] { End(SoakEnd::kTimedOut); });
 }
 
 void SoakCaller::HandleRead(bufferevent*, void* aSelf) {
@@ -117,10 +118,10 @@
     evbuffer_drain(buf, mReader->Read({bytes, n}));
     Request().mBody += mReader->TakeBody();
     if (mReader->State() == ReadState::kComplete) {
-      End(SoakEnd::kWhole);
+      End(SoakEnd::kComplete);
       return;
     }
-    mTimer = mLoop.After(kPatience, [this] { End(SoakEnd::kLeft); });
+    mTimer = mLoop.After(kStallTimeout, [this] { End(SoakEnd::kTimedOut); });
   }
 }
 
@@ -131,13 +132,14 @@
     return;
   }
   if (self->mReader != nullptr) {
-    const bool begun = self->mReader->HeadBytes() > 0;
-    self->End(begun ? SoakEnd::kCut : SoakEnd::kNoAnswer);
+    const bool started = self->mReader->HeadBytes() > 0;
+    self->End(started ? SoakEnd::kTruncated : SoakEnd::kNoAnswer);
     return;
   }
   self->Disconnect();
-  if (self->mOnConnection == 0) {
-    self->mTimer = self->mLoop.After(kConnectAgain, [self] { self->Next(); });
+  if (self->mConnectionRequests == 0) {
+    self->mTimer =
+        self->mLoop.After(kReconnectDelay, [self] { self->ScheduleNext(); });
   }
 }
 
@@ -145,7 +147,7 @@
   SoakRequest& request = Request();
   request.mEnd = aEnd;
   request.mEndedAt = WallMicros();
-  bool keep = aEnd == SoakEnd::kWhole;
+  bool keep = aEnd == SoakEnd::kComplete;
   if (mReader->State() != ReadState::kHead) {
     request.mStatus = mReader->Answer().mStatus;
     const std::string* connection =
@@ -156,7 +158,7 @@
   if (!keep) {
     Disconnect();
   }
-  Next();
+  ScheduleNext();
 }
 
 }  // namespace spindleweir
--- a/tests/platform/soak/soak_caller.h
+++ b/tests/platform/soak/soak_caller.h
@@ -26,7 +26,7 @@
   SoakRecord* mRecord = nullptr;
   std::mt19937* mRandom = nullptr;
   /// Whether new requests are still to be sent.
-  std::function<bool()> mGoesOn;
+  std::function<bool()> mMaySend;
 };
 
 /// Sends one request after the other, to the end of the soak.
@@ -43,7 +43,7 @@
   static void HandleRead(bufferevent*, void* aSelf);
   static void HandleEvent(bufferevent*, short aWhat, void* aSelf);
   int Pick(int aFrom, int aTo);
-  void Next();
+  void ScheduleNext();
   void Connect();
   void Disconnect();
   void Send();
@@ -59,7 +59,7 @@
   std::unique_ptr<HttpMessageReader> mReader;  ///< Of an answer that is due.
   std::string mId;
   int mSent = 0;
-  int mOnConnection = 0;  ///< Requests sent on this connection.
+  int mConnectionRequests = 0;  ///< Requests sent on this connection.
   std::unique_ptr<Timer> mTimer;
 };
 
--- a/tests/platform/soak/soak_link.cpp
+++ b/tests/platform/soak/soak_link.cpp
@@ -58,19 +58,19 @@
 }
 
 void SoakLink::Accept(int aFd) {
-  auto passing = std::make_unique<Passing>();
-  passing->mRouter.mBuffer =
+  auto connection = std::make_unique<Connection>();
+  connection->mRouter.mBuffer =
       bufferevent_socket_new(mLoop.Base(), aFd, BEV_OPT_CLOSE_ON_FREE);
-  passing->mUpstream.mBuffer =
+  connection->mUpstream.mBuffer =
       bufferevent_socket_new(mLoop.Base(), -1, BEV_OPT_CLOSE_ON_FREE);
-  passing->mUpstream.mFromUpstream = true;
-  Open(passing->mRouter, passing->mUpstream);
-  Open(passing->mUpstream, passing->mRouter);
+  connection->mUpstream.mFromUpstream = true;
+  Open(connection->mRouter, connection->mUpstream);
+  Open(connection->mUpstream, connection->mRouter);
   sockaddr_in address = AddressOf(mTarget);
-  bufferevent_socket_connect(passing->mUpstream.mBuffer,
+  bufferevent_socket_connect(connection->mUpstream.mBuffer,
                              reinterpret_cast<sockaddr*>(&address),
                              sizeof(address));
-  mPassing.push_back(std::move(passing));
+  mConnections.push_back(std::move(connection));
 }
 
 void SoakLink::Open(Side& aSide, Side& aOther) {
@@ -81,18 +81,18 @@
   bufferevent_enable(aSide.mBuffer, EV_READ | EV_WRITE);
 }
 
-bool SoakLink::Holds(const Side& aSide) const {
-  return aSide.mFromUpstream ? mHoldsAnswers : mHoldsRequests;
+bool SoakLink::IsPaused(const Side& aSide) const {
+  return aSide.mFromUpstream ? mAnswersPaused : mRequestsPaused;
 }
 
 void SoakLink::HandleRead(bufferevent*, void* aSide) {
   auto* side = static_cast<Side*>(aSide);
-  if (!side->mLink->Holds(*side)) {
-    side->mLink->Pass(*side);
+  if (!side->mLink->IsPaused(*side)) {
+    side->mLink->Forward(*side);
   }
 }
 
-void SoakLink::Pass(Side& aSide) {
+void SoakLink::Forward(Side& aSide) {
   bufferevent_write_buffer(aSide.mOther->mBuffer,
                            bufferevent_get_input(aSide.mBuffer));
 }
@@ -104,10 +104,10 @@
 void SoakLink::CloseIfDone(Side& aSide) {
   // What the other end sent before it closed goes first.
   const Side& other = *aSide.mOther;
-  const bool left =
+  const bool pending =
       evbuffer_get_length(bufferevent_get_input(other.mBuffer)) > 0 ||
       evbuffer_get_length(bufferevent_get_output(aSide.mBuffer)) > 0;
-  if (other.mEnded && !left) {
+  if (other.mEnded && !pending) {
     aSide.mLink->Close(aSide, false);
   }
 }
@@ -123,34 +123,35 @@
     link->Close(*side, true);
     return;
   }
-  if (!link->Holds(*side)) {
-    link->Pass(*side);
+  if (!link->IsPaused(*side)) {
+    link->Forward(*side);
     CloseIfDone(*side->mOther);
   }
 }
 
 void SoakLink::Close(Side& aSide, bool aReset) {
-  const auto it = std::find_if(
-      mPassing.begin(), mPassing.end(), [&aSide](const auto& aPassing) {
-        return &aPassing->mRouter == &aSide || &aPassing->mUpstream == &aSide;
-      });
+  const auto it = std::find_if(mConnections.begin(), mConnections.end(),
+                               [&aSide](const auto& aConnection) {
+                                 return &aConnection->mRouter == &aSide ||
+                                        &aConnection->mUpstream == &aSide;
+                               });
   FreeBuffer(aSide.mOther->mBuffer, aReset);
   FreeBuffer(aSide.mBuffer, aReset);
-  mPassing.erase(it);
+  mConnections.erase(it);
 }
 
 void SoakLink::Reset() {
-  while (!mPassing.empty()) {
-    Close(mPassing.back()->mRouter, true);
+  while (!mConnections.empty()) {
+    Close(mConnections.back()->mRouter, true);
   }
 }
 
-void SoakLink::PassAll() {
-  for (std::size_t i = mPassing.size(); i-- > 0;) {
-    Side& router = mPassing[i]->mRouter;
-    Side& upstream = mPassing[i]->mUpstream;
-    Pass(router);
-    Pass(upstream);
+void SoakLink::ForwardAll() {
+  for (std::size_t i = mConnections.size(); i-- > 0;) {
+    Side& router = mConnections[i]->mRouter;
+    Side& upstream = mConnections[i]->mUpstream;
+    Forward(router);
+    Forward(upstream);
     // Either may end the connection, and with it both.
     if (router.mEnded) {
       CloseIfDone(upstream);
@@ -160,21 +161,21 @@
   }
 }
 
-void SoakLink::Hold(Millis aTime, bool aBothWays) {
-  mHoldsAnswers = true;
-  mHoldsRequests = aBothWays;
+void SoakLink::Pause(Millis aDuration, bool aBothWays) {
+  mAnswersPaused = true;
+  mRequestsPaused = aBothWays;
   mStepTimer.reset();
-  mEndTimer = mLoop.After(aTime, [this] {
+  mEndTimer = mLoop.After(aDuration, [this] {
     mStepTimer.reset();
-    mHoldsAnswers = false;
-    mHoldsRequests = false;
-    PassAll();
+    mAnswersPaused = false;
+    mRequestsPaused = false;
+    ForwardAll();
   });
 }
 
-void SoakLink::Slow(Millis aTime) {
-  Hold(aTime, true);
-  mStepTimer = mLoop.Every(kSlowStep, [this] { PassAll(); });
+void SoakLink::Slow(Millis aDuration) {
+  Pause(aDuration, true);
+  mStepTimer = mLoop.Every(kSlowStep, [this] { ForwardAll(); });
 }
 
 }  // namespace spindleweir
--- a/tests/platform/soak/soak_link.h
+++ b/tests/platform/soak/soak_link.h
@@ -28,11 +28,11 @@
   void Reset();
   /// For so long nothing passes towards routers, or, with aBothWays, at all. No
   /// connection ends by it, and nothing is lost.
-  void Hold(Millis aTime, bool aBothWays);
+  void Pause(Millis aDuration, bool aBothWays);
   /// Whether no answer passes now.
-  bool Silent() const { return mHoldsAnswers && mStepTimer == nullptr; }
+  bool BlocksAnswers() const { return mAnswersPaused && mStepTimer == nullptr; }
   /// For so long bytes pass in steps only.
-  void Slow(Millis aTime);
+  void Slow(Millis aDuration);
 
  private:
   /// One of the two ends of a connection that passes here.
@@ -43,7 +43,7 @@
     bool mFromUpstream = false;
     bool mEnded = false;  ///< Its peer has closed it.
   };
-  struct Passing {
+  struct Connection {
     Side mRouter;
     Side mUpstream;
   };
@@ -55,9 +55,9 @@
   static void HandleEvent(bufferevent*, short aWhat, void* aSide);
   void Accept(int aFd);
   void Open(Side& aSide, Side& aOther);
-  bool Holds(const Side& aSide) const;
-  void Pass(Side& aSide);
-  void PassAll();
+  bool IsPaused(const Side& aSide) const;
+  void Forward(Side& aSide);
+  void ForwardAll();
   static void CloseIfDone(Side& aSide);
   /// Frees both ends, with a reset or in order.
   void Close(Side& aSide, bool aReset);
@@ -66,9 +66,9 @@
   Endpoint mTarget;
   std::string mAddress;
   evconnlistener* mListener = nullptr;
-  bool mHoldsAnswers = false;
-  bool mHoldsRequests = false;
-  std::vector<std::unique_ptr<Passing>> mPassing;
+  bool mAnswersPaused = false;
+  bool mRequestsPaused = false;
+  std::vector<std::unique_ptr<Connection>> mConnections;
   std::unique_ptr<Timer> mStepTimer;
   std::unique_ptr<Timer> mEndTimer;
 };
--- a/tests/platform/soak/soak_load_reduction.h
+++ b/tests/platform/soak/soak_load_reduction.h
@@ -12,23 +12,24 @@
 
 namespace spindleweir {
 
-enum class NeedKind { kLimit, kRest };
+enum class ReductionKind { kLimit, kBackoff };
 
 /// One such time of one incarnation. Times are wall microseconds.
-class SoakNeed {
+class SoakLoadReduction {
  public:
-  SoakNeed(NeedKind aKind, std::string aInstance, std::int64_t aNow);
+  SoakLoadReduction(ReductionKind aKind, std::string aInstance,
+                    std::int64_t aNow);
 
   /// Whether it still asks for it.
-  bool Asks(std::int64_t aNow) const;
+  bool IsActive(std::int64_t aNow) const;
   /// A request of a router came. Returns what its answer says of the need.
-  HttpHeaders Arrived(const std::string& aRouter, std::int64_t aNow);
-  bool TurnsAway(std::int64_t aNow) const;
+  HttpHeaders OnRequest(const std::string& aRouter, std::int64_t aNow);
+  bool Rejects(std::int64_t aNow) const;
   /// The incarnation has ended.
   void End(std::int64_t aNow) { mEndedAt = aNow; }
-  /// Prints what got more than was asked for; returns how often. What a router
-  /// sent from just before something was done to it on is excused.
-  int Judge(const std::vector<SoakFault>& aFaults) const;
+  /// Prints what got more than was rejected for; returns how often. What a
+  /// router sent from just before something was done to it on is excused.
+  int CountViolations(const std::vector<SoakFault>& aFaults) const;
 
  private:
   struct Arrival {
@@ -36,15 +37,15 @@
     std::string mRouter;
   };
 
-  int JudgeLimit(const std::vector<SoakFault>& aFaults) const;
-  int JudgeRest(const std::vector<SoakFault>& aFaults) const;
+  int CountLimitViolations(const std::vector<SoakFault>& aFaults) const;
+  int CountBackoffViolations(const std::vector<SoakFault>& aFaults) const;
 
-  NeedKind mKind;
+  ReductionKind mKind;
   std::string mInstance;
   std::int64_t mFrom;
   std::int64_t mEndedAt = 0;  ///< 0: it has not.
   std::vector<Arrival> mArrivals;
-  std::map<std::string, std::int64_t> mToldAt;  ///< Routers, first.
+  std::map<std::string, std::int64_t> mNotifiedAt;  ///< Routers, first.
 };
 
 }  // namespace spindleweir
--- a/tests/platform/soak/soak_main.cpp
+++ b/tests/platform/soak/soak_main.cpp
@@ -32,12 +32,12 @@
 constexpr int kZones = 3;
 constexpr int kEnginesOfZone = 3;
 constexpr Millis kChangeTimeout = 1500;
-constexpr Millis kLastWait = 30000;
-constexpr int kWaysToEnd = 2;
-constexpr int kWaysOfLinks = 4;
-constexpr int kLongestNeedPause = 2500;
-constexpr int kMostChangePause = 900;
-constexpr int kMostFaultPause = 3000;
+constexpr Millis kMaxOverrun = 30000;
+constexpr int kEndFaultKinds = 2;
+constexpr int kLinkFaultKinds = 4;
+constexpr int kMaxReductionPause = 2500;
+constexpr int kMaxChangePause = 900;
+constexpr int kMaxFaultPause = 3000;
 
 /// The operator's side: one version after the other, acknowledged or not.
 class SoakOperator {
@@ -53,17 +53,18 @@
 
   bool Acknowledged() const { return mAcknowledged > 0; }
 
-  /// Asks until a version comes that is not older than what was acknowledged.
+  /// IsActive until a version comes that is not older than what was
+  /// acknowledged.
   void ReadBack(const std::function<void(bool)>& aDone) {
     mBody.clear();
     Call("GET", "/-/Config.Read", "", 0, [this, aDone](int aStatus) {
       const bool good = aStatus == 200 &&
                         ParseJson(mBody)["version"].asInt64() >= mAcknowledged;
-      if (good || ++mReads > kMostReads) {
+      if (good || ++mReads > kMaxReads) {
         aDone(good);
         return;
       }
-      mTimer = mLoop.After(kReadAgain, [this, aDone] { ReadBack(aDone); });
+      mTimer = mLoop.After(kReadRetryDelay, [this, aDone] { ReadBack(aDone); });
     });
   }
 
@@ -71,9 +72,9 @@
   std::function<void()> mOnSettled;
 
  private:
-  static constexpr int kMostReads = 60;
-  static constexpr Millis kReadAgain = 250;
-  static constexpr int kMostTries = 6;
+  static constexpr int kMaxReads = 60;
+  static constexpr Millis kReadRetryDelay = 250;
+  static constexpr int kMaxTries = 6;
 
   static Json::Value Route(const std::string& aName, const char* aKind,
                            const char* aService, int aTimeout) {
@@ -133,7 +134,7 @@
          [this, aDocument, aTry, version](int aStatus) {
            if (aStatus == 200) {
              mAcknowledged = version;
-           } else if (aTry < kMostTries) {
+           } else if (aTry < kMaxTries) {
              mTimer = mLoop.After(
                  100, [this, aDocument, aTry] { Send(aDocument, aTry + 1); });
              return;
@@ -237,12 +238,12 @@
       }
       AddUpstream(zone, "plain", false);
     }
-    mOperator.mOnSettled = [this] { Settled(); };
+    mOperator.mOnSettled = [this] { OnChangeSettled(); };
     mOperator.Change();
-    const auto end = mLoop.After(kLastWait + Length(), [this] { Finish(); });
+    const auto end = mLoop.After(kMaxOverrun + Length(), [this] { Finish(); });
     mLoop.Run();
-    const int broken = mRecord.Judge(ReadKills(FLAGS_faults)) + JudgeNeeds() +
-                       (mReadBack ? 0 : 1);
+    const int broken = mRecord.CountViolations(ReadKills(FLAGS_faults)) +
+                       CountReductionViolations() + (mReadBack ? 0 : 1);
     std::cout << (mReadBack ? "" : "BROKEN: the newest version is lost\n")
               << "seed " << FLAGS_seed << ": " << broken << " broken\n";
     return broken == 0 ? 0 : 1;
@@ -275,14 +276,14 @@
                             .mRecord = &mRecord}));
   }
 
-  int JudgeNeeds() const {
+  int CountReductionViolations() const {
     const std::vector<SoakFault> faults = ReadFaults(FLAGS_faults);
     std::size_t needs = 0;
     int broken = 0;
     for (const auto& upstream : mUpstreams) {
-      needs += upstream->Needs().size();
-      for (const SoakNeed& need : upstream->Needs()) {
-        broken += need.Judge(faults);
+      needs += upstream->LoadReductions().size();
+      for (const SoakLoadReduction& need : upstream->LoadReductions()) {
+        broken += need.CountViolations(faults);
       }
     }
     std::cout << needs << " upstreams in need\n";
@@ -290,32 +291,32 @@
   }
 
   /// One upstream after the other asks for less; several may at a time.
-  void AskForLess() {
-    mNeedTimer = mLoop.After(Pick(300, kLongestNeedPause), [this] {
+  void ScheduleLoadReduction() {
+    mReductionTimer = mLoop.After(Pick(300, kMaxReductionPause), [this] {
       const auto n = static_cast<int>(mUpstreams.size());
       SoakUpstream& upstream = *mUpstreams[Pick(0, n - 1)];
-      const NeedKind kind =
-          Pick(0, 1) == 0 ? NeedKind::kLimit : NeedKind::kRest;
-      if (!mEnding && upstream.Steady()) {
-        upstream.Need(kind);
+      const ReductionKind kind =
+          Pick(0, 1) == 0 ? ReductionKind::kLimit : ReductionKind::kBackoff;
+      if (!mEnding && upstream.IsSteady()) {
+        upstream.ReduceLoad(kind);
       }
-      AskForLess();
+      ScheduleLoadReduction();
     });
   }
 
   /// A change has ended; the first one begins it all.
-  void Settled() {
-    if (!mBegun && mOperator.Acknowledged()) {
-      mBegun = true;
-      mBeginTimer = mLoop.After(kWarmUp, [this] { Begin(); });
+  void OnChangeSettled() {
+    if (!mStarted && mOperator.Acknowledged()) {
+      mStarted = true;
+      mStartTimer = mLoop.After(kWarmUp, [this] { StartLoad(); });
     }
     if (!mEnding) {
-      mChangeTimer = mLoop.After(Pick(100, kMostChangePause),
+      mChangeTimer = mLoop.After(Pick(100, kMaxChangePause),
                                  [this] { mOperator.Change(); });
     }
   }
 
-  void Begin() {
+  void StartLoad() {
     ReplaceFile(FLAGS_up_file, "up");
     for (int i = 0; i < FLAGS_callers; i++) {
       mCallers.push_back(std::make_unique<SoakCaller>(
@@ -323,11 +324,11 @@
           SoakCallerOptions{.mRouters = mRouters,
                             .mRecord = &mRecord,
                             .mRandom = &mRandom,
-                            .mGoesOn = [this] { return !mEnding; }}));
+                            .mMaySend = [this] { return !mEnding; }}));
     }
-    Strike();
+    ScheduleFault();
     if (FLAGS_needs) {
-      AskForLess();
+      ScheduleLoadReduction();
     }
     mEndTimer = mLoop.After(Length(), [this] {
       mEnding = true;
@@ -335,32 +336,32 @@
     });
   }
 
-  void Hit(SoakUpstream& aEngine) {
-    const int ways = kWaysToEnd + (FLAGS_links ? kWaysOfLinks : 0);
+  void InjectFault(SoakUpstream& aEngine) {
+    const int ways = kEndFaultKinds + (FLAGS_links ? kLinkFaultKinds : 0);
     const int how = Pick(0, ways - 1);
     if (how == 0) {
       aEngine.Crash();
     } else if (how == 1) {
       aEngine.Leave();
     } else {
-      aEngine.FailLink(how - kWaysToEnd);
+      aEngine.InjectLinkFault(how - kEndFaultKinds);
     }
   }
 
   /// An engine ends, or leaves, or its network fails; one at a time in a zone.
-  void Strike() {
-    mStrikeTimer = mLoop.After(Pick(500, kMostFaultPause), [this] {
+  void ScheduleFault() {
+    mFaultTimer = mLoop.After(Pick(500, kMaxFaultPause), [this] {
       const int zone = Pick(0, kZones - 1);
       const int first = zone * (kEnginesOfZone + 1);
       bool steady = !mEnding;
       for (int i = 0; i < kEnginesOfZone; i++) {
-        steady = steady && mUpstreams[first + i]->Steady();
+        steady = steady && mUpstreams[first + i]->IsSteady();
       }
       if (steady) {
         SoakUpstream& engine = *mUpstreams[first + Pick(0, kEnginesOfZone - 1)];
-        Hit(engine);
+        InjectFault(engine);
       }
-      Strike();
+      ScheduleFault();
     });
   }
 
@@ -394,14 +395,14 @@
   std::vector<SoakRouter> mRouters;
   std::vector<std::unique_ptr<SoakUpstream>> mUpstreams;
   std::vector<std::unique_ptr<SoakCaller>> mCallers;
-  bool mBegun = false;
+  bool mStarted = false;
   bool mEnding = false;
   bool mFinishing = false;
   bool mReadBack = false;
-  std::unique_ptr<Timer> mBeginTimer;
+  std::unique_ptr<Timer> mStartTimer;
   std::unique_ptr<Timer> mChangeTimer;
-  std::unique_ptr<Timer> mStrikeTimer;
-  std::unique_ptr<Timer> mNeedTimer;
+  std::unique_ptr<Timer> mFaultTimer;
+  std::unique_ptr<Timer> mReductionTimer;
   std::unique_ptr<Timer> mEndTimer;
 };
 
--- a/tests/platform/soak/soak_record.cpp
+++ b/tests/platform/soak/soak_record.cpp
@@ -36,50 +36,51 @@
   return it == mRequests.end() ? nullptr : &it->second;
 }
 
-std::string SoakRecord::Broken(const SoakRequest& aRequest,
-                               const std::vector<SoakKill>& aKills) {
-  if (aRequest.mOnce && aRequest.mRuns > 1) {
+std::string SoakRecord::Violation(const SoakRequest& aRequest,
+                                  const std::vector<SoakKill>& aKills) {
+  if (aRequest.mAtMostOnce && aRequest.mRuns > 1) {
     return "ran twice";
   }
-  const bool whole = aRequest.mEnd == SoakEnd::kWhole;
-  if (whole && PromisesNotRun(aRequest.mStatus) && aRequest.mRuns > 0) {
+  const bool complete = aRequest.mEnd == SoakEnd::kComplete;
+  if (complete && PromisesNotRun(aRequest.mStatus) && aRequest.mRuns > 0) {
     return "ran, though the answer promises that it did not";
   }
-  if (whole && aRequest.mStatus == 200 && aRequest.mBody != aRequest.mWanted) {
+  if (complete && aRequest.mStatus == 200 &&
+      aRequest.mBody != aRequest.mExpectedBody) {
     return "another body than its own";
   }
-  if (whole && aRequest.mStatus >= 300 && aRequest.mStatus < 500 &&
+  if (complete && aRequest.mStatus >= 300 && aRequest.mStatus < 500 &&
       !PromisesNotRun(aRequest.mStatus)) {
     return "refused though every configuration allows it";
   }
-  const bool ended =
-      aRequest.mEnd == SoakEnd::kNoAnswer || aRequest.mEnd == SoakEnd::kCut;
+  const bool ended = aRequest.mEnd == SoakEnd::kNoAnswer ||
+                     aRequest.mEnd == SoakEnd::kTruncated;
   // A request that crosses the end of a connection may go unread.
   const bool crossed = aRequest.mEnd == SoakEnd::kNoAnswer &&
                        aRequest.mReused && aRequest.mRuns == 0;
   const bool usedUp = aRequest.mLostRuns >= kAttempts;
   if (ended && !crossed && !usedUp && !WasKilled(aRequest, aKills)) {
-    return aRequest.mEnd == SoakEnd::kCut ? "cut in its answer"
-                                          : "no answer at all";
+    return aRequest.mEnd == SoakEnd::kTruncated ? "cut in its answer"
+                                                : "no answer at all";
   }
   return "";
 }
 
-int SoakRecord::Judge(const std::vector<SoakKill>& aKills) const {
+int SoakRecord::CountViolations(const std::vector<SoakKill>& aKills) const {
   std::map<std::string, int> seen;
-  int broken = 0;
+  int violations = 0;
   for (const auto& [id, request] : mRequests) {
     constexpr const char* kEnds[] = {"open", "whole", "no answer", "cut",
                                      "left"};
     const auto end = static_cast<std::size_t>(request.mEnd);
-    seen[request.mEnd == SoakEnd::kWhole ? std::to_string(request.mStatus)
-                                         : kEnds[end]]++;
-    const std::string why = Broken(request, aKills);
-    if (!why.empty()) {
-      broken++;
-      std::cout << "BROKEN: " << id << " at " << request.mRouter << ": " << why
-                << "; status " << request.mStatus << ", runs " << request.mRuns
-                << ", lost " << request.mLostRuns << ", sent "
+    seen[request.mEnd == SoakEnd::kComplete ? std::to_string(request.mStatus)
+                                            : kEnds[end]]++;
+    const std::string violation = Violation(request, aKills);
+    if (!violation.empty()) {
+      violations++;
+      std::cout << "BROKEN: " << id << " at " << request.mRouter << ": "
+                << violation << "; status " << request.mStatus << ", runs "
+                << request.mRuns << ", lost " << request.mLostRuns << ", sent "
                 << request.mSentAt << ", took "
                 << (request.mEndedAt - request.mSentAt) / 1000 << " ms, reused "
                 << request.mReused << ", bytes " << request.mBody.size()
@@ -91,7 +92,7 @@
     std::cout << " " << end << " " << count;
   }
   std::cout << "\n";
-  return broken;
+  return violations;
 }
 
 }  // namespace spindleweir
--- a/tests/platform/soak/soak_record.h
+++ b/tests/platform/soak/soak_record.h
@@ -10,11 +10,11 @@
 
 /// How a caller's request ended.
 enum class SoakEnd {
-  kOpen,      ///< It has not.
-  kWhole,     ///< A whole answer came.
-  kNoAnswer,  ///< The connection ended, and no byte of an answer came.
-  kCut,       ///< It ended within the answer.
-  kLeft,      ///< The caller lost patience.
+  kOpen,       ///< It has not.
+  kComplete,   ///< A complete answer came.
+  kNoAnswer,   ///< The connection ended, and no byte of an answer came.
+  kTruncated,  ///< It ended within the answer.
+  kTimedOut,   ///< The caller lost patience.
 };
 
 /// One request with all its runs.
@@ -27,11 +27,11 @@
   SoakEnd mEnd = SoakEnd::kOpen;
   int mStatus = 0;
   std::string mBody;
-  std::string mWanted;  ///< The body of a success.
+  std::string mExpectedBody;  ///< The body of a success.
   int mRuns = 0;
   /// At upstreams that ended, or said that they will, while they ran.
   int mLostRuns = 0;
-  bool mOnce = false;  ///< It may run once at most.
+  bool mAtMostOnce = false;  ///< It may run once at most.
 };
 
 /// A process was killed, by the fault script's record.
@@ -56,12 +56,12 @@
   /// The same, or nullptr.
   SoakRequest* Find(const std::string& aId);
   /// Prints what was seen, and what breaks a promise; returns how much does.
-  int Judge(const std::vector<SoakKill>& aKills) const;
+  int CountViolations(const std::vector<SoakKill>& aKills) const;
 
  private:
-  /// Empty: no promise is broken.
-  static std::string Broken(const SoakRequest& aRequest,
-                            const std::vector<SoakKill>& aKills);
+  /// Empty: no promise is violations.
+  static std::string Violation(const SoakRequest& aRequest,
+                               const std::vector<SoakKill>& aKills);
 
   std::map<std::string, SoakRequest> mRequests;
 };
--- a/tests/platform/soak/soak_shim.cpp
+++ b/tests/platform/soak/soak_shim.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr long kReadEveryMs = 50;
+constexpr long kReadIntervalMs = 50;
 constexpr long kMsPerSecond = 1000;
 constexpr long kNsPerMs = 1000000;
 constexpr long kNsPerSecond = 1000000000;
@@ -25,12 +25,13 @@
 std::atomic<long> sReadAt{0};
 
 template <class Function>
-Function* Next(const char* aName) {
+Function* RealFunction(const char* aName) {
   return reinterpret_cast<Function*>(dlsym(RTLD_NEXT, aName));
 }
 
 int RealClock(clockid_t aClock, timespec* aTime) {
-  static auto* const real = Next<int(clockid_t, timespec*)>("clock_gettime");
+  static auto* const real =
+      RealFunction<int(clockid_t, timespec*)>("clock_gettime");
   return real(aClock, aTime);
 }
 
@@ -38,7 +39,7 @@
   timespec steady{};
   RealClock(CLOCK_MONOTONIC, &steady);
   const long now = steady.tv_sec * kMsPerSecond + steady.tv_nsec / kNsPerMs;
-  if (now - sReadAt < kReadEveryMs) {
+  if (now - sReadAt < kReadIntervalMs) {
     return;
   }
   sReadAt = now;
@@ -57,7 +58,7 @@
 }
 
 /// One call of the system that brings a file to the disk.
-int SyncBy(int (*aReal)(int), int aFd) {
+int SyncWith(int (*aReal)(int), int aFd) {
   Refresh();
   if (sFull) {
     errno = ENOSPC;
@@ -111,13 +112,13 @@
 }
 
 int fsync(int aFd) {
-  static auto* const real = Next<int(int)>("fsync");
-  return SyncBy(real, aFd);
+  static auto* const real = RealFunction<int(int)>("fsync");
+  return SyncWith(real, aFd);
 }
 
 int fdatasync(int aFd) {
-  static auto* const real = Next<int(int)>("fdatasync");
-  return SyncBy(real, aFd);
+  static auto* const real = RealFunction<int(int)>("fdatasync");
+  return SyncWith(real, aFd);
 }
 
 }  // extern "C"
--- a/tests/platform/soak/soak_upstream.cpp
+++ b/tests/platform/soak/soak_upstream.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-constexpr Millis kBeatEvery = 300;
-constexpr Millis kBackAfter = 400;
-constexpr Millis kServesOnFor = 2600;
+constexpr Millis kHeartbeatInterval = 300;
+constexpr Millis kRestartDelay = 400;
+constexpr Millis kLeaveDuration = 2600;
 constexpr int kSlots = 192;
 constexpr const char* kId = "Spindleweir-Request-Id";
 constexpr const char* kSeal = "Spindleweir-Response-Seal";
@@ -36,7 +36,7 @@
 
 void SoakUpstream::Start() {
   mInstance = mName + "-" + std::to_string(++mStarts);
-  mBorn = WallMicros() / 1000;
+  mStartedAt = WallMicros() / 1000;
   mFrom = mTo = mOrders = 0;
   mLeaving = false;
   mServer = std::make_unique<StreamServer>(
@@ -49,51 +49,54 @@
                  .mRefuse = [](StreamExchange& aExchange,
                                ResultCode) { aExchange.Abort(); }});
   mLink = std::make_unique<SoakLink>(mLoop, mServer->Address());
-  mBeatTimer = mLoop.Every(kBeatEvery, [this] { Beat(); });
-  mStepTimer = mLoop.Every(kEventEvery, [this] { Step(); });
-  Beat();
+  mHeartbeatTimer =
+      mLoop.Every(kHeartbeatInterval, [this] { SendHeartbeat(); });
+  mEventTimer = mLoop.Every(kEventInterval, [this] { WriteEvents(); });
+  SendHeartbeat();
 }
 
-void SoakUpstream::CountLost() {
+void SoakUpstream::CountLostRuns() {
   for (Run& run : mRuns) {
     SoakRequest* request = mOptions.mRecord->Find(run.mId);
-    if (request != nullptr && !run.mLost && !run.mExchange->Closed()) {
-      run.mLost = true;
+    if (request != nullptr && !run.mCountedLost && !run.mExchange->Closed()) {
+      run.mCountedLost = true;
       request->mLostRuns++;
     }
   }
 }
 
 void SoakUpstream::End() {
-  CountLost();
-  if (!mNeeds.empty() && mNeeds.back().Asks(WallMicros())) {
-    mNeeds.back().End(WallMicros());
+  CountLostRuns();
+  if (!mLoadReductions.empty() &&
+      mLoadReductions.back().IsActive(WallMicros())) {
+    mLoadReductions.back().End(WallMicros());
   }
   mRuns.clear();
-  mBeatTimer.reset();
-  mStepTimer.reset();
+  mHeartbeatTimer.reset();
+  mEventTimer.reset();
   mLink.reset();
   mServer.reset();
-  mTurnTimer = mLoop.After(kBackAfter, [this] { Start(); });
+  mEndTimer = mLoop.After(kRestartDelay, [this] { Start(); });
 }
 
 void SoakUpstream::Crash() {
   End();
 }
 
-void SoakUpstream::Need(NeedKind aKind) {
+void SoakUpstream::ReduceLoad(ReductionKind aKind) {
   const std::int64_t now = WallMicros();
-  if (mNeeds.empty() || !mNeeds.back().Asks(now)) {
-    mNeeds.emplace_back(aKind, mInstance, now);
+  if (mLoadReductions.empty() || !mLoadReductions.back().IsActive(now)) {
+    mLoadReductions.emplace_back(aKind, mInstance, now);
   }
 }
 
-HttpHeaders SoakUpstream::Saying(const SoakRequest& aRequest,
-                                 HttpHeaders aHeaders) {
+HttpHeaders SoakUpstream::WithNotices(const SoakRequest& aRequest,
+                                      HttpHeaders aHeaders) {
   const std::int64_t now = WallMicros();
-  if (!mNeeds.empty() && mNeeds.back().Asks(now)) {
-    const HttpHeaders needs = mNeeds.back().Arrived(aRequest.mRouter, now);
-    aHeaders.insert(aHeaders.end(), needs.begin(), needs.end());
+  if (!mLoadReductions.empty() && mLoadReductions.back().IsActive(now)) {
+    const HttpHeaders notices =
+        mLoadReductions.back().OnRequest(aRequest.mRouter, now);
+    aHeaders.insert(aHeaders.end(), notices.begin(), notices.end());
   }
   if (mLeaving) {
     aHeaders.push_back({"Server-Leaving", "1"});
@@ -101,22 +104,22 @@
   return aHeaders;
 }
 
-void SoakUpstream::FailLink(int aHow) {
+void SoakUpstream::InjectLinkFault(int aKind) {
   constexpr Millis kShort = 400;
   constexpr Millis kLong = 2500;
-  switch (aHow) {
+  switch (aKind) {
     case 0:
-      CountLost();
+      CountLostRuns();
       mLink->Reset();
       break;
     case 1:
       // Routers take it for silent.
-      CountLost();
-      mLink->Hold(kLong, false);
+      CountLostRuns();
+      mLink->Pause(kLong, false);
       break;
     case 2:
-      CountLost();
-      mLink->Hold(kLong, true);
+      CountLostRuns();
+      mLink->Pause(kLong, true);
       break;
     default:
       mLink->Slow(kShort);
@@ -125,16 +128,16 @@
 
 void SoakUpstream::Leave() {
   mLeaving = true;
-  CountLost();
-  Beat();
-  mTurnTimer = mLoop.After(kServesOnFor, [this] {
-    Tell("/-/Instances.Leave/" + mInstance, "{}");
+  CountLostRuns();
+  SendHeartbeat();
+  mEndTimer = mLoop.After(kLeaveDuration, [this] {
+    PostToControl("/-/Instances.Leave/" + mInstance, "{}");
     // One of its timers is on the stack.
     mLoop.Post([this] { End(); });
   });
 }
 
-void SoakUpstream::Beat() {
+void SoakUpstream::SendHeartbeat() {
   Json::Value body(Json::objectValue);
   body["service"] = mOptions.mService;
   body["address"] = mLink->Address();
@@ -142,7 +145,7 @@
   body["slots"] = kSlots;
   body["state"] = mLeaving ? "draining" : "ready";
   body["seq"] = static_cast<Json::Int64>(++mSequence);
-  body["born"] = static_cast<Json::Int64>(mBorn);
+  body["born"] = static_cast<Json::Int64>(mStartedAt);
   if (mOptions.mEngine) {
     body["kind"] = "soak";
     if (mTo > mFrom) {
@@ -150,10 +153,11 @@
       body["layers"]["targetVersion"] = mTo;
     }
   }
-  Tell("/-/Instances.Heartbeat/" + mInstance, DumpJson(body));
+  PostToControl("/-/Instances.Heartbeat/" + mInstance, DumpJson(body));
 }
 
-void SoakUpstream::Tell(const std::string& aTarget, const std::string& aBody) {
+void SoakUpstream::PostToControl(const std::string& aTarget,
+                                 const std::string& aBody) {
   StreamCallOptions options;
   options.mServer = mOptions.mControls[mControl];
   options.mMethod = "POST";
@@ -161,7 +165,7 @@
   options.mHeaders = {{"Host", "control"},
                       {"Content-Type", "application/json"}};
   options.mBody = aBody;
-  options.mTimeout = kBeatEvery - kEventEvery;
+  options.mTimeout = kHeartbeatInterval - kEventInterval;
   const auto status = std::make_shared<int>(0);
   options.mOnHead = [status](const AnswerHead& aHead) {
     *status = aHead.mStatus;
@@ -179,9 +183,9 @@
 void SoakUpstream::Handle(const std::shared_ptr<StreamExchange>& aExchange) {
   const RequestHead& head = aExchange->Head();
   if (head.mTarget == "/-/order") {
-    TakeOrder(*aExchange);
+    HandleOrder(*aExchange);
   } else if (head.mTarget == "/-/report") {
-    Report(*aExchange);
+    HandleReport(*aExchange);
   } else if (ValueOf(head.mHeaders, "Spindleweir-Expect-Instance") !=
              mInstance) {
     aExchange->Reply(421, {{"Spindleweir-Not-Executed", "1"}}, "");
@@ -190,7 +194,7 @@
   }
 }
 
-void SoakUpstream::TakeOrder(StreamExchange& aExchange) {
+void SoakUpstream::HandleOrder(StreamExchange& aExchange) {
   const Json::Value order = ParseJson(aExchange.Body());
   if (order["op"] == "place") {
     mFrom = order["from"].asInt();
@@ -200,9 +204,9 @@
   aExchange.Reply(200, {}, "{}");
 }
 
-void SoakUpstream::Report(StreamExchange& aExchange) {
+void SoakUpstream::HandleReport(StreamExchange& aExchange) {
   Json::Value report(Json::objectValue);
-  report["born"] = static_cast<Json::Int64>(mBorn);
+  report["born"] = static_cast<Json::Int64>(mStartedAt);
   report["seq"] = mOrders;
   report["running"] = static_cast<int>(mRuns.size());
   report["layers"]["from"] = mFrom;
@@ -220,12 +224,13 @@
     aExchange->Abort();
     return;
   }
-  if (!mNeeds.empty() && mNeeds.back().TurnsAway(WallMicros())) {
-    aExchange->Reply(503, Saying(*request, {{kId, id}}), "");
+  if (!mLoadReductions.empty() &&
+      mLoadReductions.back().Rejects(WallMicros())) {
+    aExchange->Reply(503, WithNotices(*request, {{kId, id}}), "");
     return;
   }
   request->mRuns++;
-  HttpHeaders headers = Saying(*request, {{kId, id}, {kSeal, mInstance}});
+  HttpHeaders headers = WithNotices(*request, {{kId, id}, {kSeal, mInstance}});
   if (!mOptions.mEngine) {
     aExchange->Reply(200, headers, "by " + id);
     return;
@@ -237,24 +242,24 @@
   const int last = std::stoi(target.substr(target.rfind('/') + 1));
   mRuns.push_back({.mExchange = aExchange,
                    .mId = id,
-                   .mNext = after.empty() ? 1 : std::stoi(after) + 1,
-                   .mLast = last});
-  if (mLink->Silent() || mLeaving) {
+                   .mNextEvent = after.empty() ? 1 : std::stoi(after) + 1,
+                   .mLastEvent = last});
+  if (mLink->BlocksAnswers() || mLeaving) {
     // Its router hears nothing of it, or only now that it leaves.
-    CountLost();
+    CountLostRuns();
   }
 }
 
-void SoakUpstream::Step() {
+void SoakUpstream::WriteEvents() {
   std::erase_if(mRuns,
                 [](const Run& aRun) { return aRun.mExchange->Closed(); });
   for (Run& run : mRuns) {
-    if (run.mNext > run.mLast) {
+    if (run.mNextEvent > run.mLastEvent) {
       run.mExchange->End();
       continue;
     }
-    run.mExchange->Write(SoakEvents(run.mId, run.mNext, run.mNext));
-    run.mNext++;
+    run.mExchange->Write(SoakEvents(run.mId, run.mNextEvent, run.mNextEvent));
+    run.mNextEvent++;
   }
 }
 
--- a/tests/platform/soak/soak_upstream.h
+++ b/tests/platform/soak/soak_upstream.h
@@ -32,39 +32,41 @@
   /// Says that it leaves, serves on for a while, and is followed by another.
   void Leave();
   /// It asks for less for some seconds.
-  void Need(NeedKind aKind);
+  void ReduceLoad(ReductionKind aKind);
   /// All such times, to be judged.
-  const std::vector<SoakNeed>& Needs() const { return mNeeds; }
+  const std::vector<SoakLoadReduction>& LoadReductions() const {
+    return mLoadReductions;
+  }
   /// The network to it fails in some way: 0 to 3. Its process runs on.
-  void FailLink(int aHow);
-  bool Steady() const { return mServer != nullptr && !mLeaving; }
+  void InjectLinkFault(int aKind);
+  bool IsSteady() const { return mServer != nullptr && !mLeaving; }
 
   static constexpr int kLayers = 8;
-  static constexpr Millis kEventEvery = 20;
+  static constexpr Millis kEventInterval = 20;
 
  private:
   /// One stream that runs.
   struct Run {
     std::shared_ptr<StreamExchange> mExchange;
     std::string mId;
-    int mNext = 1;
-    int mLast = 0;
-    bool mLost = false;  ///< It is counted as lost.
+    int mNextEvent = 1;
+    int mLastEvent = 0;
+    bool mCountedLost = false;  ///< It is counted as lost.
   };
 
   void Start();
   void End();
   /// Counts what runs here as lost: its upstream ends, or says that it will.
-  void CountLost();
-  void Beat();
-  void Tell(const std::string& aTarget, const std::string& aBody);
+  void CountLostRuns();
+  void SendHeartbeat();
+  void PostToControl(const std::string& aTarget, const std::string& aBody);
   void Handle(const std::shared_ptr<StreamExchange>& aExchange);
   /// What answers say beside their own: that it leaves, that it is in need.
-  HttpHeaders Saying(const SoakRequest& aRequest, HttpHeaders aHeaders);
+  HttpHeaders WithNotices(const SoakRequest& aRequest, HttpHeaders aHeaders);
   void RunRequest(const std::shared_ptr<StreamExchange>& aExchange);
-  void TakeOrder(StreamExchange& aExchange);
-  void Report(StreamExchange& aExchange);
-  void Step();
+  void HandleOrder(StreamExchange& aExchange);
+  void HandleReport(StreamExchange& aExchange);
+  void WriteEvents();
 
   EventLoop& mLoop;
   std::string mName;
@@ -72,20 +74,20 @@
   std::string mInstance;
   int mStarts = 0;
   std::int64_t mSequence = 0;
-  std::int64_t mBorn = 0;
+  std::int64_t mStartedAt = 0;
   int mFrom = 0;
   int mTo = 0;
   int mOrders = 0;
   bool mLeaving = false;
   std::size_t mControl = 0;  ///< That was reached last.
   std::vector<Run> mRuns;
-  std::vector<SoakNeed> mNeeds;  ///< The last may still last.
+  std::vector<SoakLoadReduction> mLoadReductions;  ///< The last may still last.
   std::unique_ptr<StreamServer> mServer;
   std::unique_ptr<SoakLink> mLink;
   std::unique_ptr<StreamCall> mCall;
-  std::unique_ptr<Timer> mBeatTimer;
-  std::unique_ptr<Timer> mStepTimer;
-  std::unique_ptr<Timer> mTurnTimer;
+  std::unique_ptr<Timer> mHeartbeatTimer;
+  std::unique_ptr<Timer> mEventTimer;
+  std::unique_ptr<Timer> mEndTimer;
 };
 
 /// The body of a stream from one event to another.
