--- a/tests/platform/soak/soak_caller.cpp
+++ b/tests/platform/soak/soak_caller.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Longer than any process stands still in a soak.
+/// Longer than any process of a soak is suspended.
 constexpr Millis kStallTimeout = 6000;
 constexpr Millis kReconnectDelay = 50;
 constexpr int kMaxThinkTime = 150;
--- a/tests/platform/soak/soak_caller.h
+++ b/tests/platform/soak/soak_caller.h
@@ -1,4 +1,4 @@
-/// A caller of a soak that keeps its connection until the other end closes it.
+/// A caller of a soak that reuses its connection until the router closes it.
 #pragma once
 
 #include <functional>
@@ -15,7 +15,7 @@
 
 namespace spindleweir {
 
-/// A router by the name that the fault script knows it by.
+/// A router under its name in the fault script.
 struct SoakRouter {
   std::string mName;
   Endpoint mAddress;
@@ -25,11 +25,11 @@
   std::vector<SoakRouter> mRouters;
   SoakRecord* mRecord = nullptr;
   std::mt19937* mRandom = nullptr;
-  /// Whether new requests are still to be sent.
+  /// Returns whether further requests may be sent.
   std::function<bool()> mMaySend;
 };
 
-/// Sends one request after the other, to the end of the soak.
+/// Sends requests one after the other until the end of the soak.
 class SoakCaller {
  public:
   SoakCaller(EventLoop& aLoop, std::string aName, SoakCallerOptions aOptions);
@@ -56,7 +56,7 @@
   SoakCallerOptions mOptions;
   const SoakRouter* mRouter = nullptr;
   bufferevent* mBuffer = nullptr;
-  std::unique_ptr<HttpMessageReader> mReader;  ///< Of an answer that is due.
+  std::unique_ptr<HttpMessageReader> mReader;  ///< Set while an answer is due.
   std::string mId;
   int mSent = 0;
   int mConnectionRequests = 0;  ///< Requests sent on this connection.
--- a/tests/platform/soak/soak_link.cpp
+++ b/tests/platform/soak/soak_link.cpp
@@ -102,7 +102,7 @@
 }
 
 void SoakLink::CloseIfDone(Side& aSide) {
-  // What the other end sent before it closed goes first.
+  // Bytes that the other end sent before it closed are forwarded first.
   const Side& other = *aSide.mOther;
   const bool pending =
       evbuffer_get_length(bufferevent_get_input(other.mBuffer)) > 0 ||
@@ -152,7 +152,7 @@
     Side& upstream = mConnections[i]->mUpstream;
     Forward(router);
     Forward(upstream);
-    // Either may end the connection, and with it both.
+    // Closing one side frees both, so at most one is checked.
     if (router.mEnded) {
       CloseIfDone(upstream);
     } else if (upstream.mEnded) {
--- a/tests/platform/soak/soak_link.h
+++ b/tests/platform/soak/soak_link.h
@@ -1,5 +1,5 @@
-/// The network between routers and one upstream of a soak: passes bytes on, and
-/// resets, holds back or slows what passes.
+/// The network between routers and one upstream of a soak: forwards bytes, and
+/// resets, pauses or slows connections.
 #pragma once
 
 #include <memory>
@@ -17,31 +17,31 @@
 
 class SoakLink {
  public:
-  /// Listens on a port of its own for connections to aTarget.
+  /// Listens on its own port and forwards connections to aTarget.
   SoakLink(EventLoop& aLoop, const Endpoint& aTarget);
   ~SoakLink();
   SoakLink(const SoakLink&) = delete;
   SoakLink& operator=(const SoakLink&) = delete;
 
   const std::string& Address() const { return mAddress; }
-  /// Ends all connections with a reset.
+  /// Closes all connections with a reset.
   void Reset();
-  /// For so long nothing passes towards routers, or, with aBothWays, at all. No
-  /// connection ends by it, and nothing is lost.
+  /// Forwards nothing towards routers for aDuration; with aBothWays, nothing in
+  /// either direction. No connection is closed and no byte is lost.
   void Pause(Millis aDuration, bool aBothWays);
-  /// Whether no answer passes now.
+  /// Returns whether answers are paused.
   bool BlocksAnswers() const { return mAnswersPaused && mStepTimer == nullptr; }
-  /// For so long bytes pass in steps only.
+  /// For aDuration, forwards bytes only at fixed intervals.
   void Slow(Millis aDuration);
 
  private:
-  /// One of the two ends of a connection that passes here.
+  /// One of the two ends of a forwarded connection.
   struct Side {
     SoakLink* mLink = nullptr;
     Side* mOther = nullptr;
     bufferevent* mBuffer = nullptr;
     bool mFromUpstream = false;
-    bool mEnded = false;  ///< Its peer has closed it.
+    bool mEnded = false;  ///< The peer has closed it.
   };
   struct Connection {
     Side mRouter;
@@ -59,7 +59,7 @@
   void Forward(Side& aSide);
   void ForwardAll();
   static void CloseIfDone(Side& aSide);
-  /// Frees both ends, with a reset or in order.
+  /// Frees both ends, with a reset or an orderly close.
   void Close(Side& aSide, bool aReset);
 
   EventLoop& mLoop;
--- a/tests/platform/soak/soak_load_reduction.cpp
+++ b/tests/platform/soak/soak_load_reduction.cpp
@@ -13,8 +13,10 @@
 constexpr const char* kLimitText = "0.5";
 constexpr const char* kBackoffText = "2";
 constexpr std::int64_t kBackoff = 2 * kSecond;
-/// What the users allow: of a limit, from so long after it was first named,
-/// in any such window; of a rest, after so long.
+/// Bounds that the product allows. Limit: at most kMaxInWindow requests in any
+/// kWindow, from kLimitSpreadTime after the start on, and per router from
+/// kReactionTime after its first notice on. Back-off: at most kMaxInBackoff
+/// requests of a router, from kReactionTime after the rejection on.
 constexpr std::int64_t kLimitSpreadTime = 3 * kSecond;
 constexpr std::int64_t kWindow = 4 * kSecond;
 constexpr int kMaxInWindow = 8;
@@ -86,8 +88,9 @@
   if (maxCount <= kMaxInWindow) {
     return 0;
   }
-  std::cout << "BROKEN: " << mInstance << " named a limit of " << kLimitText
-            << " a second and got " << maxCount << " in 4 s\n";
+  std::cout << "BROKEN: " << mInstance << " advertised a limit of "
+            << kLimitText << " requests/s and received " << maxCount
+            << " requests in 4 s\n";
   return 1;
 }
 
@@ -108,7 +111,7 @@
     if (maxCount > kMaxInBackoff &&
         !HasFault(aFaults, rejected.mRouter, rejected.mAt - kSecond, end)) {
       std::cout << "BROKEN: " << mInstance << " asked " << rejected.mRouter
-                << " for rest and got " << maxCount << " requests\n";
+                << " for a back-off and received " << maxCount << " requests\n";
       violations++;
     }
   }
--- a/tests/platform/soak/soak_load_reduction.h
+++ b/tests/platform/soak/soak_load_reduction.h
@@ -1,5 +1,6 @@
-/// An upstream of a soak that asks for less for some seconds: it names a limit,
-/// or turns all requests away and asks for rest; and whether it got that.
+/// A period of some seconds in which an upstream of a soak asks for less load:
+/// it advertises a limit, or rejects all requests and asks for a back-off.
+/// Checks that routers complied.
 #pragma once
 
 #include <cstdint>
@@ -14,21 +15,22 @@
 
 enum class ReductionKind { kLimit, kBackoff };
 
-/// One such time of one incarnation. Times are wall microseconds.
+/// One such period of one incarnation. Times are wall clock microseconds.
 class SoakLoadReduction {
  public:
   SoakLoadReduction(ReductionKind aKind, std::string aInstance,
                     std::int64_t aNow);
 
-  /// Whether it still asks for it.
+  /// Returns whether the period still lasts.
   bool IsActive(std::int64_t aNow) const;
-  /// A request of a router came. Returns what its answer says of the need.
+  /// Records a request from a router. Returns the headers for its answer.
   HttpHeaders OnRequest(const std::string& aRouter, std::int64_t aNow);
   bool Rejects(std::int64_t aNow) const;
-  /// The incarnation has ended.
+  /// Records the end of the incarnation.
   void End(std::int64_t aNow) { mEndedAt = aNow; }
-  /// Prints what got more than was rejected for; returns how often. What a
-  /// router sent from just before something was done to it on is excused.
+  /// Prints each case in which more requests came than allowed; returns the
+  /// number of cases. Requests don't count if a fault hit their router later
+  /// than one second before its notice or rejection.
   int CountViolations(const std::vector<SoakFault>& aFaults) const;
 
  private:
@@ -43,9 +45,10 @@
   ReductionKind mKind;
   std::string mInstance;
   std::int64_t mFrom;
-  std::int64_t mEndedAt = 0;  ///< 0: it has not.
+  std::int64_t mEndedAt = 0;  ///< 0: it hasn't ended.
   std::vector<Arrival> mArrivals;
-  std::map<std::string, std::int64_t> mNotifiedAt;  ///< Routers, first.
+  std::map<std::string, std::int64_t>
+      mNotifiedAt;  ///< First notice, by router.
 };
 
 }  // namespace spindleweir
--- a/tests/platform/soak/soak_main.cpp
+++ b/tests/platform/soak/soak_main.cpp
@@ -1,8 +1,8 @@
-/// spindleweir-soak: callers that keep their connections, upstreams that come
-/// and go, a network that fails, and an operator who changes the configuration
-/// again and again, before real processes of the system on a platform's wire.
-/// The processes, and what is done to them, are scripts/relay-soak's. It ends
-/// with 1 where a promise was broken.
+/// spindleweir-soak: runs callers with persistent connections, upstreams that
+/// start and stop, a network that fails, and an operator that keeps changing
+/// the configuration, against real processes of the system that use the
+/// platform's protocols. scripts/relay-soak starts the processes and injects
+/// their faults. Exits with 1 if a promise was violated.
 #include <gflags/gflags.h>
 
 #include <algorithm>
@@ -16,15 +16,16 @@
 #include "tests/platform/soak/soak_caller.h"
 #include "tests/platform/soak/soak_upstream.h"
 
-DEFINE_string(routers, "", "NAME=IP:PORT of each, by commas");
-DEFINE_string(controls, "", "IP:PORT of each, by commas");
+DEFINE_string(routers, "", "NAME=IP:PORT of each router, separated by commas");
+DEFINE_string(controls, "", "IP:PORT of each control, separated by commas");
 DEFINE_string(faults, "", "record of the fault script");
-DEFINE_string(up_file, "", "made once all routers have a configuration");
-DEFINE_uint32(seed, 1, "of all that is at random here");
-DEFINE_int32(seconds, 15, "how long callers come");
-DEFINE_bool(links, false, "the network to engines fails too");
-DEFINE_bool(needs, false, "upstreams name limits and ask for rest too");
-DEFINE_int32(callers, 48, "that come at the same time");
+DEFINE_string(up_file, "", "file created when the load starts");
+DEFINE_uint32(seed, 1, "seed of all random choices");
+DEFINE_int32(seconds, 15, "duration of the load, in seconds");
+DEFINE_bool(links, false, "also inject network faults at engines");
+DEFINE_bool(needs, false,
+            "upstreams also advertise limits and ask for back-offs");
+DEFINE_int32(callers, 48, "number of concurrent callers");
 
 namespace spindleweir {
 namespace {
@@ -39,7 +40,8 @@
 constexpr int kMaxChangePause = 900;
 constexpr int kMaxFaultPause = 3000;
 
-/// The operator's side: one version after the other, acknowledged or not.
+/// The operator: sends one configuration version after the other, whether or
+/// not the previous one was acknowledged.
 class SoakOperator {
  public:
   SoakOperator(EventLoop& aLoop, std::vector<Endpoint> aControls,
@@ -68,7 +70,7 @@
     });
   }
 
-  /// The pause before the next change is the caller's.
+  /// Called when a change was acknowledged or given up. Schedules the next one.
   std::function<void()> mOnSettled;
 
  private:
@@ -92,7 +94,8 @@
     return route;
   }
 
-  /// What callers use stays in each; the rest changes with the version.
+  /// Returns a configuration. The parts that callers use are in each version;
+  /// the rest depends on the version.
   std::string Document(std::int64_t aVersion) {
     Json::Value document(Json::objectValue);
     document["version"] = static_cast<Json::Int64>(aVersion);
@@ -143,7 +146,7 @@
          });
   }
 
-  /// Calls a control at random, and where it says that another leads, that.
+  /// Calls a random control and follows up to two redirects to the leader.
   void Call(const std::string& aMethod, const std::string& aTarget,
             const std::string& aBody, int aSteps,
             const std::function<void(int)>& aDone,
@@ -174,7 +177,7 @@
       }
       aDone(aEnd == StreamEnd::kComplete ? head->mStatus : 0);
     };
-    // The call before may be on the stack.
+    // The previous call may be on the stack.
     mLoop.Post([before = std::shared_ptr<StreamCall>(std::move(mCall))] {});
     mCall = StartStreamCall(mLoop, std::move(options));
   }
@@ -218,7 +221,7 @@
   return faults;
 }
 
-/// All that the soak plays beside the processes.
+/// All simulated participants of the soak.
 class Soak {
  public:
   Soak()
@@ -286,11 +289,12 @@
         broken += need.CountViolations(faults);
       }
     }
-    std::cout << needs << " upstreams in need\n";
+    std::cout << needs << " periods of reduced load\n";
     return broken;
   }
 
-  /// One upstream after the other asks for less; several may at a time.
+  /// Makes a random upstream ask for less load, again and again; several
+  /// periods may overlap.
   void ScheduleLoadReduction() {
     mReductionTimer = mLoop.After(Pick(300, kMaxReductionPause), [this] {
       const auto n = static_cast<int>(mUpstreams.size());
@@ -304,7 +308,7 @@
     });
   }
 
-  /// A change has ended; the first one begins it all.
+  /// Handles the end of a change; the first acknowledged one starts the load.
   void OnChangeSettled() {
     if (!mStarted && mOperator.Acknowledged()) {
       mStarted = true;
@@ -348,7 +352,8 @@
     }
   }
 
-  /// An engine ends, or leaves, or its network fails; one at a time in a zone.
+  /// Injects faults again and again: an engine crashes, leaves, or loses its
+  /// network; only in a zone where no engine is leaving or down.
   void ScheduleFault() {
     mFaultTimer = mLoop.After(Pick(500, kMaxFaultPause), [this] {
       const int zone = Pick(0, kZones - 1);
@@ -385,7 +390,7 @@
     });
   }
 
-  /// Engines are given their layers, and routers know them.
+  /// Time for engines to receive their layers and for routers to learn of them.
   static constexpr Millis kWarmUp = 2500;
 
   EventLoop mLoop;
--- a/tests/platform/soak/soak_record.cpp
+++ b/tests/platform/soak/soak_record.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Attempts that a route of the soak gives a request.
+/// Attempts per request on the routes of the soak.
 constexpr int kAttempts = 2;
 
 bool PromisesNotRun(int aStatus) {
@@ -39,29 +39,29 @@
 std::string SoakRecord::Violation(const SoakRequest& aRequest,
                                   const std::vector<SoakKill>& aKills) {
   if (aRequest.mAtMostOnce && aRequest.mRuns > 1) {
-    return "ran twice";
+    return "ran more than once";
   }
   const bool complete = aRequest.mEnd == SoakEnd::kComplete;
   if (complete && PromisesNotRun(aRequest.mStatus) && aRequest.mRuns > 0) {
-    return "ran, though the answer promises that it did not";
+    return "ran, but its answer states that it did not run";
   }
   if (complete && aRequest.mStatus == 200 &&
       aRequest.mBody != aRequest.mExpectedBody) {
-    return "another body than its own";
+    return "body differs from the expected one";
   }
   if (complete && aRequest.mStatus >= 300 && aRequest.mStatus < 500 &&
       !PromisesNotRun(aRequest.mStatus)) {
-    return "refused though every configuration allows it";
+    return "rejected, but every configuration allows it";
   }
   const bool ended = aRequest.mEnd == SoakEnd::kNoAnswer ||
                      aRequest.mEnd == SoakEnd::kTruncated;
-  // A request that crosses the end of a connection may go unread.
+  // A request sent while the router closes its connection may go unread.
   const bool crossed = aRequest.mEnd == SoakEnd::kNoAnswer &&
                        aRequest.mReused && aRequest.mRuns == 0;
   const bool usedUp = aRequest.mLostRuns >= kAttempts;
   if (ended && !crossed && !usedUp && !WasKilled(aRequest, aKills)) {
-    return aRequest.mEnd == SoakEnd::kTruncated ? "cut in its answer"
-                                                : "no answer at all";
+    return aRequest.mEnd == SoakEnd::kTruncated ? "answer truncated"
+                                                : "no answer";
   }
   return "";
 }
--- a/tests/platform/soak/soak_record.h
+++ b/tests/platform/soak/soak_record.h
@@ -1,4 +1,5 @@
-/// What callers and upstreams of a soak saw of each request, and the judgement.
+/// Observations of callers and upstreams of a soak about each request, and the
+/// check of the product's promises against them.
 #pragma once
 
 #include <cstdint>
@@ -10,38 +11,38 @@
 
 /// How a caller's request ended.
 enum class SoakEnd {
-  kOpen,       ///< It has not.
-  kComplete,   ///< A complete answer came.
-  kNoAnswer,   ///< The connection ended, and no byte of an answer came.
-  kTruncated,  ///< It ended within the answer.
-  kTimedOut,   ///< The caller lost patience.
+  kOpen,       ///< It hasn't ended.
+  kComplete,   ///< A complete answer arrived.
+  kNoAnswer,   ///< The connection ended before any byte of an answer.
+  kTruncated,  ///< The connection ended within the answer.
+  kTimedOut,   ///< The caller's stall timeout expired.
 };
 
 /// One request with all its runs.
 struct SoakRequest {
   std::string mRouter;
   bool mStream = false;
-  bool mReused = false;       ///< Its connection had served another before.
+  bool mReused = false;  ///< Its connection had carried another request before.
   std::int64_t mSentAt = 0;   ///< Wall microseconds.
-  std::int64_t mEndedAt = 0;  ///< The same.
+  std::int64_t mEndedAt = 0;  ///< Wall microseconds.
   SoakEnd mEnd = SoakEnd::kOpen;
   int mStatus = 0;
   std::string mBody;
   std::string mExpectedBody;  ///< The body of a success.
   int mRuns = 0;
-  /// At upstreams that ended, or said that they will, while they ran.
+  /// Runs on upstreams that ended, or announced their end, meanwhile.
   int mLostRuns = 0;
-  bool mAtMostOnce = false;  ///< It may run once at most.
+  bool mAtMostOnce = false;  ///< It may run at most once.
 };
 
-/// A process was killed, by the fault script's record.
+/// The kill of a process, from the fault script's record.
 struct SoakKill {
   std::string mName;
-  std::int64_t mFrom = 0;  ///< Before it, wall microseconds.
-  std::int64_t mTo = 0;    ///< The same, after it.
+  std::int64_t mFrom = 0;  ///< Wall microseconds before the kill.
+  std::int64_t mTo = 0;    ///< Wall microseconds after the kill.
 };
 
-/// Something was done to a process, by the fault script's record.
+/// A fault injected into a process, from the fault script's record.
 struct SoakFault {
   std::string mName;
   std::int64_t mAt = 0;  ///< Wall microseconds.
@@ -49,17 +50,18 @@
 
 std::int64_t WallMicros();
 
-/// All requests of a soak, by their id.
+/// All requests of a soak, by id.
 class SoakRecord {
  public:
   SoakRequest& At(const std::string& aId) { return mRequests[aId]; }
-  /// The same, or nullptr.
+  /// Returns the request, or nullptr if the id is unknown.
   SoakRequest* Find(const std::string& aId);
-  /// Prints what was seen, and what breaks a promise; returns how much does.
+  /// Prints a summary and each violation of a promise; returns the number of
+  /// violations.
   int CountViolations(const std::vector<SoakKill>& aKills) const;
 
  private:
-  /// Empty: no promise is violations.
+  /// Describes the violation; empty: none.
   static std::string Violation(const SoakRequest& aRequest,
                                const std::vector<SoakKill>& aKills);
 
--- a/tests/platform/soak/soak_shim.cpp
+++ b/tests/platform/soak/soak_shim.cpp
@@ -1,7 +1,7 @@
-/// Loaded before a process of a soak: steps its wall clock, slows its disk or
-/// lets it be full, as the file that SOAK_SHIM names says: "OFFSET_MS SYNC_MS
-/// FULL", read again at most twenty times a second. The steady clock stays what
-/// it is.
+/// Preloaded into processes of a soak: shifts the wall clock, delays syncs to
+/// disk or fails them as on a full disk. The file named by SOAK_SHIM holds
+/// "OFFSET_MS SYNC_MS FULL" and is read at most twenty times a second. The
+/// steady clock isn't changed.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <sys/time.h>
@@ -57,7 +57,7 @@
   }
 }
 
-/// One call of the system that brings a file to the disk.
+/// Delays or fails a call of aReal, which syncs a file to disk.
 int SyncWith(int (*aReal)(int), int aFd) {
   Refresh();
   if (sFull) {
--- a/tests/platform/soak/soak_upstream.cpp
+++ b/tests/platform/soak/soak_upstream.cpp
@@ -113,7 +113,7 @@
       mLink->Reset();
       break;
     case 1:
-      // Routers take it for silent.
+      // Routers regard the upstream as silent.
       CountLostRuns();
       mLink->Pause(kLong, false);
       break;
@@ -132,7 +132,7 @@
   SendHeartbeat();
   mEndTimer = mLoop.After(kLeaveDuration, [this] {
     PostToControl("/-/Instances.Leave/" + mInstance, "{}");
-    // One of its timers is on the stack.
+    // A timer of this upstream is on the stack.
     mLoop.Post([this] { End(); });
   });
 }
@@ -175,7 +175,7 @@
       mControl = (mControl + 1) % mOptions.mControls.size();
     }
   };
-  // The call before may be on the stack.
+  // The previous call may be on the stack.
   mLoop.Post([before = std::shared_ptr<StreamCall>(std::move(mCall))] {});
   mCall = StartStreamCall(mLoop, std::move(options));
 }
@@ -245,7 +245,8 @@
                    .mNextEvent = after.empty() ? 1 : std::stoi(after) + 1,
                    .mLastEvent = last});
   if (mLink->BlocksAnswers() || mLeaving) {
-    // Its router hears nothing of it, or only now that it leaves.
+    // The router receives no answer, or learns only now that the upstream
+    // leaves.
     CountLostRuns();
   }
 }
--- a/tests/platform/soak/soak_upstream.h
+++ b/tests/platform/soak/soak_upstream.h
@@ -1,5 +1,5 @@
-/// An engine or a plain service of a soak, as the platform's are: it registers
-/// itself, streams events, takes orders, leaves, and ends.
+/// An engine or a plain service of a soak, behaving as the platform's do: it
+/// registers itself, streams events, applies orders, leaves and ends.
 #pragma once
 
 #include <memory>
@@ -27,17 +27,19 @@
   SoakUpstream(EventLoop& aLoop, std::string aName,
                SoakUpstreamOptions aOptions);
 
-  /// Ends at once, without a word, and starts again under another id.
+  /// Ends at once without notice, and restarts under another id.
   void Crash();
-  /// Says that it leaves, serves on for a while, and is followed by another.
+  /// Announces that it leaves, goes on serving for kLeaveDuration, and is
+  /// replaced by a new instance.
   void Leave();
-  /// It asks for less for some seconds.
+  /// Asks for less load for some seconds.
   void ReduceLoad(ReductionKind aKind);
-  /// All such times, to be judged.
+  /// All such periods, for checking.
   const std::vector<SoakLoadReduction>& LoadReductions() const {
     return mLoadReductions;
   }
-  /// The network to it fails in some way: 0 to 3. Its process runs on.
+  /// Makes its network fail: 0 resets connections, 1 pauses answers, 2 pauses
+  /// both directions, 3 slows them. The upstream goes on running.
   void InjectLinkFault(int aKind);
   bool IsSteady() const { return mServer != nullptr && !mLeaving; }
 
@@ -45,23 +47,24 @@
   static constexpr Millis kEventInterval = 20;
 
  private:
-  /// One stream that runs.
+  /// A running stream.
   struct Run {
     std::shared_ptr<StreamExchange> mExchange;
     std::string mId;
     int mNextEvent = 1;
     int mLastEvent = 0;
-    bool mCountedLost = false;  ///< It is counted as lost.
+    bool mCountedLost = false;  ///< Counted as lost.
   };
 
   void Start();
   void End();
-  /// Counts what runs here as lost: its upstream ends, or says that it will.
+  /// Counts the open runs as lost: the upstream ends or announces its end, or
+  /// its network fails.
   void CountLostRuns();
   void SendHeartbeat();
   void PostToControl(const std::string& aTarget, const std::string& aBody);
   void Handle(const std::shared_ptr<StreamExchange>& aExchange);
-  /// What answers say beside their own: that it leaves, that it is in need.
+  /// Adds the headers for leaving and for a request of less load.
   HttpHeaders WithNotices(const SoakRequest& aRequest, HttpHeaders aHeaders);
   void RunRequest(const std::shared_ptr<StreamExchange>& aExchange);
   void HandleOrder(StreamExchange& aExchange);
@@ -79,9 +82,10 @@
   int mTo = 0;
   int mOrders = 0;
   bool mLeaving = false;
-  std::size_t mControl = 0;  ///< That was reached last.
+  std::size_t mControl = 0;  ///< Index of the control in use.
   std::vector<Run> mRuns;
-  std::vector<SoakLoadReduction> mLoadReductions;  ///< The last may still last.
+  std::vector<SoakLoadReduction>
+      mLoadReductions;  ///< The last one may be active.
   std::unique_ptr<StreamServer> mServer;
   std::unique_ptr<SoakLink> mLink;
   std::unique_ptr<StreamCall> mCall;
@@ -90,7 +94,7 @@
   std::unique_ptr<Timer> mEndTimer;
 };
 
-/// The body of a stream from one event to another.
+/// Returns the body of a stream from event aFrom to event aTo, inclusive.
 std::string SoakEvents(const std::string& aId, int aFrom, int aTo);
 
 }  // namespace spindleweir
