--- a/tests/platform/soak/soak_main.cpp
+++ b/tests/platform/soak/soak_main.cpp
@@ -55,8 +55,8 @@
 
   bool Acknowledged() const { return mAcknowledged > 0; }
 
-  /// IsActive until a version comes that is not older than what was
-  /// acknowledged.
+  /// Polls until the version read is at least the acknowledged one; passes
+  /// false to aDone after kMaxReads failed retries.
   void ReadBack(const std::function<void(bool)>& aDone) {
     mBody.clear();
     Call("GET", "/-/Config.Read", "", 0, [this, aDone](int aStatus) {
