--- a/soak/faults.sh
+++ b/soak/faults.sh
@@ -1,47 +1,49 @@
-# Faults that overlap, at random from a seed: sourced by scripts/history and
-# scripts/relay-soak, whose names it uses. In a round one process may stand still while others are stopped,
-# killed or started again; a stop may be asked for twice, or end by a kill. A
-# router that stops stays among the callers' targets until its process is gone.
+# Injects overlapping faults, chosen at random from a seed. Sourced by
+# scripts/history and scripts/relay-soak; uses their functions and variables. In
+# a round, one process may be suspended while others are stopped, killed or
+# restarted; a stop may be requested twice, or be cut short by a kill. Callers go
+# on using a router that is stopping until its process has ended.
 
-soak_ours=(router-0 router-1 router-2 control-0 control-1 control-2)
+soak_processes=(router-0 router-1 router-2 control-0 control-1 control-2)
 if ! declare -p soak_engines >/dev/null 2>&1; then
   soak_engines=()
   for z in 0 1 2; do
     for n in 1 2 3 4 5 6; do soak_engines+=("gpu-$z-$n"); done
   done
 fi
-frozen="" stopping="" disturbed="" bad_ends=0
+suspended="" stopping="" shimmed="" bad_ends=0
 
-# A process that is neither still nor stopping now; one in two is an engine.
+# Picks a process that is neither suspended nor stopping. If there are engines,
+# about half of the picks are engines.
 pick_name() {
   local name
   while :; do
-    name=${soak_ours[RANDOM % ${#soak_ours[@]}]}
+    name=${soak_processes[RANDOM % ${#soak_processes[@]}]}
     if ((${#soak_engines[@]} > 0 && RANDOM % 2)); then
       name=${soak_engines[RANDOM % ${#soak_engines[@]}]}
     fi
-    case " $frozen $stopping " in *" $name "*) ;; *) break ;; esac
+    case " $suspended $stopping " in *" $name "*) ;; *) break ;; esac
   done
   picked=$name
 }
 
-freeze_one() {
+suspend_one() {
   pick_name
-  frozen=$picked
-  note freeze name "$frozen"
-  kill -STOP "$(pid "$frozen")"
+  suspended=$picked
+  note freeze name "$suspended"
+  kill -STOP "$(pid "$suspended")"
 }
 
-thaw() {
-  if [ -n "$frozen" ]; then
-    kill -CONT "$(pid "$frozen")"
-    note thaw name "$frozen"
+resume_suspended() {
+  if [ -n "$suspended" ]; then
+    kill -CONT "$(pid "$suspended")"
+    note thaw name "$suspended"
   fi
-  frozen=""
+  suspended=""
 }
 
-# Asks for a planned stop, now and then twice; ended by end_stops.
-ask_to_stop() { # NAME
+# Requests a planned stop, in one of three cases twice; end_stops waits for it.
+request_stop() { # NAME
   note stop name "$1"
   kill -TERM "$(pid "$1")"
   if ((RANDOM % 3 == 0)); then
@@ -50,98 +52,99 @@
   stopping="$stopping $1"
 }
 
-# Whether the newest process of a name has logged its start.
+# Succeeds if the latest process of that name has logged its start.
 has_started() { # NAME
-  local begun started
-  begun=$(awk -v n="$1" '$1 == n' "$run/pids" | wc -l)
+  local starts started
+  starts=$(awk -v n="$1" '$1 == n' "$run/pids" | wc -l)
   started=$(grep -c '"event":"started"' "$run/$1.log" || true)
-  [ "$started" -ge "$begun" ]
+  [ "$started" -ge "$starts" ]
 }
 
-# A planned stop ends with 0. A signal that finds a process before it has logged
-# its start finds no handler either; it has done nothing yet.
-ended_badly() { # NAME CODE
+# Counts a planned stop whose exit code isn't 0. Before a process has logged its
+# start, it has no signal handler and has done no work, so that isn't counted.
+count_failed_stop() { # NAME CODE
   if has_started "$1"; then
-    echo "$1 ended with $2, last line: $(tail -n 1 "$run/$1.log")"
+    echo "$1 ended with exit code $2, last line: $(tail -n 1 "$run/$1.log")"
     bad_ends=$((bad_ends + 1))
   else
-    echo "$1 was asked to stop before it had started: $2"
+    echo "$1 was asked to stop before it had logged its start: exit code $2"
   fi
 }
 
-# Counts those that are gone and were not ended here.
-count_ended_alone() {
+# Counts processes that have ended without being stopped or killed here.
+count_unexpected_ends() {
   local name
-  for name in "${soak_ours[@]}" "${soak_engines[@]}"; do
+  for name in "${soak_processes[@]}" "${soak_engines[@]}"; do
     if ! grep -q '^State:[[:space:]]*[^Z[:space:]]' "/proc/$(pid "$name")/status" 2>/dev/null; then
-      echo "$name ended by itself, last line: $(tail -n 1 "$run/$name.log")"
+      echo "$name ended unexpectedly, last line: $(tail -n 1 "$run/$name.log")"
       bad_ends=$((bad_ends + 1))
     fi
   done
 }
 
-# Waits for those that were asked to stop; one in four is killed meanwhile.
+# Waits for the processes that are stopping; kills one in four of them instead.
 end_stops() {
   local name
   for name in $stopping; do
     if ((RANDOM % 4 == 0)); then
       kill_noted "$name"
     else
-      wait "$(pid "$name")" || ended_badly "$name" $?
+      wait "$(pid "$name")" || count_failed_stop "$name" $?
     fi
     restart "$name"
   done
   stopping=""
 }
 
-# Steps the clock of a process by up to 20 s; in this round its disk is slow or
-# full.
-disturb() { # NAME
-  calm
-  disturbed=$1 step=$((RANDOM % 40001 - 20000))
+# Shifts the wall clock of a process by up to 20 s in either direction; until the
+# end of the round its disk may also be slow or full.
+shift_clock() { # NAME
+  end_disk_faults
+  shimmed=$1 clock_offset_ms=$((RANDOM % 40001 - 20000))
   set_shim "$((RANDOM % 2 * (RANDOM % 400)))" "$((RANDOM % 3 == 0))"
 }
 
-# The clock stays where it is.
-calm() {
-  [ -z "$disturbed" ] || set_shim 0 0
-  disturbed=""
+# Ends the disk faults; the shift of the clock stays.
+end_disk_faults() {
+  [ -z "$shimmed" ] || set_shim 0 0
+  shimmed=""
 }
 
 set_shim() { # SYNC_MS FULL
-  echo "$step $1 $2" >"$run/shim.new"
-  mv "$run/shim.new" "$run/$disturbed.shim"
+  echo "$clock_offset_ms $1 $2" >"$run/shim.new"
+  mv "$run/shim.new" "$run/$shimmed.shim"
 }
 
-# A control that is gone had begun to write when it was killed: what is not
-# synced ends in zeros.
-tear() { # NAME
+# Appends zeros to the logs of a killed control, as after a crash during a write
+# that wasn't synced.
+append_zeros() { # NAME
   local log
   for log in "$run/data-$1"/*.log; do
     [ ! -s "$log" ] || head -c $((RANDOM % 200)) /dev/zero >>"$log"
   done
 }
 
-# Ends nothing: in one of two, for soaks with such faults; false: not this time.
-strike_lightly() {
+# Injects a fault that ends no process (a reload, or clock and disk faults), in
+# half of the calls; fails if it injected none.
+inject_light_fault() {
   case $((RANDOM % 4)) in
   0) has_started "$picked" && kill -HUP "$(pid "$picked")" ;;
-  1) disturb "$picked" ;;
+  1) shift_clock "$picked" ;;
   *) false ;;
   esac
 }
 
-strike() {
+inject_fault() {
   faults=$((faults + 1))
   pick_name
-  if [ -n "${soak_shim:-}" ] && strike_lightly; then
+  if [ -n "${soak_shim:-}" ] && inject_light_fault; then
     return
   fi
   case $picked-$((RANDOM % 2)) in
-  router-*-0 | control-*-0) ask_to_stop "$picked" ;;
+  router-*-0 | control-*-0) request_stop "$picked" ;;
   *)
     kill_noted "$picked"
-    [ -z "${soak_shim:-}" ] || tear "$picked"
+    [ -z "${soak_shim:-}" ] || append_zeros "$picked"
     restart "$picked"
     ;;
   esac
@@ -150,13 +153,13 @@
 soak_faults() { # END, of SECONDS
   while [ $SECONDS -lt "$1" ]; do
     sleep 0.$((RANDOM % 9 + 1))
-    if ((RANDOM % 2)); then freeze_one; fi
-    strike
-    if ((RANDOM % 2)); then strike; fi
+    if ((RANDOM % 2)); then suspend_one; fi
+    inject_fault
+    if ((RANDOM % 2)); then inject_fault; fi
     sleep 0.$((RANDOM % 9 + 1))
-    thaw
-    calm
+    resume_suspended
+    end_disk_faults
     end_stops
   done
-  count_ended_alone
+  count_unexpected_ends
 }
