--- a/drivers/frame_reader.h
+++ b/drivers/frame_reader.h
@@ -40,7 +40,7 @@
   }
 
  private:
-  /// Longer lines are reported as an error frame.
+  /// A longer incomplete line is reported as an error frame.
   static constexpr std::size_t kMaxLineBytes = 64 * 1024;
 
   static TokenFrame ErrorFrame(const std::string& aWhy) {
--- a/tests/daemons/large_fleet_test.cpp
+++ b/tests/daemons/large_fleet_test.cpp
@@ -7,8 +7,9 @@
 // became one in two, times all routers, times the age of the peer reports: 13
 // to 171 requests at an upstream with 12 slots and none in use. Response times
 // were learned from answers only, so that a service whose first call was
-// refused refused all. With the rate alone corrected, 6 of 894 refusals
-// remained; so the unknown response time must not cause refusals either.
+// refused refused all. All of 894 such refusals reported no work, a rate of at
+// least one call in two seconds and no known response time. With the rate alone
+// corrected, 6 refusals remained on the same day.
 #include "spindleweir/core/json_codec.h"
 #include "tests/daemons/relay_fixture.h"
 
